--- a/coralvale/cluster/gates/status.py
+++ b/coralvale/cluster/gates/status.py
@@ -48,7 +48,7 @@
                 "here": metered.mine,
                 "all": metered.use,
                 "window": usage.elsewhere(name).window + metered.window.total(now),
-                "share": metered.owned / metered.quota.parts,
+                "share": metered.quota.share(metered.size),
                 "tokens": metered.escrow.available(now),
                 "leak": metered.bucket.rate,
             }
--- a/coralvale/cluster/harvest/way.py
+++ b/coralvale/cluster/harvest/way.py
@@ -20,7 +20,6 @@
 from coralvale.cluster.harvest.tries import ENDS
 from coralvale.cluster.rate_limit.actions import Admitted, Refused, Waiting
 from coralvale.cluster.rate_limit.limiter import RateLimiter
-from coralvale.cluster.rate_limit.terms import Terms, TermsChange
 from coralvale.cluster.settings import Bounds
 from coralvale.interface import Outcome
 
@@ -62,17 +61,6 @@
     tried: set[str] = field(factory=set)
 
 
-def changed_terms(before: Configuration, after: Configuration) -> list[TermsChange]:
-    """Of the tenants that both have, those whose quotas differ."""
-    found: list[TermsChange] = []
-    for name, (_, now) in after.tenants().items():
-        if then := before.tenant(name):
-            change = TermsChange(name, Terms(then.RatePerS, then.Burst), Terms(now.RatePerS, now.Burst))
-            if change.before != change.after:
-                found.append(change)
-    return found
-
-
 class Harvest:
     def __init__(
         self,
@@ -95,7 +83,6 @@
         """A newer configuration is in force from now on; an older one never is again."""
         if configuration.version <= self.configuration.version:
             return False
-        self.limiter.terms_change(configuration.version, changed_terms(self.configuration, configuration))
         self.configuration = configuration
         self.home.take_configuration(configuration)
         self.copies.lists.clear()  # what binds a service may have changed
--- a/coralvale/cluster/rate_limit/escrow.py
+++ b/coralvale/cluster/rate_limit/escrow.py
@@ -14,7 +14,7 @@
 
 from attrs import define
 
-from coralvale.cluster.rate_limit.quota import GRANT_LIFE, Quota
+from coralvale.cluster.rate_limit.quota import GRANT_LIFE, BucketSize
 
 
 @define
@@ -35,18 +35,17 @@
         self.places = 0  # of the recent
         self.begun = False
 
-    def settle(self, now: float, quota: Quota, share: float) -> None:
-        """The quota, or the share of it that is owned here, is another from now on. Less of it takes tokens
-        along, more of it brings none."""
-        depth = quota.depth * share
+    def settle(self, now: float, size: BucketSize) -> None:
+        """The quota, or what of it is owned here, is another from now on. Less of it takes tokens along, more of
+        it brings none."""
         if self.begun:
             self._refill(now)
         elif self.allowed:
-            self.tokens = min(depth, quota.allowance * share)
+            self.tokens = size.allowance
         self.begun = True
-        if depth < self.depth:
-            self.tokens *= depth / self.depth
-        self.depth, self.fill = depth, quota.fill * share
+        if size.depth < self.depth:
+            self.tokens *= size.depth / self.depth
+        self.depth, self.fill = size.depth, size.fill
 
     def _refill(self, now: float) -> None:
         while self.recent and now - self.recent[0].at > GRANT_LIFE:
--- a/coralvale/cluster/rate_limit/holding.py
+++ b/coralvale/cluster/rate_limit/holding.py
@@ -3,9 +3,8 @@
 from __future__ import annotations
 
 import math
-from collections import Counter
 
-from coralvale.cluster.rate_limit.quota import cells_of
+from coralvale.cluster.rate_limit.quota import cell_at
 from coralvale.cluster.rate_limit.shares import LEASE, NOBODY, ShareTable, even_table
 
 
@@ -60,9 +59,11 @@
     def owns_any(self) -> bool:
         return self.address in self.table.owners
 
-    def owners(self, tenant: str, parts: int) -> Counter[str]:
-        """How many of a tenant's parts each gateway owns."""
-        table = self.table
-        found = Counter(table.usable(cell) for cell in cells_of(tenant, parts))
-        found.pop(NOBODY, None)
+    def owners(self, tenant: str, cells: int) -> dict[str, list[int]]:
+        """By gateway, which ranks it owns of a tenant's quota that has so many cells."""
+        found: dict[str, list[int]] = {}
+        for rank in range(cells):
+            owner = self.table.usable(cell_at(tenant, rank))
+            if owner != NOBODY:
+                found.setdefault(owner, []).append(rank)
         return found
--- a/coralvale/cluster/rate_limit/limiter.py
+++ b/coralvale/cluster/rate_limit/limiter.py
@@ -15,7 +15,6 @@
 
 import math
 import random
-from collections.abc import Iterable
 
 from coralvale import interface as api
 from coralvale.cluster.rate_limit.actions import (
@@ -30,9 +29,8 @@
 from coralvale.cluster.rate_limit.borrowing import MOST_ASKED, MOST_PAUSE, Borrowing
 from coralvale.cluster.rate_limit.escrow import Escrow
 from coralvale.cluster.rate_limit.holding import Holding
-from coralvale.cluster.rate_limit.quota import Quota, Rule
+from coralvale.cluster.rate_limit.quota import CellSizes, Quota, Rule
 from coralvale.cluster.rate_limit.tenant import Tenant, TenantBucket
-from coralvale.cluster.rate_limit.terms import DivisionChanges, TermsChange
 from coralvale.cluster.rate_limit.usage import PERIOD, FleetUsage, Use, Window
 
 WHOLE_EVERY = 4  # words of which one tells of all tenants; the others of those of whom there is news
@@ -49,14 +47,12 @@
     no later than `due`."""
 
     def __init__(self, rule: Rule, address: str = "", chance: random.Random | None = None) -> None:
-        self.rule = rule
+        self.rule, self.cells = rule, CellSizes.of(rule)
         self.holding = Holding(address)
         self.usage = FleetUsage(rule.window)
         self.tenants: dict[str, Tenant] = {}
         self.refused: dict[str, int] = {}
         self.count = 1  # gateways that may be serving, this one too
-        self.divisions = DivisionChanges(self.holding, self.usage.version_of)
-        self.divided: dict[str, float] = {}  # by tenant, since when it is divided otherwise; inf: just now
         self.stepped = self.rated = -math.inf
         self.words = 0
         # Numbers go on from one of this process's own: an answer to the one before it is nobody's.
@@ -103,7 +99,7 @@
     def _take(self, now: float, tenant: Tenant) -> Admitted | None:
         """Lets a request in by a token that is here: granted ones first, they end soon."""
         if tenant.table != self.holding.changes:
-            self._divide(now, tenant)
+            self._follow_table(now, tenant)
         if tenant.stock.take(now):
             source = Source.GRANTED
         elif self.holding.is_valid(now) and tenant.escrow.take(now, 1):
@@ -121,18 +117,7 @@
             if admitted.source is Source.OWN:
                 tenant.escrow.put_back(now, admitted.at, 1)
 
-    # Terms and parts
-
-    def terms_change(self, version: int, changes: Iterable[TermsChange]) -> None:
-        """A newer configuration is in force."""
-        for change in changes:
-            before, after = change.before, change.after
-            if before.rate <= 0 or after.rate <= 0:
-                continue
-            parts = Quota.of(self.rule, before.rate, before.burst).parts
-            if parts != Quota.of(self.rule, after.rate, after.burst).parts:
-                self.divisions.note(change.tenant, parts, version)
-                self.divided[change.tenant] = math.inf
+    # Terms, and what is owned
 
     def _of(self, now: float, name: str, rate: float, burst: float) -> Tenant:
         tenant = self.tenants.get(name)
@@ -143,7 +128,7 @@
         elif tenant.bucket.entries != self.count:
             tenant.bucket.settle(tenant.bucket.plan, self.count)
         if tenant.table != self.holding.changes:
-            self._divide(now, tenant)
+            self._follow_table(now, tenant)
         return tenant
 
     def _begin(self, now: float, name: str, rate: float, burst: float) -> Tenant:
@@ -153,17 +138,14 @@
             rate,
             burst,
             TenantBucket(plan, self.count, now),
-            Quota.of(self.rule, rate, burst),
-            self._empty(now, name),
+            Quota.of(self.cells, rate, burst),
+            self._new_escrow(now),
             Window(self.rule.window, self.rule.window / 50),
         )
         return tenant
 
-    def _empty(self, now: float, name: str) -> Escrow:
-        """For what has come to be owned here: by the table, or as the quota is divided otherwise."""
-        divided = min(now, self.divided.get(name, -math.inf))
-        if divided > self.holding.since:
-            return Escrow(now, divided)
+    def _new_escrow(self, now: float) -> Escrow:
+        """For cells that have come to be owned here, or of a tenant that nothing is known of."""
         return Escrow(now, self.holding.since, self.holding.allowed)
 
     def _change_terms(self, now: float, tenant: Tenant, rate: float, burst: float) -> None:
@@ -172,21 +154,26 @@
         bucket.settle(api.Plan(tenant.name, rate, max(1.0, burst), excess_cost=1.0), self.count)
         bucket.rate = max(bucket.floor, min(bucket.rate * scale, rate))
         tenant.rate, tenant.burst = rate, burst
-        tenant.quota = Quota.of(self.rule, rate, burst)
-        tenant.table = -1
-
-    def _divide(self, now: float, tenant: Tenant) -> None:
-        """What is owned here of a tenant's quota."""
-        holding, quota = self.holding, tenant.quota
-        owners = holding.owners(tenant.name, quota.parts)
-        before, tenant.owned = tenant.owned, owners.pop(holding.address, 0)
-        if tenant.owned and not before:
-            tenant.escrow = self._empty(now, tenant.name)
+        tenant.quota = Quota.of(self.cells, rate, burst)
+        self._settle(now, tenant)
+
+    def _follow_table(self, now: float, tenant: Tenant) -> None:
+        """Another table may have brought cells of a tenant that had none here. What new terms bring instead is
+        in the bucket that there is: under the terms before, this process may have used it."""
+        had_none = not tenant.size.depth
+        self._settle(now, tenant)
+        if had_none and tenant.size.depth:
+            tenant.escrow = self._new_escrow(now)
+            tenant.escrow.settle(now, tenant.size)
+
+    def _settle(self, now: float, tenant: Tenant) -> None:
+        """Works out what is owned here of a tenant's quota."""
+        owners = self.holding.owners(tenant.name, tenant.quota.cells)
+        tenant.size = tenant.quota.bucket(owners.pop(self.holding.address, ()))
         tenant.lenders = sorted(owners)
-        share = tenant.owned / quota.parts
-        tenant.escrow.settle(now, quota, share * self.divisions.scale(tenant.name, quota.parts))
+        tenant.escrow.settle(now, tenant.size)
         tenant.quiet.clear()
-        tenant.table = holding.changes
+        tenant.table = self.holding.changes
 
     # What gateways ask of each other
 
@@ -256,7 +243,6 @@
         self.rated = now if rates else self.rated
         self.usage.forget_old(now)
         self.count = self.usage.count(now)
-        self._step_divisions(now)
         for name, tenant in list(self.tenants.items()):
             tenant.step(elapsed, self.usage.elsewhere(name).newest)
             if rates:
@@ -271,13 +257,3 @@
         bucket.heard(now, tenant.use / bucket.plan.rate)
         bucket.own_late = tenant.mine  # as old as the reading is
         bucket.step(now)
-
-    def _step_divisions(self, now: float) -> None:
-        for name, since in list(self.divided.items()):
-            if since == math.inf:
-                self.divided[name] = now
-            elif now - since > IDLE:
-                del self.divided[name]
-        for name in self.divisions.forget():
-            if name in self.tenants:
-                self.tenants[name].table = -1
--- a/coralvale/cluster/rate_limit/share_planner.py
+++ b/coralvale/cluster/rate_limit/share_planner.py
@@ -24,6 +24,7 @@
 LEFT = 20.0  # s after an owner has said that it ends, until its cells go to others: it may start again
 ALIVE = 30.0  # s since its newest claim for which a gateway is taken to be there
 MOST_CLAIMS = CELLS  # gateways that are known at once; further ones own nothing
+FORGET_EVERY = 1.0  # s between looks at which claims are of no use any more
 
 
 @define
@@ -42,15 +43,27 @@
     def __init__(self, table: ShareTable, now: float) -> None:
         self.table, self.since = table, now
         self.claims: dict[str, Claim] = {}
+        self.forgotten_at = now
 
     def claim(self, now: float, address: str, version: int, left: bool = False) -> None:
         """A gateway uses the cells that the table of this version gives to it, and no others. `left`: it ends,
         and uses none from now on."""
         if claim := self.claims.get(address):
             claim.at, claim.version, claim.left = now, version, left
-        elif len(self.claims) < MOST_CLAIMS:
+            return
+        if now - self.forgotten_at >= FORGET_EVERY:
+            self._forget(now)
+        if len(self.claims) < MOST_CLAIMS:
             self.claims[address] = Claim(now, now, version, left)
 
+    def _forget(self, now: float) -> None:
+        """Of gateways that are gone and own nothing: what they said last is of no use any more."""
+        self.forgotten_at = now
+        needed = {*self.table.owners, *(move.to for move in self.table.moves.values())}
+        gone = [name for name in self.claims if name not in needed and not self._is_there(now, name)]
+        for name in gone:
+            del self.claims[name]
+
     def next_change(self, now: float) -> ShareChange | None:
         """None: the table is as it should be, as far as is known."""
         by_owner = self.table.cells_by_owner()
--- a/coralvale/cluster/rate_limit/tenant.py
+++ b/coralvale/cluster/rate_limit/tenant.py
@@ -9,7 +9,7 @@
 
 from coralvale import interface as api
 from coralvale.cluster.rate_limit.escrow import Escrow, Stock, Taken
-from coralvale.cluster.rate_limit.quota import Quota
+from coralvale.cluster.rate_limit.quota import NOTHING, BucketSize, Quota
 from coralvale.cluster.rate_limit.usage import PERIOD, Window
 from coralvale.restrictor import Restrictor
 
@@ -57,10 +57,9 @@
     quota: Quota
     escrow: Escrow
     window: Window  # of what was let through here
-    table: int = -1  # the holding's change that `owned` and `lenders` are worked out from
-    owned: int = 0  # parts
+    table: int = -1  # the holding's change that `size` and `lenders` are worked out from
+    size: BucketSize = NOTHING  # of what is owned here
     lenders: list[str] = field(factory=list)  # other owners
-    before: list[Quota] = field(factory=list)  # quotas that other gateways may go by still
     stock: Stock = field(factory=Stock)
     waiting: deque[Waiter] = field(factory=deque)
     ask: Ask | None = None  # the one whose answer is awaited
--- a/coralvale/cluster/rate_limit/usage.py
+++ b/coralvale/cluster/rate_limit/usage.py
@@ -129,13 +129,11 @@
         """Whether each gateway that is known of has told its use."""
         return all(o.spoke or o.left for o in self.others.values())
 
-    def version_of(self, name: str) -> int:
-        """Of the configuration that a gateway told last."""
-        other = self.others.get(name)
-        return other.version if other else 0
-
     def forget_old(self, now: float) -> None:
-        """What was told longer ago than the window is in no window any more."""
+        """What was told longer ago than the window is in no window any more; who has not been heard of for
+        much longer is gone, and makes room for others."""
+        for name in [n for n, other in self.others.items() if now - other.heard > KEPT_FOR and not other.use]:
+            del self.others[name]
         for other in self.others.values():
             if other.use and now - other.heard > self.window:
                 for tenant in list(other.use):
--- a/coralvale/cluster/share_desk.py
+++ b/coralvale/cluster/share_desk.py
@@ -82,7 +82,15 @@
         if change := self.table.deliver(body):
             if change.allowance == SPEND:
                 self._spent(now)
-            self.gained |= {given.address: now for given in change.owners}
+            self._note_gains(now, change)
+
+    def _note_gains(self, now: float, change: ShareChange) -> None:
+        """Since when owners have owned all that they own; of those that own nothing any more it is forgotten."""
+        if not change.owners:
+            return
+        owners = set(self.table.owners)
+        gained = self.gained | {given.address: now for given in change.owners}
+        self.gained = {address: since for address, since in gained.items() if address in owners}
 
     def _spent(self, now: float) -> None:
         """By the leader that had it spent: what it gives, it gives for a while, and to each address once."""
--- a/tests/cluster/test_quota_shares.py
+++ b/tests/cluster/test_quota_shares.py
@@ -10,7 +10,7 @@
 from quota_world import RULE, Core
 
 from coralvale.cluster.configuration.history import ChangeHistory
-from coralvale.cluster.rate_limit.share_planner import GATHER, LEFT, MOST_CLAIMS, SharePlanner
+from coralvale.cluster.rate_limit.share_planner import ALIVE, GATHER, LEFT, MOST_CLAIMS, SharePlanner
 from coralvale.cluster.rate_limit.shares import (
     CELLS,
     NOBODY,
@@ -137,6 +137,30 @@
     assert NOBODY not in sizes(planner.table)
 
 
+def test_ten_thousand_addresses_one_after_another_leave_nothing_behind() -> None:
+    """The leader knew the first 4,096 addresses of its life for good: gateways after those owned nothing."""
+    made, now = Core(0.0), 0.0
+    made.claim(0.0, ShareClaim(1, "stays", 0))
+    made.tick(2 * GATHER)
+    version = made.table.version
+    for n in range(10_000):
+        now = 10.0 + n * 4 * ALIVE / 1000
+        made.claim(now, ShareClaim(2 + n, f"a{n}", version))
+        if n % 1000 == 0:
+            made.claim(now, ShareClaim(20_000 + n, "stays", made.table.version))
+    planner = made.desk.planner
+    assert planner and len(planner.claims) <= 2 * 1000 and "stays" in planner.claims
+    for step in range(10):  # one more, and all that there is to do for it
+        for name in ("stays", "last"):
+            made.claim(now + step, ShareClaim(40_000 + step, name, made.table.version))
+        made.tick(now + step)
+    assert sizes(made.table)["last"] > CELLS // 1000
+    made.desk.deliver(
+        now + 20, pack_change(ShareChange(made.table.version, (CellsOf("one", tuple(range(CELLS))),)))
+    )
+    assert set(made.desk.gained) == {"one"}
+
+
 def test_a_change_made_for_another_version_has_no_effect() -> None:
     table = even_table(["a", "b"])
     before = table.image()
