--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -28,8 +28,6 @@
 from pathlib import Path
 from typing import Any
 
-from coralvale.cluster.census import register as census
-from coralvale.cluster.census.register import Register, Row
 from coralvale.cluster.configuration.history import Change, ChangeHistory, pack
 from coralvale.cluster.configuration.model import Configuration, survey
 from coralvale.cluster.gates.node import GatewayNode
@@ -42,6 +40,8 @@
 from coralvale.cluster.rate_limit.share_planner import SharePlanner
 from coralvale.cluster.rate_limit.shares import ShareTable, even_table
 from coralvale.cluster.rate_limit.usage import PERIOD
+from coralvale.cluster.registry import register as registry
+from coralvale.cluster.registry.register import Register, Row
 from coralvale.cluster.settings import parse
 from coralvale.members.model import Member, State, Update
 from coralvale.members.swim import Known
@@ -198,7 +198,7 @@
 
 
 def register_of(count: int) -> Register:
-    census.MOST = max(census.MOST, count + 1)
+    registry.MOST = max(registry.MOST, count + 1)
     made = Register(1.5)
     for n in range(count):
         made.take(
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -29,7 +29,6 @@
 
 from coralvale import Gateway
 from coralvale import interface as api
-from coralvale.cluster.census.register import Register, Row
 from coralvale.cluster.configuration.history import Change, ChangeHistory, pack
 from coralvale.cluster.configuration.model import Configuration, survey
 from coralvale.cluster.gates.carts import EVERY, Cart
@@ -48,6 +47,7 @@
 from coralvale.cluster.rate_limit.limiter import RateLimiter
 from coralvale.cluster.rate_limit.quota import Rule
 from coralvale.cluster.rate_limit.usage import PERIOD
+from coralvale.cluster.registry.register import Register, Row
 from coralvale.cluster.settings import Bounds
 from coralvale.standins.cluster import LocalCluster, configuration
 
--- a/coralvale/cluster/gates/arrivals.py
+++ b/coralvale/cluster/gates/arrivals.py
@@ -8,7 +8,6 @@
 
 import msgspec
 
-from coralvale.cluster.census.register import Register, Row, gone
 from coralvale.cluster.events import Event, tell
 from coralvale.cluster.gates.core import Core
 from coralvale.cluster.gates.ground import Ground
@@ -16,6 +15,7 @@
 from coralvale.cluster.gates.there import There
 from coralvale.cluster.gates.words import Pull, Rows, encode
 from coralvale.cluster.rate_limit.usage import MOST, PERIOD
+from coralvale.cluster.registry.register import Register, Row, gone
 
 DRAINED = 0.75  # s that gateways are given to note that a host leaves
 KEEP_HOSTS = 1.0  # s between looks whether the register on disk is old
--- a/coralvale/cluster/gates/core.py
+++ b/coralvale/cluster/gates/core.py
@@ -9,7 +9,6 @@
 from concurrent.futures import ThreadPoolExecutor
 
 from coralvale.cluster.bootstrap.founding import Founding
-from coralvale.cluster.census.register import Row
 from coralvale.cluster.configuration.history import Change, ChangeHistory
 from coralvale.cluster.configuration.model import Configuration
 from coralvale.cluster.consensus import messages as consensus
@@ -19,6 +18,7 @@
 from coralvale.cluster.gates.words import ConsensusMessage, Nominate, Nominee
 from coralvale.cluster.orders import OrderAnswer, OrderDesk
 from coralvale.cluster.rate_limit.shares import ShareTable
+from coralvale.cluster.registry.register import Row
 from coralvale.cluster.share_desk import ShareAnswer, ShareClaim, ShareDesk
 from coralvale.cluster.storage.store import Damaged, Store, StoreError, set_aside
 
--- a/coralvale/cluster/gates/ctl.py
+++ b/coralvale/cluster/gates/ctl.py
@@ -10,9 +10,9 @@
 
 import msgspec
 
-from coralvale.cluster.census.register import Row, State
 from coralvale.cluster.configuration.history import Change
 from coralvale.cluster.errors import Kind, Problem
+from coralvale.cluster.registry.register import Row, State
 from coralvale.cluster.settings import address
 from coralvale.net.clock import Clock
 from coralvale.net.config import Address
--- a/coralvale/cluster/gates/figures.py
+++ b/coralvale/cluster/gates/figures.py
@@ -13,7 +13,7 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily
 from prometheus_client.exposition import CONTENT_TYPE_LATEST, generate_latest
 
-from coralvale.cluster.blight.watch import Verdict
+from coralvale.cluster.host_health.watch import Verdict
 from coralvale.net.clock import Clock
 from coralvale.net.config import Address
 from coralvale.net.server import Bounds, Exchange, Server
--- a/coralvale/cluster/gates/node.py
+++ b/coralvale/cluster/gates/node.py
@@ -8,7 +8,6 @@
 import signal
 from pathlib import Path
 
-from coralvale.cluster.census.register import Register, Row
 from coralvale.cluster.configuration.history import Change
 from coralvale.cluster.events import Event, tell
 from coralvale.cluster.gates.arrivals import Arrivals
@@ -43,6 +42,7 @@
 from coralvale.cluster.rate_limit.quota import Rule
 from coralvale.cluster.regions import Regions
 from coralvale.cluster.regions import read as read_regions
+from coralvale.cluster.registry.register import Register, Row
 from coralvale.cluster.settings import Settings, SettingsError, address, read
 from coralvale.members import wire as swim_wire
 from coralvale.members.model import MembersError
--- a/coralvale/cluster/gates/tidings.py
+++ b/coralvale/cluster/gates/tidings.py
@@ -9,7 +9,6 @@
 
 import msgspec
 
-from coralvale.cluster.blight.watch import Change as Verdict
 from coralvale.cluster.events import Event, tell
 from coralvale.cluster.gates import carts, quotas
 from coralvale.cluster.gates.arrivals import Arrivals
@@ -18,9 +17,9 @@
 from coralvale.cluster.gates.core import Core
 from coralvale.cluster.gates.ground import Ground
 from coralvale.cluster.gates.peers import (
-    BLIGHT,
     CARRIED,
     CARRY,
+    HEALTH,
     LIFE,
     LINK_SHARE,
     LOAD,
@@ -39,14 +38,15 @@
     decode_rows,
     decode_word,
     encode,
-    pack_blight,
+    pack_health,
     pack_out,
     pack_use,
-    unpack_blight,
+    unpack_health,
     unpack_out,
     unpack_use,
 )
 from coralvale.cluster.harvest.copies import SOON, Copies
+from coralvale.cluster.host_health.watch import Change as Verdict
 from coralvale.cluster.rate_limit.limiter import RateLimiter
 from coralvale.cluster.rate_limit.usage import MOST, PERIOD
 from coralvale.members import wire as swim_wire
@@ -58,7 +58,7 @@
 OUT_BYTES = 70  # of one, with its heads
 CARRIED_OUT_BYTES = 25  # of one that is joined to others
 CARRIED_OUT_EVERY = 0.1  # s between them, at the least
-TOLD = (WORD, OUT, BLIGHT)  # kinds that carriers bring
+TOLD = (WORD, OUT, HEALTH)  # kinds that carriers bring
 NEAR_ONLY = (OUT,)  # links between zones are dear: there, what is out is told in the other words
 CORE_NEWS = 2.0  # s for which a change of the core is told in each word
 
@@ -107,7 +107,7 @@
                 pack_use(use),
                 whole,
                 self.register.told(),
-                pack_blight(self.copies.watch.say(now)),
+                pack_health(self.copies.watch.say(now)),
                 pack_out(self.copies.out()) if self.out_in_words else None,
                 carries,
                 self.ground.settings.Region if whole else "",
@@ -146,7 +146,7 @@
             # no later.
             if self.copies.watch.news and (carried or not large) and now - ill_at >= SOON:
                 ill_at = now
-                self.tell_all(BLIGHT, pack_blight(self.copies.watch.say(now)))
+                self.tell_all(HEALTH, pack_health(self.copies.watch.say(now)))
             await asyncio.sleep(every)
 
     def tell_all(self, kind: bytes, data: bytes) -> None:
@@ -255,9 +255,9 @@
                 self.arrivals.note(decode_rows(body).rows)
             except msgspec.MsgspecError:
                 return
-        elif kind == BLIGHT:
+        elif kind == HEALTH:
             try:
-                self.tell_health(self.copies.hear_blight(now, ip, unpack_blight(body)))
+                self.tell_health(self.copies.hear_health(now, ip, unpack_health(body)))
             except struct.error:
                 return
         elif kind == WORD:
@@ -282,7 +282,7 @@
         self.carriers.hear(now, ip, word.carries)
         self.limiter.usage.hear(now, ip, unpack_use(word.use, self.changes.tenants), word.whole, word.version)
         self.shares.heard(word.shares)
-        self.tell_health(self.copies.hear_blight(now, ip, unpack_blight(word.blight)))
+        self.tell_health(self.copies.hear_health(now, ip, unpack_health(word.health)))
         if word.out is not None:
             self.copies.hear(now, ip, unpack_out(word.out))
         unknown = self.register.beats(now, word.beats)
--- a/coralvale/cluster/gates/words.py
+++ b/coralvale/cluster/gates/words.py
@@ -12,16 +12,16 @@
 
 import msgspec
 
-from coralvale.cluster.blight.watch import Row as Row_
-from coralvale.cluster.census.register import Row
 from coralvale.cluster.configuration.history import Change, News
 from coralvale.cluster.consensus.messages import Member, Message
+from coralvale.cluster.host_health.watch import Row as Row_
 from coralvale.cluster.rate_limit.usage import Use
+from coralvale.cluster.registry.register import Row
 
 FRAME = struct.Struct("!I")
 MOST = 96 * 1024 * 1024  # bytes of a frame
 MOST_USE = 160  # tenants in one word: what fits a datagram beside the rest
-MOST_BLIGHT = 24  # lives in one word
+MOST_HEALTH_ROWS = 24  # lives in one word
 MOST_OUT = 250  # copies in one word of what is out: what fits a datagram
 
 
@@ -153,7 +153,7 @@
     use: bytes = b""  # of tenants' quotas: `pack_use`
     whole: bool = True  # it tells of all tenants; else of those of whom there is news
     beats: list[tuple[str, int]] = []
-    blight: bytes = b""  # of lives of which something ill came: `pack_blight`
+    health: bytes = b""  # of lives of which something ill came: `pack_health`
     out: bytes | None = (
         None  # in a large fleet without carriers, what is out at copies: `pack_out`; else it has own words
     )
@@ -172,7 +172,7 @@
 
 OUT = struct.Struct("!IB")
 USE = struct.Struct("!IHB")
-BLIGHT = struct.Struct("!IBB")
+HEALTH = struct.Struct("!IBB")
 
 
 def pack_out(out: list[tuple[int, int]]) -> bytes:
@@ -192,15 +192,15 @@
     return {names[mark]: (w, p) for mark, w, p in USE.iter_unpack(data) if mark in names}
 
 
-def pack_blight(rows: list[Row_]) -> bytes:
+def pack_health(rows: list[Row_]) -> bytes:
     """Lives by what stands for them, what was well and ill: six bytes each, the most ill first."""
-    rows = sorted(rows, key=lambda row: -row[2])[:MOST_BLIGHT]
-    return b"".join([BLIGHT.pack(m, min(255, w), min(255, i)) for m, w, i in rows])
+    rows = sorted(rows, key=lambda row: -row[2])[:MOST_HEALTH_ROWS]
+    return b"".join([HEALTH.pack(m, min(255, w), min(255, i)) for m, w, i in rows])
 
 
-def unpack_blight(data: bytes) -> list[Row_]:
+def unpack_health(data: bytes) -> list[Row_]:
     """Raises struct.error for what is no such word."""
-    return list(BLIGHT.iter_unpack(data))
+    return list(HEALTH.iter_unpack(data))
 
 
 def unpack_out(data: bytes) -> list[tuple[int, int]]:
--- a/coralvale/cluster/harvest/copies.py
+++ b/coralvale/cluster/harvest/copies.py
@@ -12,9 +12,9 @@
 from collections.abc import Iterable
 
 from coralvale import interface as api
-from coralvale.cluster.blight.watch import Change, Watch
-from coralvale.cluster.census.register import Life, Register, State
 from coralvale.cluster.harvest.home import Home
+from coralvale.cluster.host_health.watch import Change, Watch
+from coralvale.cluster.registry.register import Life, Register, State
 from coralvale.health import Host
 
 DRAWN = (
@@ -214,7 +214,7 @@
         for known in self.copies.values():
             known.recent, known.picked = FADE * known.recent + known.picked, 0
 
-    def hear_blight(self, now: float, gateway: str, rows: list[tuple[int, int, int]]) -> list[Change]:
+    def hear_health(self, now: float, gateway: str, rows: list[tuple[int, int, int]]) -> list[Change]:
         """What another gateway has found; where it is ill of something, verdicts come soon, not with the next
         word."""
         self.watch.hear(now, gateway, rows)
--- a/coralvale/cluster/blight/watch.py
+++ b/coralvale/cluster/host_health/watch.py
@@ -1,4 +1,4 @@
-"""The blight watch: evidence of all gateways on each life of a host, and one verdict of it, the same at all.
+"""The health watch: evidence of all gateways on each life of a host, and one verdict of it, the same at all.
 
 One gateway of many sends a copy too little to tell a bad answer from a bad copy. Each tells the others, in
 its words, of the lives of which something ill has come lately: how much was well and how much ill within a
--- a/coralvale/cluster/storage/store.py
+++ b/coralvale/cluster/storage/store.py
@@ -15,9 +15,9 @@
 
 import msgspec
 
-from coralvale.cluster.census.register import Row
 from coralvale.cluster.consensus.messages import Entry, Snapshot, Write
 from coralvale.cluster.consensus.state import DurableState
+from coralvale.cluster.registry.register import Row
 
 NAME = "orchard.sqlite"
 # Of the tables; a newer program reads older ones, and refuses what is newer than itself. 2: entries may begin
--- a/coralvale/lab/souring.py
+++ b/coralvale/lab/souring.py
@@ -24,10 +24,9 @@
 import cattrs
 from attrs import define, field, frozen
 
-from coralvale.cluster.census.register import Register, Row
 from coralvale.cluster.configuration.model import Configuration, survey
 from coralvale.cluster.errors import Problem
-from coralvale.cluster.gates.words import pack_blight, pack_out, unpack_blight, unpack_out
+from coralvale.cluster.gates.words import pack_health, pack_out, unpack_health, unpack_out
 from coralvale.cluster.harvest.copies import Copies, Copy
 from coralvale.cluster.harvest.home import Home
 from coralvale.cluster.harvest.way import Harvest, Job
@@ -35,6 +34,7 @@
 from coralvale.cluster.rate_limit.quota import Rule
 from coralvale.cluster.rate_limit.shares import even_table
 from coralvale.cluster.rate_limit.usage import PERIOD
+from coralvale.cluster.registry.register import Register, Row
 from coralvale.cluster.settings import Bounds
 from coralvale.interface import Outcome
 from coralvale.lab.model import LabError
@@ -406,11 +406,11 @@
         gateway.copies.fade()
         for change in gateway.copies.weigh(now):
             self.figures[f"verdicts {change.after.name.lower()}"] += 1
-        self._tell_blight(gateway)
+        self._tell_health_report(gateway)
         self.engine.later(PERIOD, self._word, gateway)
 
-    def _tell_blight(self, gateway: Gateway) -> None:
-        data = pack_blight(gateway.copies.watch.say(self.engine.clock))
+    def _tell_health_report(self, gateway: Gateway) -> None:
+        data = pack_health(gateway.copies.watch.say(self.engine.clock))
         if self.alone:
             return
         for other in self.gateways:
@@ -420,7 +420,7 @@
                 self.engine.later(late, self._heard, other, gateway.name, data)
 
     def _heard(self, gateway: Gateway, reporter: str, data: bytes) -> None:
-        for change in gateway.copies.hear_blight(self.engine.clock, reporter, unpack_blight(data)):
+        for change in gateway.copies.hear_health(self.engine.clock, reporter, unpack_health(data)):
             self.figures[f"verdicts {change.after.name.lower()}"] += 1
 
     def _out(self, gateway: Gateway) -> None:
@@ -429,7 +429,7 @@
             if other is not gateway and self.chance.random() >= WORD_LOST:
                 self.engine.later(self.day.way, self._heard_out, other, gateway.name, data)
         if gateway.copies.watch.news:
-            self._tell_blight(gateway)
+            self._tell_health_report(gateway)
         self.engine.later(OUT_EVERY, self._out, gateway)
 
     def _heard_out(self, gateway: Gateway, reporter: str, data: bytes) -> None:
--- a/tests/cluster/test_carts.py
+++ b/tests/cluster/test_carts.py
@@ -9,7 +9,6 @@
 from pathlib import Path
 from typing import Any
 
-from coralvale.cluster.census.register import PARTS, Register, Row, part
 from coralvale.cluster.configuration.model import Configuration, survey
 from coralvale.cluster.gates import carts
 from coralvale.cluster.gates.arrivals import DIFFERS
@@ -19,6 +18,7 @@
 from coralvale.cluster.gates.tidings import NEAR_ONLY
 from coralvale.cluster.gates.words import Word, encode, pack_out
 from coralvale.cluster.rate_limit.usage import PERIOD
+from coralvale.cluster.registry.register import PARTS, Register, Row, part
 from coralvale.cluster.settings import parse
 from coralvale.members.model import Member, State, Update
 from coralvale.members.swim import Known
--- a/tests/cluster/test_edge.py
+++ b/tests/cluster/test_edge.py
@@ -11,7 +11,6 @@
 from quota_world import alone
 from test_configuration import WHOLE, changed
 
-from coralvale.cluster.census.register import Register, Row
 from coralvale.cluster.configuration.model import Configuration, survey
 from coralvale.cluster.gates.edge import Edge, EdgeServer
 from coralvale.cluster.gates.hosts import Hosts
@@ -19,6 +18,7 @@
 from coralvale.cluster.harvest.way import Harvest
 from coralvale.cluster.rate_limit.actions import Admitted, AskTokens, Decided, Source
 from coralvale.cluster.rate_limit.shares import ShareTable, even_table
+from coralvale.cluster.registry.register import Register, Row
 from coralvale.cluster.settings import Bounds
 from coralvale.net.clock import Clock
 from coralvale.net.transport import Attempt
--- a/tests/cluster/test_grown.py
+++ b/tests/cluster/test_grown.py
@@ -8,12 +8,20 @@
 
 from test_edge import BOOK, READ, Scene, next_of, play, reply
 
-from coralvale.cluster.census.register import Register, Row
-from coralvale.cluster.gates.words import MOST_BLIGHT, MOST_OUT, Word, encode, pack_blight, pack_out, pack_use
+from coralvale.cluster.gates.words import (
+    MOST_HEALTH_ROWS,
+    MOST_OUT,
+    Word,
+    encode,
+    pack_health,
+    pack_out,
+    pack_use,
+)
 from coralvale.cluster.harvest.copies import Copies
 from coralvale.cluster.rate_limit.actions import Admitted, Source
 from coralvale.cluster.rate_limit.limiter import RateLimiter
 from coralvale.cluster.rate_limit.quota import Rule
+from coralvale.cluster.registry.register import Register, Row
 from coralvale.standins.wire import answer
 
 DATAGRAM = 1472  # bytes that go through in one piece
@@ -145,7 +153,7 @@
         use, whole = limiter.told(1.0)
         assert whole
         beats = [(f"i-{n:08x}", n) for n in range(4)]  # those heard here in half a second: not of the fleet
-        blight = pack_blight([(n, 9, 3) for n in range(200)])
+        health = pack_health([(n, 9, 3) for n in range(200)])
         word = Word(
             7,
             1 << 31,
@@ -155,9 +163,9 @@
             pack_use(use),
             True,
             beats,
-            blight,
+            health,
         )
         sizes[gateways] = len(encode(word))
     assert max(sizes.values()) <= DATAGRAM, sizes
     assert len(pack_out([(n, 3) for n in range(2000)])) <= 5 * MOST_OUT <= DATAGRAM
-    assert len(pack_blight([(n, 9, 3) for n in range(200)])) == 6 * MOST_BLIGHT
+    assert len(pack_health([(n, 9, 3) for n in range(200)])) == 6 * MOST_HEALTH_ROWS
--- a/tests/cluster/test_harvest.py
+++ b/tests/cluster/test_harvest.py
@@ -8,12 +8,12 @@
 from quota_world import alone
 from test_configuration import changed
 
-from coralvale.cluster.census.register import Register, Row
 from coralvale.cluster.configuration.model import Configuration, Part, Route, survey
 from coralvale.cluster.errors import ANSWERS, Kind, Problem, Promise
 from coralvale.cluster.harvest.copies import Copies, Copy
 from coralvale.cluster.harvest.tries import ENDS
 from coralvale.cluster.harvest.way import Harvest, Job
+from coralvale.cluster.registry.register import Register, Row
 from coralvale.cluster.settings import Bounds
 from coralvale.interface import Outcome
 
--- a/tests/cluster/test_home.py
+++ b/tests/cluster/test_home.py
@@ -19,13 +19,13 @@
 from test_configuration import ROUTE, changed
 
 from coralvale.cluster import commands
-from coralvale.cluster.census.register import Register, Row
 from coralvale.cluster.configuration.model import Configuration, survey
 from coralvale.cluster.errors import ANSWERS, Kind, Problem, Promise
 from coralvale.cluster.harvest.copies import Copies
 from coralvale.cluster.harvest.home import Home
 from coralvale.cluster.harvest.way import Harvest, Job
 from coralvale.cluster.regions import parse
+from coralvale.cluster.registry.register import Register, Row
 from coralvale.cluster.settings import Bounds, SettingsError
 
 REGIONS = ("coast", "delta", "hills")
--- a/tests/cluster/test_blight.py
+++ b/tests/cluster/test_host_health.py
@@ -4,10 +4,10 @@
 
 import random
 
-from coralvale.cluster.blight.watch import HOLD, Verdict, Watch, lower_bound
-from coralvale.cluster.blight.watch import Row as Told
-from coralvale.cluster.census.register import Register, Row
 from coralvale.cluster.harvest.copies import Copies, mark
+from coralvale.cluster.host_health.watch import HOLD, Verdict, Watch, lower_bound
+from coralvale.cluster.host_health.watch import Row as Told
+from coralvale.cluster.registry.register import Register, Row
 
 LIVES = {"s": set(range(10)), "t": set(range(10, 14))}
 
@@ -138,13 +138,13 @@
         register.take(0.0, Row(f"i-{n}", "s", "10.0.0.1", 80 + n, "z", "v", 4, 0, 0.0, 1))
     copies = Copies(register, "z", random.Random(1))
     bad = mark("i-2")
-    found = [copies.hear_blight(1.0 + n / 25, f"g{n}", [(bad, 0, 2)]) for n in range(4)]
+    found = [copies.hear_health(1.0 + n / 25, f"g{n}", [(bad, 0, 2)]) for n in range(4)]
     assert [bool(f) for f in found] == [False, False, False, True]  # weighed at once, and 0.1 s later
     assert copies.watch.verdict(bad) is Verdict.SOUR
-    assert copies.hear_blight(9.0, "g1", [(bad, 5, 0)]) == []  # nothing ill: the next word is soon enough
+    assert copies.hear_health(9.0, "g1", [(bad, 5, 0)]) == []  # nothing ill: the next word is soon enough
     copies.weigh(9.0)
     for n in range(50):  # in a large fleet each look costs more, and comes less often
-        assert not copies.hear_blight(9.0 + n / 100, f"h{n}", [(mark("i-3"), 0, 2)])
+        assert not copies.hear_health(9.0 + n / 100, f"h{n}", [(mark("i-3"), 0, 2)])
     assert copies.watch.verdict(mark("i-3")) is Verdict.WELL
     copies.weigh(9.5)
     assert copies.watch.verdict(mark("i-3")) is Verdict.SOUR
--- a/tests/cluster/test_power.py
+++ b/tests/cluster/test_power.py
@@ -19,10 +19,10 @@
 import apsw
 import pytest
 
-from coralvale.cluster.census.register import Row
 from coralvale.cluster.consensus import messages as m
 from coralvale.cluster.consensus.replica import DurableState
 from coralvale.cluster.consensus.voters import pack_voters
+from coralvale.cluster.registry.register import Row
 from coralvale.cluster.storage.store import NAME, Store
 
 Operation = tuple[str, str, int, bytes]  # what, file, where, bytes
--- a/tests/cluster/test_readers.py
+++ b/tests/cluster/test_readers.py
@@ -13,7 +13,6 @@
 from hypothesis import strategies as st
 from test_configuration import WHOLE
 
-from coralvale.cluster.census.register import Row
 from coralvale.cluster.configuration.history import Change, ChangeHistory
 from coralvale.cluster.configuration.model import Configuration, survey
 from coralvale.cluster.errors import Problem
@@ -28,13 +27,14 @@
     decode_word,
     encode,
     framed,
-    pack_blight,
+    pack_health,
     pack_out,
     pack_use,
-    unpack_blight,
+    unpack_health,
     unpack_out,
     unpack_use,
 )
+from coralvale.cluster.registry.register import Row
 from coralvale.cluster.settings import Settings, SettingsError, parse
 from coralvale.standins.cluster import settings as settings_text
 
@@ -99,7 +99,7 @@
 def test_datagrams_that_are_anything(data: bytes) -> None:
     with contextlib.suppress(msgspec.MsgspecError):
         assert isinstance(decode_word(data), Word)
-    for unpack in (unpack_out, unpack_blight, lambda d: unpack_use(d, {1: "a"})):
+    for unpack in (unpack_out, unpack_health, lambda d: unpack_use(d, {1: "a"})):
         try:
             assert unpack(data) is not None
         except struct.error:
@@ -113,7 +113,7 @@
     assert unpack_out(pack_out([(n, 300) for n in range(250)]))[7] == (7, 255)
     assert len(pack_out([(n, 1) for n in range(9000)])) <= 1400
     rows = [(n, 300, n) for n in range(100)]
-    assert unpack_blight(pack_blight(rows))[0] == (99, 255, 99) and len(pack_blight(rows)) <= 200
+    assert unpack_health(pack_health(rows))[0] == (99, 255, 99) and len(pack_health(rows)) <= 200
     word = Word(1 << 40, 1 << 32, 1 << 20, "10.100.100.100", ("10.100.100.100",) * 9, pack_use(use))
     assert len(encode(word)) < 1400
 
--- a/tests/cluster/test_census.py
+++ b/tests/cluster/test_registry.py
@@ -6,7 +6,7 @@
 
 from msgspec.structs import replace
 
-from coralvale.cluster.census.register import FORGOTTEN, Register, Row, State
+from coralvale.cluster.registry.register import FORGOTTEN, Register, Row, State
 
 BEAT = 1.5
 
--- a/tests/cluster/test_spread.py
+++ b/tests/cluster/test_spread.py
@@ -11,13 +11,13 @@
 import pytest
 from msgspec.structs import replace
 
-from coralvale.cluster.census.register import Register, Row, gone
 from coralvale.cluster.gates import tidings
 from coralvale.cluster.gates.hosts import Hosts
 from coralvale.cluster.gates.node import GatewayNode
 from coralvale.cluster.gates.peers import LIFE
 from coralvale.cluster.gates.there import TALKS
 from coralvale.cluster.gates.words import Noted, Word
+from coralvale.cluster.registry.register import Register, Row, gone
 from coralvale.cluster.settings import parse
 from coralvale.members.model import Member, State, Update
 from coralvale.members.swim import Known
--- a/tests/cluster/test_storage.py
+++ b/tests/cluster/test_storage.py
@@ -12,10 +12,10 @@
 from test_configuration import WHOLE, body
 
 from coralvale.cluster import commands
-from coralvale.cluster.census.register import Row
 from coralvale.cluster.configuration.history import Change, pack
 from coralvale.cluster.consensus import messages as m
 from coralvale.cluster.consensus.voters import pack_voters
+from coralvale.cluster.registry.register import Row
 from coralvale.cluster.storage.keeper import KeeperError, export, look, restore
 from coralvale.cluster.storage.store import NAME, Store, StoreError
 
