--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -41,13 +41,13 @@
     OUT_SHARE,
 )
 from coralvale.cluster.gates.words import Word, encode, pack_out, pack_use
-from coralvale.cluster.harvest.copies import Copies, Copy
-from coralvale.cluster.harvest.home import Home
-from coralvale.cluster.harvest.way import Harvest, Job
 from coralvale.cluster.rate_limit.limiter import RateLimiter
 from coralvale.cluster.rate_limit.quota import Rule
 from coralvale.cluster.rate_limit.usage import PERIOD
 from coralvale.cluster.registry.register import Register, Row
+from coralvale.cluster.routing.copies import Copies, Copy
+from coralvale.cluster.routing.home import Home
+from coralvale.cluster.routing.router import Job, Router
 from coralvale.cluster.settings import Bounds
 from coralvale.standins.cluster import LocalCluster, configuration
 
@@ -91,13 +91,13 @@
     limiter.holding.own_all()
     home = Home("home", {"z": "home"})
     home.heard = 1e18
-    harvest = Harvest(Bounds(RetryExtra=64), Copies(register, "z", chance, home), limiter, chance)
+    router = Router(Bounds(RetryExtra=64), Copies(register, "z", chance, home), limiter, chance)
     text = config(12)
     if bound:
         text["Svcs"]["s"]["Region"] = "home"
     configuration = survey(text, Configuration())
     assert isinstance(configuration, Configuration)
-    harvest.take_configuration(configuration)
+    router.take_configuration(configuration)
 
     def request() -> None:
         now[0] += 0.02
@@ -105,12 +105,12 @@
             limiter.step(now[0])
             limiter.told(now[0])
         if home.routes:  # as the shell does, once the head is there
-            harvest.head(now[0], "a.example", "/p3/x")
-        job = harvest.enter(now[0], b"id", "a.example", "/p3/x", "k3", 1.5)
+            router.head(now[0], "a.example", "/p3/x")
+        job = router.enter(now[0], b"id", "a.example", "/p3/x", "k3", 1.5)
         assert isinstance(job, Job)
-        copy = harvest.pick(now[0], job)
+        copy = router.pick(now[0], job)
         assert isinstance(copy, Copy)
-        harvest.ended(now[0] + 0.1, job, copy, 1, api.Outcome.OK, 200, 0.1)
+        router.ended(now[0] + 0.1, job, copy, 1, api.Outcome.OK, 200, 0.1)
 
     return request
 
--- a/coralvale/cluster/gates/changes.py
+++ b/coralvale/cluster/gates/changes.py
@@ -18,7 +18,7 @@
 from coralvale.cluster.gates.ground import Ground
 from coralvale.cluster.gates.peers import Frames
 from coralvale.cluster.gates.words import Ask, Call, Reply, Told
-from coralvale.cluster.harvest.way import Harvest
+from coralvale.cluster.routing.router import Router
 from coralvale.net.server import Bounds as ClientBounds
 
 ASK_FOR = 1.0  # s for which a question for news is kept when there is none
@@ -29,12 +29,10 @@
 
 
 class Changes:
-    def __init__(
-        self, ground: Ground, harvest: Harvest, bound_clients: Callable[[ClientBounds], None]
-    ) -> None:
+    def __init__(self, ground: Ground, router: Router, bound_clients: Callable[[ClientBounds], None]) -> None:
         """`bound_clients`: with the limits of a configuration that comes into force."""
-        self.ground, self.harvest, self.bound_clients = ground, harvest, bound_clients
-        self.home = harvest.home
+        self.ground, self.router, self.bound_clients = ground, router, bound_clients
+        self.home = router.home
         self.core: Core
         self.configuration = Configuration()
         self.tenants: dict[int, str] = {}  # by what stands for them in words
@@ -42,7 +40,7 @@
 
     def in_force(self, configuration: Configuration) -> None:
         """Swapped whole; one that is not newer is passed over."""
-        if not self.harvest.take_configuration(configuration):
+        if not self.router.take_configuration(configuration):
             return
         self.configuration = configuration
         self.tenants = {crc32(name.encode()): name for name in configuration.tenants()}
--- a/coralvale/cluster/gates/edge.py
+++ b/coralvale/cluster/gates/edge.py
@@ -1,4 +1,4 @@
-"""The clients' gate: reads requests, carries tries to hosts, writes answers. `harvest` decides."""
+"""The clients' gate: reads requests, carries tries to hosts, writes answers. `routing` decides."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 from coralvale.cluster.errors import Problem
 from coralvale.cluster.events import Event, Told, tell
 from coralvale.cluster.gates.hosts import HostAnswer, HostAttempt, Hosts
-from coralvale.cluster.harvest.copies import Copy
-from coralvale.cluster.harvest.way import Harvest, Job
 from coralvale.cluster.rate_limit.actions import Decided
+from coralvale.cluster.routing.copies import Copy
+from coralvale.cluster.routing.router import Job, Router
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
 from coralvale.net.config import Address
@@ -66,12 +66,12 @@
         self.edge = edge
 
     def turned_away_by_head(self, exchange: Exchange) -> int:
-        harvest = self.edge.harvest
-        if not harvest.home.routes:
+        router = self.edge.router
+        if not router.home.routes:
             return 0
         host = exchange.fields.get(b"host", b"").decode("latin-1").partition(":")[0].lower()
         path = exchange.target.partition(b"?")[0].decode("latin-1")
-        problem = harvest.head(self.edge.clock.monotonic(), host, path)
+        problem = router.head(self.edge.clock.monotonic(), host, path)
         return problem.status if problem else 0
 
     def request(self, exchange: Exchange) -> None:
@@ -89,13 +89,13 @@
 
     def __init__(
         self,
-        harvest: Harvest,
+        router: Router,
         hosts: Hosts,
         clock: Clock,
         carry_out_quotas: Callable[[], None] = lambda: None,
     ) -> None:
         """`carry_out_quotas`: sends what the rate limiter asks of other gateways, for requests that wait."""
-        self.harvest, self.hosts, self.clock = harvest, hosts, clock
+        self.router, self.hosts, self.clock = router, hosts, clock
         self.carry_out_quotas = carry_out_quotas
         self.waiting: dict[Job, Request] = {}  # for a token of their tenant's quota
         self.loop = asyncio.get_running_loop()
@@ -135,7 +135,7 @@
             return exchange.refuse(400, b"a request id, a host and the time left are needed\n")
         key = BEARER.fullmatch(fields.get(AUTH, b""))
         path = exchange.target.partition(b"?")[0].decode("latin-1")
-        job = self.harvest.enter(
+        job = self.router.enter(
             now,
             id_,
             host.decode("latin-1").partition(":")[0].lower(),
@@ -169,9 +169,9 @@
         job = decision.ticket
         assert isinstance(job, Job)
         request = self.waiting.pop(job, None)
-        problem = self.harvest.decided(job, decision.verdict)
+        problem = self.router.decided(job, decision.verdict)
         if request is None or request.done:
-            self.harvest.abandon(self.clock.monotonic(), job)
+            self.router.abandon(self.clock.monotonic(), job)
         elif problem:
             self._end(request, problem)
         else:
@@ -186,7 +186,7 @@
 
     def _try(self, request: Request) -> None:
         now, job = self.clock.monotonic(), request.job
-        copy = self.harvest.pick(now, job)
+        copy = self.router.pick(now, job)
         if isinstance(copy, Problem):
             return self._end(request, copy)
         row = copy.life.row
@@ -205,7 +205,7 @@
         if request.patience:
             request.patience.cancel()
             request.patience = None
-        if wait := self.harvest.patience(now, job):
+        if wait := self.router.patience(now, job):
             request.patience = self.loop.call_later(wait, self._impatient, request, attempt)
         self.hosts.send(attempt)
         return None
@@ -215,9 +215,9 @@
         now, job, exchange = self.clock.monotonic(), request.job, request.exchange
         if request.done or request.left or now >= job.ends:
             return None
-        if not self.harvest.copies.register.may_serve(copy.life.id):
+        if not self.router.copies.register.may_serve(copy.life.id):
             return None
-        if self.harvest.home.routes and self.harvest.home.refuses(now, job.route_name):
+        if self.router.home.routes and self.router.home.refuses(now, job.route_name):
             return None  # what binds it changed while it waited for a connection
         left = int((job.ends - now) * 1000)
         headers = [
@@ -230,7 +230,7 @@
     def _impatient(self, request: Request, attempt: HostAttempt) -> None:
         if attempt.ended or request.attempt is not attempt or attempt.sink or not request.copy:
             return
-        if self.harvest.silent(self.clock.monotonic(), request.copy, request.sent_at):
+        if self.router.silent(self.clock.monotonic(), request.copy, request.sent_at):
             self.hosts.give_up(attempt, Outcome.TIMEOUT)
 
     def _ended(
@@ -253,7 +253,7 @@
                 Event.TRY_ENDED, id=name, number=number, host=copy.life.id, outcome=told, status=status, ms=ms
             )
         streaming = attempt.sink is not None
-        problem = self.harvest.ended(now, job, copy, number, outcome, status, now - request.sent_at)
+        problem = self.router.ended(now, job, copy, number, outcome, status, now - request.sent_at)
         if request.done:
             if streaming:
                 self._finish(request)
@@ -269,7 +269,7 @@
         if (
             outcome is Outcome.OK
             and answer is not None
-            and not self.harvest.may_retry_answer(now, job, status)
+            and not self.router.may_retry_answer(now, job, status)
         ):
             self._finish(request)
             self.answers[status] = self.answers.get(status, 0) + 1
@@ -301,8 +301,8 @@
 
     def _record(self, job: Job, status: int) -> None:
         """For the audit: a host's answer to a bound request goes to its client from here."""
-        if bound := self.harvest.home.routes.get(job.route_name):
-            name, here = job.id.decode(), self.harvest.home.region
+        if bound := self.router.home.routes.get(job.route_name):
+            name, here = job.id.decode(), self.router.home.region
             tell(Event.BOUND, id=name, service=job.service, bound=bound, status=status, region=here)
 
     # Ends
@@ -317,7 +317,7 @@
         request.done = True
         if request.attempt and not request.attempt.ended:
             self.hosts.give_up(request.attempt, Outcome.TIMEOUT)
-        self._end(request, self.harvest.give_up(self.clock.monotonic(), request.job))
+        self._end(request, self.router.give_up(self.clock.monotonic(), request.job))
 
     def _end(self, request: Request, problem: Problem) -> None:
         self._finish(request)
--- a/coralvale/cluster/gates/node.py
+++ b/coralvale/cluster/gates/node.py
@@ -35,14 +35,14 @@
     Pull,
     Rows,
 )
-from coralvale.cluster.harvest.copies import Copies
-from coralvale.cluster.harvest.home import Home
-from coralvale.cluster.harvest.way import Harvest
 from coralvale.cluster.rate_limit.limiter import RateLimiter
 from coralvale.cluster.rate_limit.quota import Rule
 from coralvale.cluster.regions import Regions
 from coralvale.cluster.regions import read as read_regions
 from coralvale.cluster.registry.register import Register, Row
+from coralvale.cluster.routing.copies import Copies
+from coralvale.cluster.routing.home import Home
+from coralvale.cluster.routing.router import Router
 from coralvale.cluster.settings import Settings, SettingsError, address, read
 from coralvale.members import wire as swim_wire
 from coralvale.members.model import MembersError
@@ -86,9 +86,9 @@
         self.copies = Copies(self.register, settings.Az, ground.chance, self.home)
         rule = Rule(bounds.QuotaWindowS, bounds.QuotaExcess, bounds.QuotaSlack)
         self.limiter = RateLimiter(rule, settings.Ip, ground.chance)
-        self.harvest = Harvest(bounds, self.copies, self.limiter, ground.chance)
+        self.router = Router(bounds, self.copies, self.limiter, ground.chance)
         self.there = There(ground, self.limiter.usage)
-        self.changes = Changes(ground, self.harvest, self._bound_clients)
+        self.changes = Changes(ground, self.router, self._bound_clients)
         self.arrivals = Arrivals(ground, self.there, self.register, self._retire)
         self.core = Core(ground, self.changes.in_force, self.arrivals.remember)
         self.changes.core = self.arrivals.core = self.core
@@ -138,7 +138,7 @@
         most_hosts = int(descriptors * HOSTS_PART)
         bodies = int(limits.MemMb * 0.25 * 1e6)
         self.hosts = Hosts(self.ground.clock, CONNECT_TIMEOUT, HOST_IDLE / 0.8, most_hosts)
-        self.edge = Edge(self.harvest, self.hosts, self.ground.clock, self.tidings.quotas.carry_out)
+        self.edge = Edge(self.router, self.hosts, self.ground.clock, self.tidings.quotas.carry_out)
         self.tidings.quotas.decided = self.edge.decided
         self.control = Control(self)
         self.servers: list[Server] = []
--- a/coralvale/cluster/gates/tidings.py
+++ b/coralvale/cluster/gates/tidings.py
@@ -45,10 +45,10 @@
     unpack_out,
     unpack_use,
 )
-from coralvale.cluster.harvest.copies import SOON, Copies
 from coralvale.cluster.host_health.watch import Change as Verdict
 from coralvale.cluster.rate_limit.limiter import RateLimiter
 from coralvale.cluster.rate_limit.usage import MOST, PERIOD
+from coralvale.cluster.routing.copies import SOON, Copies
 from coralvale.members import wire as swim_wire
 from coralvale.members.model import MembersError
 
--- a/coralvale/cluster/regions.py
+++ b/coralvale/cluster/regions.py
@@ -15,7 +15,7 @@
 import yaml
 from attrs import field, frozen
 
-from coralvale.cluster.harvest.home import LEASE
+from coralvale.cluster.routing.home import LEASE
 from coralvale.cluster.settings import Loader, SettingsError
 
 
--- a/coralvale/cluster/harvest/copies.py
+++ b/coralvale/cluster/routing/copies.py
@@ -12,9 +12,9 @@
 from collections.abc import Iterable
 
 from coralvale import interface as api
-from coralvale.cluster.harvest.home import Home
 from coralvale.cluster.host_health.watch import Change, Watch
 from coralvale.cluster.registry.register import Life, Register, State
+from coralvale.cluster.routing.home import Home
 from coralvale.health import Host
 
 DRAWN = (
--- a/coralvale/cluster/harvest/way.py
+++ b/coralvale/cluster/routing/router.py
@@ -14,11 +14,11 @@
 
 from coralvale.cluster.configuration.model import Configuration, Route
 from coralvale.cluster.errors import Kind, Problem
-from coralvale.cluster.harvest.budget import Budget
-from coralvale.cluster.harvest.copies import Copies, Copy
-from coralvale.cluster.harvest.tries import ENDS
 from coralvale.cluster.rate_limit.actions import Admitted, Refused, Waiting
 from coralvale.cluster.rate_limit.limiter import RateLimiter
+from coralvale.cluster.routing.budget import Budget
+from coralvale.cluster.routing.copies import Copies, Copy
+from coralvale.cluster.routing.tries import ENDS
 from coralvale.cluster.settings import Bounds
 from coralvale.interface import Outcome
 
@@ -60,7 +60,7 @@
     tried: set[str] = field(factory=set)
 
 
-class Harvest:
+class Router:
     def __init__(
         self,
         bounds: Bounds,
--- a/coralvale/lab/abroad.py
+++ b/coralvale/lab/abroad.py
@@ -1,6 +1,6 @@
 """Days of services that are bound to a home region: a busy day, nodes that fail, a failover, a region cut off.
 
-The gateways, hosts and clients are those of `souring`: real `Harvest`, `Copies`, `Home`, on a virtual clock. The
+The gateways, hosts and clients are those of `souring`: real `Router`, `Copies`, `Home`, on a virtual clock. The
 checker knows the regions and the bindings, and sees which gateway sent which request to which host, and which
 gateway answered; it asks the machines nothing. Anything of a bound request that a gateway abroad sends, or that a
 host abroad gets, is `Broken`; so is an answer of a bound service from outside.
@@ -20,8 +20,8 @@
 from attrs import evolve, frozen
 
 from coralvale.cluster.configuration.model import Configuration, survey
-from coralvale.cluster.harvest.copies import Copy
-from coralvale.cluster.harvest.home import LEASE, Home
+from coralvale.cluster.routing.copies import Copy
+from coralvale.cluster.routing.home import LEASE, Home
 from coralvale.interface import Outcome
 from coralvale.lab import souring
 from coralvale.lab.model import LabError
@@ -306,7 +306,7 @@
         self.bound[event.service] = event.region
         # A gateway in touch follows within a word of the core; one that is cut off stops within its lease.
         self.counts_until = self.engine.now + max(2 * NEWS, self.plan.lease if self.cut else 0.0)
-        plot = survey(self._configuration(), self.gateways[0].harvest.configuration)
+        plot = survey(self._configuration(), self.gateways[0].router.configuration)
         assert isinstance(plot, Configuration), plot
         self.newest = plot
 
@@ -314,7 +314,7 @@
         if self.region_of(gateway) not in self.cut and gateway.number not in self.down:
             gateway.copies.home.heard = self.engine.clock
             if self.newest is not None:
-                gateway.harvest.take_configuration(self.newest)
+                gateway.router.take_configuration(self.newest)
         self.engine.later(NEWS, self._news, gateway)
 
     newest: Configuration | None = None
--- a/coralvale/lab/souring.py
+++ b/coralvale/lab/souring.py
@@ -1,6 +1,6 @@
 """Days on which copies sour, on the cluster's own machines and a virtual clock.
 
-Each gateway is the real `Harvest` with `Copies`, `Register` and `Watch`; words between gateways are packed and
+Each gateway is the real `Router` with `Copies`, `Register` and `Watch`; words between gateways are packed and
 unpacked as on the wire, come late, and are lost now and then. Hosts, clients and the way between are the
 model's. An observer sees what hosts ran and what clients got, and nothing else: a booking that ran twice, or that
 was promised not to have run and did, is `Broken`.
@@ -27,14 +27,14 @@
 from coralvale.cluster.configuration.model import Configuration, survey
 from coralvale.cluster.errors import Problem
 from coralvale.cluster.gates.words import pack_health, pack_out, unpack_health, unpack_out
-from coralvale.cluster.harvest.copies import Copies, Copy
-from coralvale.cluster.harvest.home import Home
-from coralvale.cluster.harvest.way import Harvest, Job
 from coralvale.cluster.rate_limit.limiter import RateLimiter
 from coralvale.cluster.rate_limit.quota import Rule
 from coralvale.cluster.rate_limit.shares import even_table
 from coralvale.cluster.rate_limit.usage import PERIOD
 from coralvale.cluster.registry.register import Register, Row
+from coralvale.cluster.routing.copies import Copies, Copy
+from coralvale.cluster.routing.home import Home
+from coralvale.cluster.routing.router import Job, Router
 from coralvale.cluster.settings import Bounds
 from coralvale.interface import Outcome
 from coralvale.lab.model import LabError
@@ -223,13 +223,13 @@
         names = [f"gateway-{other}" for other in range(world.day.gateways)]
         limiter.holding.take(-math.inf, math.inf, even_table(names))
         bounds = Bounds(RetryExtra=64.0)
-        self.harvest = Harvest(bounds, self.copies, limiter, chance)
-        self.harvest.take_configuration(plot)
+        self.router = Router(bounds, self.copies, limiter, chance)
+        self.router.take_configuration(plot)
 
     def ask(self, request: Request) -> None:
         now = self.world.engine.clock
         kind = request.kind
-        job = self.harvest.enter(
+        job = self.router.enter(
             now, request.id.encode(), "day.example", f"/{kind.name}/1", None, kind.deadline
         )
         if isinstance(job, Problem):
@@ -242,18 +242,18 @@
     def next(self, request: Request) -> None:
         assert request.job
         now = self.world.engine.clock
-        copy = self.harvest.pick(now, request.job)
+        copy = self.router.pick(now, request.job)
         if isinstance(copy, Problem):
             return self.world.answered(request, copy.status, copy.promises)
         self.world.sent(self, copy, request)
         one = Try(request, copy, request.job.tries, now)
         self.world.engine.later(self.world.day.way, self.world.hosts[copy.life.id].arrive, one)
-        if wait := self.harvest.patience(now, request.job):
+        if wait := self.router.patience(now, request.job):
             self.world.engine.later(wait, self._impatient, one)
         return None
 
     def _impatient(self, one: Try) -> None:
-        if not one.ended and self.harvest.silent(self.world.engine.clock, one.copy, one.sent):
+        if not one.ended and self.router.silent(self.world.engine.clock, one.copy, one.sent):
             self.ended(one, Outcome.TIMEOUT, 0)
 
     def _time_up(self, request: Request) -> None:
@@ -263,7 +263,7 @@
         for copy in self.copies.copies.values():
             for key in [k for k in copy.out if k[0] == request.id]:
                 self.ended(Try(request, copy, key[1], copy.out[key]), Outcome.TIMEOUT, 0, last=True)
-        problem = self.harvest.give_up(self.world.engine.clock, request.job)
+        problem = self.router.give_up(self.world.engine.clock, request.job)
         self.world.answered(request, problem.status, problem.promises)
 
     def ended(self, one: Try, outcome: Outcome, status: int, last: bool = False) -> None:
@@ -274,10 +274,10 @@
         assert request.job
         if (request.id, one.number) not in one.copy.out:
             return
-        problem = self.harvest.ended(now, request.job, one.copy, one.number, outcome, status, now - one.sent)
+        problem = self.router.ended(now, request.job, one.copy, one.number, outcome, status, now - one.sent)
         if request.done or last:
             return
-        if outcome is Outcome.OK and not self.harvest.may_retry_answer(now, request.job, status):
+        if outcome is Outcome.OK and not self.router.may_retry_answer(now, request.job, status):
             self.world.answered(request, status, False)
         elif problem is not None and outcome is not Outcome.OK:
             self.world.answered(request, problem.status, problem.promises)
--- a/tests/cluster/test_budget.py
+++ b/tests/cluster/test_budget.py
@@ -8,12 +8,12 @@
 
 import pytest
 from quota_world import alone
-from test_harvest import harvest
+from test_routing import router
 
-from coralvale.cluster.harvest import budget as budgets
-from coralvale.cluster.harvest.budget import Budget, Reserve
 from coralvale.cluster.rate_limit.holding import FleetShare, Holding
 from coralvale.cluster.rate_limit.shares import CELLS, CellsOf, ShareChange, even_table, pack_change
+from coralvale.cluster.routing import budget as budgets
+from coralvale.cluster.routing.budget import Budget, Reserve
 
 RATIO, WINDOW, EXTRA = 0.2, 10.0, 64.0
 
@@ -141,7 +141,7 @@
 
 
 def test_a_service_that_goes_and_comes_back_keeps_what_was_used() -> None:
-    made = harvest()
+    made = router()
     made._budget(0.0, "gone").request(0.0)
     made._budget(1.0, "other")
     assert "gone" in made.budgets
--- a/tests/cluster/test_edge.py
+++ b/tests/cluster/test_edge.py
@@ -14,11 +14,11 @@
 from coralvale.cluster.configuration.model import Configuration, survey
 from coralvale.cluster.gates.edge import Edge, EdgeServer
 from coralvale.cluster.gates.hosts import Hosts
-from coralvale.cluster.harvest.copies import Copies
-from coralvale.cluster.harvest.way import Harvest
 from coralvale.cluster.rate_limit.actions import Admitted, AskTokens, Decided, Source
 from coralvale.cluster.rate_limit.shares import ShareTable, even_table
 from coralvale.cluster.registry.register import Register, Row
+from coralvale.cluster.routing.copies import Copies
+from coralvale.cluster.routing.router import Router
 from coralvale.cluster.settings import Bounds
 from coralvale.net.clock import Clock
 from coralvale.net.transport import Attempt
@@ -41,13 +41,13 @@
             self.register.take(now, Row(f"i-{n}", "s", "127.0.0.1", peer.port, "z", "v", 4, 0, 0.0, 1))
         chance = random.Random(1)
         limiter = alone()
-        harvest = Harvest(Bounds(RetryExtra=64), Copies(self.register, "z", chance), limiter, chance)
+        router = Router(Bounds(RetryExtra=64), Copies(self.register, "z", chance), limiter, chance)
         configuration = survey(config or {**WHOLE, "Limits": {"BodyBytes": 1000}}, Configuration())
         assert isinstance(configuration, Configuration)
         if config != {}:
-            harvest.take_configuration(configuration)
+            router.take_configuration(configuration)
         self.hosts = Hosts(clock, 0.5, 8.0, 100)
-        self.edge = Edge(harvest, self.hosts, clock)
+        self.edge = Edge(router, self.hosts, clock)
         self.server = EdgeServer(("127.0.0.1", 0), self.edge, 100, 1 << 20, clock)
         self.server.start()
         return self
@@ -412,7 +412,7 @@
     def __init__(self, s: Scene, grants: int) -> None:
         """`grants`: tokens to each ask; below 0 it is silent."""
         self.scene, self.grants = s, grants
-        self.limiter = s.edge.harvest.limiter
+        self.limiter = s.edge.router.limiter
         self.limiter.holding.table = ShareTable()
         self.limiter.holding.take(0.0, math.inf, even_table(["far"]))
         self.limiter.usage.hear(s.edge.clock.monotonic(), "far", {})
--- a/tests/cluster/test_home.py
+++ b/tests/cluster/test_home.py
@@ -21,11 +21,11 @@
 from coralvale.cluster import commands
 from coralvale.cluster.configuration.model import Configuration, survey
 from coralvale.cluster.errors import ANSWERS, Kind, Problem, Promise
-from coralvale.cluster.harvest.copies import Copies
-from coralvale.cluster.harvest.home import Home
-from coralvale.cluster.harvest.way import Harvest, Job
 from coralvale.cluster.regions import parse
 from coralvale.cluster.registry.register import Register, Row
+from coralvale.cluster.routing.copies import Copies
+from coralvale.cluster.routing.home import Home
+from coralvale.cluster.routing.router import Job, Router
 from coralvale.cluster.settings import Bounds, SettingsError
 
 REGIONS = ("coast", "delta", "hills")
@@ -49,7 +49,7 @@
         chance = random.Random(world.chance.random())
         # Which hosts are nearest is anyone's: it must not be what keeps a request at home.
         copies = Copies(register, chance.choice(list(ZONES)), chance, self.home)
-        self.harvest = Harvest(Bounds(RetryExtra=64), copies, alone(), chance)
+        self.router = Router(Bounds(RetryExtra=64), copies, alone(), chance)
         self.cut = False
         self.late = chance.uniform(0.0, 1.2)  # that news takes to it
         self.restarted = 0.0  # one that starts has an old configuration, and has heard nothing
@@ -60,7 +60,7 @@
         self.home.heard = now - self.late  # what it is told was so a while ago
         news = [configuration for at, configuration in self.world.history if at <= now - self.late]
         if news:
-            self.harvest.take_configuration(news[-1])
+            self.router.take_configuration(news[-1])
 
 
 class World:
@@ -110,7 +110,7 @@
             new.cut, new.restarted = node.cut, self.now
             old = [p for at, p in self.history if at < self.now - self.chance.uniform(0, 20)]
             if old:
-                new.harvest.take_configuration(old[-1])
+                new.router.take_configuration(old[-1])
         for each in self.nodes:
             each.follow(self.now)
         for each in self.nodes:
@@ -118,10 +118,10 @@
 
     def ask(self, node: Node) -> None:
         path = self.chance.choice(("/f/1", "/b/1"))
-        job = node.harvest.enter(self.now, b"r", "a.example", path, None, 1.5)
+        job = node.router.enter(self.now, b"r", "a.example", path, None, 1.5)
         if isinstance(job, Problem):
             return
-        copy = node.harvest.pick(self.now, job)
+        copy = node.router.pick(self.now, job)
         if isinstance(copy, Problem):
             return
         if path == "/b/1":
@@ -203,19 +203,19 @@
     assert isinstance(again, Problem) and "Routes.r.Region" in again.reason
 
 
-def at(region: str, configuration: Configuration | Problem, heard: float = 1.0, **rules: str) -> Harvest:
+def at(region: str, configuration: Configuration | Problem, heard: float = 1.0, **rules: str) -> Router:
     register, chance = Register(1e6), random.Random(1)
     for n, zone in enumerate(ZONES):
         register.take(0.0, Row(f"i-{zone}", "s", "10.0.0.1", 80 + n, zone, "v", 4, 0, 0.0, 1))
     home = Home(region, ZONES, rules)
     home.heard = heard
     copies = Copies(register, f"{region}-1", chance, home)
-    made = Harvest(Bounds(RetryExtra=64), copies, alone(), chance)
+    made = Router(Bounds(RetryExtra=64), copies, alone(), chance)
     assert isinstance(configuration, Configuration) and made.take_configuration(configuration)
     return made
 
 
-def entered(made: Harvest, now: float = 1.0, path: str = "/x/1", key: str = "k1") -> Job | Problem:
+def entered(made: Router, now: float = 1.0, path: str = "/x/1", key: str = "k1") -> Job | Problem:
     return made.enter(now, b"id", "a.example", path, key, 1.5)
 
 
--- a/tests/cluster/test_host_health.py
+++ b/tests/cluster/test_host_health.py
@@ -4,10 +4,10 @@
 
 import random
 
-from coralvale.cluster.harvest.copies import Copies, mark
 from coralvale.cluster.host_health.watch import HOLD, Verdict, Watch, lower_bound
 from coralvale.cluster.host_health.watch import Row as Told
 from coralvale.cluster.registry.register import Register, Row
+from coralvale.cluster.routing.copies import Copies, mark
 
 LIVES = {"s": set(range(10)), "t": set(range(10, 14))}
 
--- a/tests/lab/test_abroad.py
+++ b/tests/lab/test_abroad.py
@@ -9,7 +9,7 @@
 
 from coralvale.cli import main as command
 from coralvale.cluster.errors import Problem
-from coralvale.cluster.harvest.home import Home
+from coralvale.cluster.routing.home import Home
 from coralvale.lab import abroad
 from coralvale.lab.model import LabError
 from coralvale.lab.souring import Broken
--- a/tests/lab/test_souring.py
+++ b/tests/lab/test_souring.py
@@ -11,7 +11,7 @@
 
 from coralvale.cli import main as command
 from coralvale.cluster.errors import Problem
-from coralvale.cluster.harvest import way
+from coralvale.cluster.routing import way
 from coralvale.lab import souring
 from coralvale.lab.model import LabError
 
@@ -51,7 +51,7 @@
     assert souring.World(made, 5).play() == souring.World(made, 5).play()
 
 
-class SendsAgain(way.Harvest):
+class SendsAgain(way.Router):
     """A booking whose answer was lost is sent again."""
 
     def ended(self, now: float, job: way.Job, *rest: Any) -> Problem | None:
@@ -59,7 +59,7 @@
         return None if job.tries < 3 else Problem(way.Kind.MAYBE_RUN)
 
 
-class Promises(way.Harvest):
+class Promises(way.Router):
     """What may have run is refused with a promise that it has not."""
 
     def _failed(self, now: float, job: way.Job, why: str) -> Problem:
@@ -68,11 +68,11 @@
 
 @pytest.mark.parametrize("kind", [SendsAgain, Promises])
 def test_the_observer_sees_a_booking_that_is_doubled_or_promised(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, kind: type[way.Harvest]
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, kind: type[way.Router]
 ) -> None:
     made = souring.load(day(tmp_path))
     souring.World(made, 1).play()
-    monkeypatch.setattr(souring, "Harvest", kind)
+    monkeypatch.setattr(souring, "Router", kind)
     with pytest.raises(souring.Broken):
         souring.World(made, 1).play()
 
