--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -30,9 +30,6 @@
 
 from coralvale.cluster.configuration.history import Change, ChangeHistory, pack
 from coralvale.cluster.configuration.model import Configuration, survey
-from coralvale.cluster.gates.node import GatewayNode
-from coralvale.cluster.gates.peers import WORD, Datagrams
-from coralvale.cluster.gates.words import Told, Word, encode, framed, pack_out, pack_use
 from coralvale.cluster.rate_limit.actions import AskTokens, GrantTokens
 from coralvale.cluster.rate_limit.holding import Holding
 from coralvale.cluster.rate_limit.limiter import RateLimiter
@@ -42,6 +39,9 @@
 from coralvale.cluster.rate_limit.usage import PERIOD
 from coralvale.cluster.registry import register as registry
 from coralvale.cluster.registry.register import Register, Row
+from coralvale.cluster.server.messages import Told, Word, encode, framed, pack_out, pack_use
+from coralvale.cluster.server.node import GatewayNode
+from coralvale.cluster.server.peers import WORD, Datagrams
 from coralvale.cluster.settings import parse
 from coralvale.members.model import Member, State, Update
 from coralvale.members.swim import Known
@@ -112,11 +112,11 @@
     """One that knows `count` others."""
     ips = [address(n) for n in range(1, count + 1)]
     node = GatewayNode(parse(settings(count - 1, ips, 3, Path("/nowhere"), False)), "")
-    node.there.begin()
-    now = node.ground.clock.monotonic()
+    node.membership.begin()
+    now = node.runtime.clock.monotonic()
     for n, ip in enumerate(ips[:-1]):
         member = Member(f"gateway-{n}", (ip, PEERS), n % 2)
-        node.there.swim.known[member.name] = Known(Update(State.ALIVE, member, 1), now)
+        node.membership.swim.known[member.name] = Known(Update(State.ALIVE, member, 1), now)
         node.limiter.usage.know(now, ip)
     made = survey(configuration(100, 400), Configuration())
     assert isinstance(made, Configuration)
@@ -143,7 +143,7 @@
     def take(ip: str, data: bytes) -> None:
         got[0] += 1
         got[1] += len(data) + 28
-        node.tidings.datagram(ip, data)
+        node.gossip.datagram(ip, data)
 
     loop = asyncio.get_running_loop()
     own = (address(count), 0)
@@ -165,7 +165,7 @@
         await asyncio.sleep(0.05)
         if time.monotonic() - stepped >= PERIOD:
             stepped = time.monotonic()
-            node.limiter.step(node.ground.clock.monotonic())
+            node.limiter.step(node.runtime.clock.monotonic())
     spent, took = time.process_time() - cpu, time.monotonic() - begun
     for child in children:
         child.join()
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -31,16 +31,6 @@
 from coralvale import interface as api
 from coralvale.cluster.configuration.history import Change, ChangeHistory, pack
 from coralvale.cluster.configuration.model import Configuration, survey
-from coralvale.cluster.gates.carts import EVERY, Cart
-from coralvale.cluster.gates.there import MANY
-from coralvale.cluster.gates.tidings import (
-    CARRIED_OUT_BYTES,
-    CARRIED_OUT_EVERY,
-    OUT_A_SECOND,
-    OUT_EVERY,
-    OUT_SHARE,
-)
-from coralvale.cluster.gates.words import Word, encode, pack_out, pack_use
 from coralvale.cluster.rate_limit.limiter import RateLimiter
 from coralvale.cluster.rate_limit.quota import Rule
 from coralvale.cluster.rate_limit.usage import PERIOD
@@ -48,6 +38,16 @@
 from coralvale.cluster.routing.copies import Copies, Copy
 from coralvale.cluster.routing.home import Home
 from coralvale.cluster.routing.router import Job, Router
+from coralvale.cluster.server.gossip import (
+    CARRIED_OUT_BYTES,
+    CARRIED_OUT_EVERY,
+    OUT_A_SECOND,
+    OUT_EVERY,
+    OUT_SHARE,
+)
+from coralvale.cluster.server.membership import MANY
+from coralvale.cluster.server.messages import Word, encode, pack_out, pack_use
+from coralvale.cluster.server.relay import EVERY, RelayBatch
 from coralvale.cluster.settings import Bounds
 from coralvale.standins.cluster import LocalCluster, configuration
 
@@ -141,7 +141,7 @@
 
 
 def carried(gateways: int, zones: int, word: int, out: int) -> dict[str, float]:
-    """Ten seconds of a zone's two carriers, by the cart itself: words of all, what is out in the own zone."""
+    """Ten seconds of a zone's two carriers, by the batch itself: words of all, what is out in the own zone."""
     chance, near = random.Random(3), gateways // zones
     every = max(CARRIED_OUT_EVERY, near * CARRIED_OUT_BYTES / (OUT_SHARE * 2e6 / 8))
     told = []
@@ -155,13 +155,13 @@
                     at += period
     told.sort()
     got = size = 0
-    slots: list[dict[int, Cart]] = [{}, {}]
+    slots: list[dict[int, RelayBatch]] = [{}, {}]
     for n, (at, ip, whole, onward) in enumerate(told):
-        slots[n % 2].setdefault(int(at / EVERY), Cart()).load(ip, whole, onward)
+        slots[n % 2].setdefault(int(at / EVERY), RelayBatch()).add(ip, whole, onward)
     sent = 0
     for of in slots:
-        for cart in of.values():
-            here, abroad = cart.unload()
+        for batch in of.values():
+            here, abroad = batch.take()
             got += len(here)
             size += sum(len(d) + 1 + UDP for d in here)
             sent += len(here) * (near - 1) + len(abroad) * (zones - 1)
--- a/coralvale/cluster/gates/arrivals.py
+++ b/coralvale/cluster/server/arrivals.py
@@ -9,13 +9,13 @@
 import msgspec
 
 from coralvale.cluster.events import Event, tell
-from coralvale.cluster.gates.core import Core
-from coralvale.cluster.gates.ground import Ground
-from coralvale.cluster.gates.peers import LIFE
-from coralvale.cluster.gates.there import There
-from coralvale.cluster.gates.words import Pull, Rows, encode
 from coralvale.cluster.rate_limit.usage import MOST, PERIOD
 from coralvale.cluster.registry.register import Register, Row, gone
+from coralvale.cluster.server.core import Core
+from coralvale.cluster.server.membership import Membership
+from coralvale.cluster.server.messages import Pull, Rows, encode
+from coralvale.cluster.server.peers import LIFE
+from coralvale.cluster.server.runtime import Runtime
 
 DRAINED = 0.75  # s that gateways are given to note that a host leaves
 KEEP_HOSTS = 1.0  # s between looks whether the register on disk is old
@@ -26,10 +26,10 @@
 
 class Arrivals:
     def __init__(
-        self, ground: Ground, there: There, register: Register, retire: Callable[[Row], None]
+        self, runtime: Runtime, membership: Membership, register: Register, retire: Callable[[Row], None]
     ) -> None:
         """`retire`: no new connection goes to a life that leaves."""
-        self.ground, self.there, self.register, self.retire = ground, there, register, retire
+        self.runtime, self.membership, self.register, self.retire = runtime, membership, register, retire
         self.core: Core
         self.pulling: set[str] = set()
         self.mismatch: dict[str, tuple[float, float, int]] = {}  # since when, and since when in this way
@@ -38,7 +38,7 @@
 
     def note(self, rows: list[Row]) -> int:
         """Takes lives that another gateway tells of; how many were news."""
-        now, news = self.ground.clock.monotonic(), 0
+        now, news = self.runtime.clock.monotonic(), 0
         for row in rows:
             if self.register.take(now, row):
                 news += 1
@@ -60,13 +60,13 @@
         self.mismatch[ip] = (first, since, both)
         late = now - since >= PERIOD * 0.8 or now - first >= DIFFERS
         if late and ip not in self.pulling and len(self.pulling) < 2:
-            self.ground.spawn(self.pull(ip))
+            self.runtime.spawn(self.pull(ip))
 
     async def pull(self, ip: str, patience: float = 1.0) -> bool:
         self.pulling.add(ip)
         try:
-            link = self.ground.peers.link(ip)
-            number = self.ground.peers.next()
+            link = self.runtime.peers.link(ip)
+            number = self.runtime.peers.next()
             parts = tuple(self.register.parts) if self.register.lives else ()
             answer = await link.request(number, Pull(number, parts), patience)
             if isinstance(answer, Rows):
@@ -81,14 +81,14 @@
     async def pull_first(self) -> None:
         """One that starts asks others for all hosts, until one answers: a seed at once, whose disk remembers
         them; then whom membership knows."""
-        settings, chance = self.ground.settings, self.ground.chance
+        settings, chance = self.runtime.settings, self.runtime.chance
         seeds = [ip for ip in settings.seeds if ip != settings.Ip]
         chance.shuffle(seeds)
         while not self.pulled:
             if seeds:
                 answered = await self.pull(seeds.pop(), SEED_PATIENCE)
                 self.pulled = answered and bool(self.register.lives)
-            others = [member.address[0] for member in self.there.others()]
+            others = [member.address[0] for member in self.membership.others()]
             if others and not self.pulled:
                 seeds = []
                 self.pulled = await self.pull(chance.choice(others))
@@ -97,7 +97,7 @@
 
     async def beat(self, row: Row) -> bool:
         """A host's beat; whether it may be acknowledged."""
-        now = self.ground.clock.monotonic()
+        now = self.runtime.clock.monotonic()
         news = self.register.take(now, row, direct=True)
         if not news:
             life = self.register.lives.get(row.id)
@@ -110,12 +110,12 @@
             self.retire(row)
             return await self.spread(row)
         tell(Event.HOST_NEW, id=row.id, service=row.svc, at=f"{row.ip}:{row.port}")
-        self.ground.spawn(self.spread(row))
+        self.runtime.spawn(self.spread(row))
         return True
 
     async def leave(self, name: str) -> bool:
         """A host says that it ends. One that is not known here may be to others, who take it for gone."""
-        row = self.register.leave(self.ground.clock.monotonic(), name)
+        row = self.register.leave(self.runtime.clock.monotonic(), name)
         if row is None:
             return await self.spread(gone(name))
         self.retire(row)
@@ -125,28 +125,28 @@
         """Tells all gateways; whether enough of the core know, so that it cannot be forgotten with this
         one. A gateway that knows no core cannot tell, and acknowledges nothing."""
         # A host that is new to a large fleet is not worth a connection to each: digests find who missed it.
-        told = [] if self.there.large and not row.state else self.there.others()
+        told = [] if self.membership.large and not row.state else self.membership.others()
         others = [m.address[0] for m in told]
         core = set(self.core.known()[2])
-        noted: set[str] = {self.ground.settings.Ip}
+        noted: set[str] = {self.runtime.settings.Ip}
         # By datagram first, to all: what is lost, and whether it was noted, is what the connections are for.
-        self.ground.peers.cast_all(*self.there.zones(), LIFE, encode(Rows(0, [row])))
-        until = self.ground.clock.monotonic() + (
-            self.ground.settings.Bounds.DrainMs / 1000 if row.state else DRAINED
+        self.runtime.peers.cast_all(*self.membership.zones(), LIFE, encode(Rows(0, [row])))
+        until = self.runtime.clock.monotonic() + (
+            self.runtime.settings.Bounds.DrainMs / 1000 if row.state else DRAINED
         )
 
         async def one(ip: str) -> None:
-            link, number = self.ground.peers.link(ip), self.ground.peers.next()
-            while (left := until - self.ground.clock.monotonic()) > 0.02:
+            link, number = self.runtime.peers.link(ip), self.runtime.peers.next()
+            while (left := until - self.runtime.clock.monotonic()) > 0.02:
                 if await link.request(number, Rows(number, [row]), min(left, 0.35)) is not None:
                     noted.add(ip)
                     return
                 await asyncio.sleep(0.05)
 
-        work = [self.ground.loop.create_task(one(ip)) for ip in others]
-        self.ground.tasks.update(work)
+        work = [self.runtime.loop.create_task(one(ip)) for ip in others]
+        self.runtime.tasks.update(work)
         for task in work:
-            task.add_done_callback(self.ground._done)
+            task.add_done_callback(self.runtime._done)
         # Those that have not noted it by then are told again until the host may not be used any more.
         if work:
             await asyncio.wait(work, timeout=DRAINED)
@@ -155,7 +155,7 @@
                 Event.HOST_LEAVES,
                 id=row.id,
                 state="draining" if row.state == 1 else "gone",
-                by=self.ground.settings.Hostname,
+                by=self.runtime.settings.Hostname,
                 noted=len(noted & set(others)),
                 asked=len(others),
             )
@@ -163,7 +163,7 @@
 
     def remember(self, rows: list[Row]) -> None:
         """Hosts as the disk has them: passed over again soon, if no beat of theirs comes."""
-        now = self.ground.clock.monotonic()
+        now = self.runtime.clock.monotonic()
         for row in rows:
             if not row.state:
                 self.register.take(now, msgspec.structs.replace(row, age=REMEMBERED * self.register.beat))
@@ -174,9 +174,9 @@
         while True:
             await asyncio.sleep(KEEP_HOSTS)
             if self.core.store and self.register.version != self.hosts_put and not self.core.disk_failed:
-                version, rows = self.register.version, self.register.rows(self.ground.clock.monotonic())
+                version, rows = self.register.version, self.register.rows(self.runtime.clock.monotonic())
                 try:
-                    await self.ground.loop.run_in_executor(self.core.disk, self.core.store.put_hosts, rows)
+                    await self.runtime.loop.run_in_executor(self.core.disk, self.core.store.put_hosts, rows)
                 except (sqlite3.Error, OSError):
                     continue  # a help alone: what must be on disk tells of a disk in trouble
                 self.hosts_put = version
--- a/coralvale/cluster/gates/changes.py
+++ b/coralvale/cluster/server/changes.py
@@ -13,12 +13,12 @@
 from coralvale.cluster.configuration.model import Configuration
 from coralvale.cluster.errors import Kind, Problem
 from coralvale.cluster.events import Event, tell
-from coralvale.cluster.gates.core import Core
-from coralvale.cluster.gates.ctl import Answered
-from coralvale.cluster.gates.ground import Ground
-from coralvale.cluster.gates.peers import Frames
-from coralvale.cluster.gates.words import Ask, Call, Reply, Told
 from coralvale.cluster.routing.router import Router
+from coralvale.cluster.server.core import Core
+from coralvale.cluster.server.ctl import Answered
+from coralvale.cluster.server.messages import Ask, Call, Reply, Told
+from coralvale.cluster.server.peers import Frames
+from coralvale.cluster.server.runtime import Runtime
 from coralvale.net.server import Bounds as ClientBounds
 
 ASK_FOR = 1.0  # s for which a question for news is kept when there is none
@@ -29,9 +29,11 @@
 
 
 class Changes:
-    def __init__(self, ground: Ground, router: Router, bound_clients: Callable[[ClientBounds], None]) -> None:
+    def __init__(
+        self, runtime: Runtime, router: Router, bound_clients: Callable[[ClientBounds], None]
+    ) -> None:
         """`bound_clients`: with the limits of a configuration that comes into force."""
-        self.ground, self.router, self.bound_clients = ground, router, bound_clients
+        self.runtime, self.router, self.bound_clients = runtime, router, bound_clients
         self.home = router.home
         self.core: Core
         self.configuration = Configuration()
@@ -74,16 +76,16 @@
             if not core:
                 # Seeds are the ones that are known from the start, and after the loss of all they have what was
                 # acknowledged on their disks: what they serve by is better than nothing until the core is back.
-                settings = self.ground.settings
+                settings = self.runtime.settings
                 core = tuple(ip for ip in settings.seeds if ip != settings.Ip)
                 if not core:
                     await asyncio.sleep(0.05)
                     continue
             if at not in core:
-                at = self.ground.chance.choice(core)
+                at = self.runtime.chance.choice(core)
             number, link, known = (
-                self.ground.peers.next(),
-                self.ground.peers.link(at),
+                self.runtime.peers.next(),
+                self.runtime.peers.link(at),
                 self.configuration.version,
             )
             answer = await link.request(number, Ask(number, known), ASK_FOR + LATE)
@@ -93,10 +95,10 @@
                 if not isinstance(answer, Told):
                     link.reset()
                 others = [ip for ip in core if ip != at]
-                at = self.ground.chance.choice(others) if others else at
+                at = self.runtime.chance.choice(others) if others else at
                 await asyncio.sleep(0.05)
             elif answer.sure:
-                self.home.heard = self.ground.clock.monotonic()
+                self.home.heard = self.runtime.clock.monotonic()
             if isinstance(answer, Told) and not answer.lost and answer.news:
                 configuration = follow(self.configuration, answer.news)
                 if isinstance(configuration, Problem):
@@ -108,12 +110,12 @@
     async def asked(self, frames: Frames, ask: Ask) -> None:
         """News for a gateway without a vote. What is told was committed; `sure` says that this replica hears a
         leader, so that nothing newer was committed longer ago than a leader may be silent."""
-        ends = self.ground.clock.monotonic() + ASK_FOR
+        ends = self.runtime.clock.monotonic() + ASK_FOR
         while (news := self.core.history.since(ask.version)) is None:
-            left = ends - self.ground.clock.monotonic()
+            left = ends - self.runtime.clock.monotonic()
             if left <= 0:
                 break
-            waiter: asyncio.Future[None] = self.ground.loop.create_future()
+            waiter: asyncio.Future[None] = self.runtime.loop.create_future()
             self.waiters.add(waiter)
             try:
                 async with asyncio.timeout(min(left, LOST_AFTER)):
@@ -139,22 +141,22 @@
         if self.core.leads():
             return await self._settle(change, patience)
         _, leader, _ = self.core.known()
-        if not leader or leader == self.ground.settings.Ip:
+        if not leader or leader == self.runtime.settings.Ip:
             return 503, b"no leader is known"
-        number = self.ground.peers.next()
-        answer = await self.ground.peers.link(leader).request(number, Call(number, change), patience)
+        number = self.runtime.peers.next()
+        answer = await self.runtime.peers.link(leader).request(number, Call(number, change), patience)
         if isinstance(answer, Reply):
             return answer.status, answer.body
         return 503, b"the leader does not answer"
 
     async def _settle(self, change: Change | None, patience: float) -> Answered:
         """By the leader: see `coralvale.cluster.orders`."""
-        begun = self.ground.clock.monotonic()
+        begun = self.runtime.clock.monotonic()
         answer = await self.core.order(change, patience)
         if answer is None:
             return 503, b"no majority answers"
         if answer.change:
-            ms = (self.ground.clock.monotonic() - begun) * 1000
+            ms = (self.runtime.clock.monotonic() - begun) * 1000
             tell(Event.CHANGE_TAKEN, version=self.core.history.configuration.version, ms=ms)
         if problem := answer.problem:
             if change and problem.kind is not Kind.UNSETTLED:
--- a/coralvale/cluster/gates/core.py
+++ b/coralvale/cluster/server/core.py
@@ -14,11 +14,11 @@
 from coralvale.cluster.consensus import messages as consensus
 from coralvale.cluster.consensus.replica import DurableState, Replica, Timing
 from coralvale.cluster.events import Event, tell
-from coralvale.cluster.gates.ground import Ground
-from coralvale.cluster.gates.words import ConsensusMessage, Nominate, Nominee
 from coralvale.cluster.orders import OrderAnswer, OrderDesk
 from coralvale.cluster.rate_limit.shares import ShareTable
 from coralvale.cluster.registry.register import Row
+from coralvale.cluster.server.messages import ConsensusMessage, Nominate, Nominee
+from coralvale.cluster.server.runtime import Runtime
 from coralvale.cluster.share_desk import ShareAnswer, ShareClaim, ShareDesk
 from coralvale.cluster.storage.store import Damaged, Store, StoreError, set_aside
 
@@ -30,13 +30,13 @@
 class Core:
     def __init__(
         self,
-        ground: Ground,
+        runtime: Runtime,
         take_configuration: Callable[[Configuration], None],
         remember: Callable[[list[Row]], None],
     ) -> None:
         """`take_configuration`: one that was delivered; `remember`: hosts that the disk has."""
-        self.ground, self.take_configuration, self.remember = ground, take_configuration, remember
-        settings = ground.settings
+        self.runtime, self.take_configuration, self.remember = runtime, take_configuration, remember
+        settings = runtime.settings
         self.replica: Replica | None = None
         self.store: Store | None = None
         self.history, self.shares = ChangeHistory(), ShareTable()
@@ -51,7 +51,7 @@
         self.desk: OrderDesk | None = None
         self.share_desk: ShareDesk | None = None
         self.founding = Founding(
-            settings.Ip, tuple(settings.seeds), settings.Bootstrap, settings.holds_state, ground.born
+            settings.Ip, tuple(settings.seeds), settings.Bootstrap, settings.holds_state, runtime.born
         )
         self.heard: tuple[int, str, tuple[str, ...]] = (0, "", ())  # view, leader, voters
         self.view_told = (0, "")
@@ -67,7 +67,7 @@
             mine = (replica.view, leader.ip if leader else "", addresses)
             view, _, core = self.heard
             # One that has lost its vote while it was away knows an old view, and others a core without it.
-            among = not core or self.ground.settings.Ip in core
+            among = not core or self.runtime.settings.Ip in core
             if leader or mine[0] > view or (mine[0] == view and among):
                 return mine
         return self.heard
@@ -77,11 +77,11 @@
 
     def in_contact(self) -> bool:
         """Whether this gateway's replica is, as far as it can know, on the side that goes on."""
-        return self.replica is not None and self.replica.in_contact(self.ground.clock.monotonic())
+        return self.replica is not None and self.replica.in_contact(self.runtime.clock.monotonic())
 
     def delivers(self) -> bool:
         """Whether the log of changes brings this gateway what is new."""
-        return self.replica is not None and not self.replica.needs_seat(self.ground.clock.monotonic())
+        return self.replica is not None and not self.replica.needs_seat(self.runtime.clock.monotonic())
 
     def act(self, actions: Sequence[Work]) -> None:
         """Carries out what the replica and the desk return, in order; what that leads to comes after it."""
@@ -96,12 +96,12 @@
             self.acting = False
         if self.writes and not self.writing:
             self.writing = True
-            self.ground.spawn(self._write())
+            self.runtime.spawn(self._write())
 
     def _carry_out(self, action: Work) -> None:
         match action:
             case consensus.Send():
-                self.ground.peers.link(action.to.ip).send(ConsensusMessage(action.message, action.to.id))
+                self.runtime.peers.link(action.to.ip).send(ConsensusMessage(action.message, action.to.id))
             case consensus.Write():
                 self.writes.append(action)
             case consensus.Deliver():
@@ -109,10 +109,10 @@
             case consensus.Restore():
                 shares = self.history.restore(action.snapshot.body)
                 assert self.share_desk
-                self.share_desk.restore(self.ground.clock.monotonic(), shares)
+                self.share_desk.restore(self.runtime.clock.monotonic(), shares)
                 self.take_configuration(self.history.configuration)
             case consensus.Settled():
-                now = self.ground.clock.monotonic()
+                now = self.runtime.clock.monotonic()
                 for desk in (self.desk, self.share_desk):
                     if desk:
                         self.pending.extend(desk.settled(now, action.token, action.accepted))
@@ -130,18 +130,18 @@
             while self.writes:
                 batch = list(self.writes)
                 try:
-                    await self.ground.loop.run_in_executor(self.disk, self.store.write, batch)
+                    await self.runtime.loop.run_in_executor(self.disk, self.store.write, batch)
                 except (sqlite3.Error, OSError) as error:
                     if not self.disk_failed:
-                        self.disk_failed = self.ground.clock.monotonic()
+                        self.disk_failed = self.runtime.clock.monotonic()
                         tell(Event.DISK_FAILS, reason=str(error))
                     await asyncio.sleep(RETRY_DISK)
                     continue
                 if self.disk_failed:
-                    tell(Event.DISK_WELL, seconds=self.ground.clock.monotonic() - self.disk_failed)
+                    tell(Event.DISK_WELL, seconds=self.runtime.clock.monotonic() - self.disk_failed)
                     self.disk_failed = 0.0
                 del self.writes[: len(batch)]
-                self.act(self.replica.wrote(self.ground.clock.monotonic(), batch[-1].number))
+                self.act(self.replica.wrote(self.runtime.clock.monotonic(), batch[-1].number))
         finally:
             self.writing = False
 
@@ -149,7 +149,7 @@
         if entry.kind == consensus.CHANGE and self.history.deliver(entry.body):
             self.take_configuration(self.history.configuration)
         elif entry.kind == consensus.SHARES and self.share_desk:
-            self.share_desk.deliver(self.ground.clock.monotonic(), entry.body)
+            self.share_desk.deliver(self.runtime.clock.monotonic(), entry.body)
 
     def tell_view(self) -> None:
         """Logs a new view, leader or set of voters, and takes a snapshot when one is due."""
@@ -167,23 +167,23 @@
             self.act(replica.save(self.history.image(self.shares.image())))
 
     async def open(self) -> None:
-        s = self.ground.settings
+        s = self.runtime.settings
         try:
-            self.store = await self.ground.loop.run_in_executor(self.disk, Store, s.Datadir)
-            state = await self.ground.loop.run_in_executor(self.disk, self.store.load)
+            self.store = await self.runtime.loop.run_in_executor(self.disk, Store, s.Datadir)
+            state = await self.runtime.loop.run_in_executor(self.disk, self.store.load)
         except Damaged as error:
             # As good as lost: it begins anew, and votes when it holds all that the others have.
             tell(Event.DISK_FOREIGN, reason=str(error))
             self.founding.lost_disk()
-            aside = await self.ground.loop.run_in_executor(self.disk, set_aside, s.Datadir)
+            aside = await self.runtime.loop.run_in_executor(self.disk, set_aside, s.Datadir)
             tell(Event.DISK_ASIDE, name=aside)
-            self.ground.spawn(self._open_again())
+            self.runtime.spawn(self._open_again())
             return
         except (StoreError, sqlite3.Error, OSError) as error:
             tell(Event.DISK_FOREIGN, reason=str(error))
-            self.ground.spawn(self._open_again())
+            self.runtime.spawn(self._open_again())
             return
-        self.remember(await self.ground.loop.run_in_executor(self.disk, self.store.hosts))
+        self.remember(await self.runtime.loop.run_in_executor(self.disk, self.store.hosts))
         self._begin(state)
 
     async def _open_again(self) -> None:
@@ -193,16 +193,16 @@
         await self.open()
 
     def _begin(self, state: DurableState) -> None:
-        s = self.ground.settings
+        s = self.runtime.settings
         assert self.store
         me = consensus.Member(self.store.id, s.Hostname, s.Ip)
         self.founding.me = me.id
         timing = Timing(least=2 * s.FaultBudget.Nodes + 1, spare=s.Bounds.SyncS)
-        self.replica = Replica(me, state, timing, self.ground.chance, self.ground.clock.monotonic())
+        self.replica = Replica(me, state, timing, self.runtime.chance, self.runtime.clock.monotonic())
         self.desk = OrderDesk(self.replica, self.history)
-        now = self.ground.clock.monotonic()
+        now = self.runtime.clock.monotonic()
         self.share_desk = ShareDesk(
-            self.replica, self.shares, self.ground.peers.next, now, s.Bounds.QuotaWindowS
+            self.replica, self.shares, self.runtime.peers.next, now, s.Bounds.QuotaWindowS
         )
         self.act(self.replica.start(now))
 
@@ -213,9 +213,9 @@
         while True:
             await asyncio.sleep(0.2)
             replica = self.replica
-            if replica is None or self.ground.stopping:
+            if replica is None or self.runtime.stopping:
                 continue
-            if not replica.needs_seat(self.ground.clock.monotonic()):
+            if not replica.needs_seat(self.runtime.clock.monotonic()):
                 continue
             _, leader, core = self.known()
             if not replica.founded and not replica.last and self.founding.may_ask(bool(core)):
@@ -225,27 +225,27 @@
                 told = True
                 tell(Event.JOINING, id=replica.me.id)
             for ip in {leader} if leader else set(core):
-                self.ground.peers.link(ip).send(ConsensusMessage(consensus.JoinRequest(replica.me)))
+                self.runtime.peers.link(ip).send(ConsensusMessage(consensus.JoinRequest(replica.me)))
 
     async def _nominate(self, replica: Replica) -> None:
         nominator = self.founding.nominator
-        now, core_known = self.ground.clock.monotonic(), bool(self.known()[2])
-        if nominator == self.ground.settings.Ip:
+        now, core_known = self.runtime.clock.monotonic(), bool(self.known()[2])
+        if nominator == self.runtime.settings.Ip:
             named = self.founding.asked(now, replica.me.id, core_known)
         else:
-            number = self.ground.peers.next()
-            link = self.ground.peers.link(nominator)
+            number = self.runtime.peers.next()
+            link = self.runtime.peers.link(nominator)
             answer = await link.request(number, Nominate(number, replica.me), 1.0)
             named = answer.id if isinstance(answer, Nominee) else ""
         if not replica.founded and self.founding.told(named, bool(self.known()[2])):
-            self.act(replica.found(self.ground.clock.monotonic()))
+            self.act(replica.found(self.runtime.clock.monotonic()))
             tell(Event.FOUNDED, id=replica.me.id)
 
     async def order(self, change: Change | None, patience: float) -> OrderAnswer | None:
         """By the leader: an operator's change, or (None) a reading. None: not decided within `patience` s."""
         assert self.desk
-        token, now = self.ground.peers.next(), self.ground.clock.monotonic()
-        future: asyncio.Future[OrderAnswer] = self.ground.loop.create_future()
+        token, now = self.runtime.peers.next(), self.runtime.clock.monotonic()
+        future: asyncio.Future[OrderAnswer] = self.runtime.loop.create_future()
         self.answers[token] = future
         try:
             self.act(self.desk.order(now, token, change) if change else self.desk.read(now, token))
@@ -260,8 +260,8 @@
         """By the leader: a gateway's claim to its shares. None: not answered within `patience` s."""
         if self.share_desk is None:
             return None
-        token, now = self.ground.peers.next(), self.ground.clock.monotonic()
-        future: asyncio.Future[ShareAnswer] = self.ground.loop.create_future()
+        token, now = self.runtime.peers.next(), self.runtime.clock.monotonic()
+        future: asyncio.Future[ShareAnswer] = self.runtime.loop.create_future()
         self.share_answers[token] = future
         try:
             self.act(self.share_desk.claim(now, ShareClaim(token, address, version, left)))
@@ -283,7 +283,7 @@
     def leave(self) -> None:
         """This process is being stopped: leadership and vote are handed on."""
         if self.replica:
-            self.act(self.replica.leave(self.ground.clock.monotonic()))
+            self.act(self.replica.leave(self.runtime.clock.monotonic()))
 
     def may_end(self) -> bool:
         """Whether all that is committed is safe without this process; a gateway without a replica always may."""
--- a/coralvale/cluster/gates/edge.py
+++ b/coralvale/cluster/server/edge.py
@@ -10,10 +10,10 @@
 
 from coralvale.cluster.errors import Problem
 from coralvale.cluster.events import Event, Told, tell
-from coralvale.cluster.gates.hosts import HostAnswer, HostAttempt, Hosts
 from coralvale.cluster.rate_limit.actions import Decided
 from coralvale.cluster.routing.copies import Copy
 from coralvale.cluster.routing.router import Job, Router
+from coralvale.cluster.server.hosts import HostAnswer, HostAttempt, Hosts
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
 from coralvale.net.config import Address
--- a/coralvale/cluster/gates/figures.py
+++ b/coralvale/cluster/server/figures.py
@@ -19,7 +19,7 @@
 from coralvale.net.server import Bounds, Exchange, Server
 
 if TYPE_CHECKING:
-    from coralvale.cluster.gates.node import GatewayNode
+    from coralvale.cluster.server.node import GatewayNode
 
 MOST = 16  # connections
 
@@ -34,7 +34,7 @@
 
     def collect(self) -> Iterator[Any]:
         o = self.node
-        now = o.ground.clock.monotonic()
+        now = o.runtime.clock.monotonic()
         view, holder, core = o.core.known()
         for name, says, value in (
             ("ready", "1 while the platform may send new connections", float(o.is_ready())),
--- a/coralvale/cluster/gates/tidings.py
+++ b/coralvale/cluster/server/gossip.py
@@ -10,13 +10,28 @@
 import msgspec
 
 from coralvale.cluster.events import Event, tell
-from coralvale.cluster.gates import carts, quotas
-from coralvale.cluster.gates.arrivals import Arrivals
-from coralvale.cluster.gates.carts import Carriers, Cart
-from coralvale.cluster.gates.changes import Changes
-from coralvale.cluster.gates.core import Core
-from coralvale.cluster.gates.ground import Ground
-from coralvale.cluster.gates.peers import (
+from coralvale.cluster.host_health.watch import Change as Verdict
+from coralvale.cluster.rate_limit.limiter import RateLimiter
+from coralvale.cluster.rate_limit.usage import MOST, PERIOD
+from coralvale.cluster.routing.copies import SOON, Copies
+from coralvale.cluster.server import quotas, relay
+from coralvale.cluster.server.arrivals import Arrivals
+from coralvale.cluster.server.changes import Changes
+from coralvale.cluster.server.core import Core
+from coralvale.cluster.server.membership import LARGE_FLEET, MANY, SMALL_FLEET, Membership
+from coralvale.cluster.server.messages import (
+    Word,
+    decode_rows,
+    decode_word,
+    encode,
+    pack_health,
+    pack_out,
+    pack_use,
+    unpack_health,
+    unpack_out,
+    unpack_use,
+)
+from coralvale.cluster.server.peers import (
     CARRIED,
     CARRY,
     HEALTH,
@@ -30,25 +45,10 @@
     SWIM,
     WORD,
 )
-from coralvale.cluster.gates.quotas import QuotaExchange
-from coralvale.cluster.gates.shares import ShareClaims
-from coralvale.cluster.gates.there import LARGE_FLEET, MANY, SMALL_FLEET, There
-from coralvale.cluster.gates.words import (
-    Word,
-    decode_rows,
-    decode_word,
-    encode,
-    pack_health,
-    pack_out,
-    pack_use,
-    unpack_health,
-    unpack_out,
-    unpack_use,
-)
-from coralvale.cluster.host_health.watch import Change as Verdict
-from coralvale.cluster.rate_limit.limiter import RateLimiter
-from coralvale.cluster.rate_limit.usage import MOST, PERIOD
-from coralvale.cluster.routing.copies import SOON, Copies
+from coralvale.cluster.server.quotas import QuotaExchange
+from coralvale.cluster.server.relay import Carriers, RelayBatch
+from coralvale.cluster.server.runtime import Runtime
+from coralvale.cluster.server.shares import ShareClaims
 from coralvale.members import wire as swim_wire
 from coralvale.members.model import MembersError
 
@@ -63,11 +63,11 @@
 CORE_NEWS = 2.0  # s for which a change of the core is told in each word
 
 
-class Tidings:
+class GossipExchange:
     def __init__(
         self,
-        ground: Ground,
-        there: There,
+        runtime: Runtime,
+        membership: Membership,
         core: Core,
         changes: Changes,
         arrivals: Arrivals,
@@ -76,19 +76,19 @@
         copies: Copies,
         is_ready: Callable[[], bool],
     ) -> None:
-        self.ground, self.there, self.core, self.changes = ground, there, core, changes
+        self.runtime, self.membership, self.core, self.changes = runtime, membership, core, changes
         self.arrivals, self.limiter, self.copies, self.is_ready = arrivals, limiter, copies, is_ready
-        self.shares, self.quotas = shares, QuotaExchange(ground, changes, limiter)
+        self.shares, self.quotas = shares, QuotaExchange(runtime, changes, limiter)
         self.register = arrivals.register
         self.out_in_words = False
-        self.cart, self.carriers, self.carting = Cart(), Carriers(), False
+        self.batch, self.carriers, self.relaying = RelayBatch(), Carriers(), False
 
     async def tell(self) -> None:
         """Every half second, to all: what was let through, which beats came, how loaded copies are."""
-        due = told_at = self.ground.clock.monotonic()
+        due = told_at = self.runtime.clock.monotonic()
         told_core: tuple[int, tuple[str, ...]] = (0, ())
         while True:
-            now = self.ground.clock.monotonic()
+            now = self.runtime.clock.monotonic()
             self.limiter.step(now)
             self.copies.fade()
             self.tell_health(self.copies.weigh(now))
@@ -97,7 +97,7 @@
             if (view, core) != told_core:
                 told_core, told_at = (view, core), now
             carries = self.carries(now)
-            self.carriers.hear(now, self.ground.settings.Ip, carries)
+            self.carriers.hear(now, self.runtime.settings.Ip, carries)
             word = Word(
                 self.changes.configuration.version,
                 self.register.digest,
@@ -110,7 +110,7 @@
                 pack_health(self.copies.watch.say(now)),
                 pack_out(self.copies.out()) if self.out_in_words else None,
                 carries,
-                self.ground.settings.Region if whole else "",
+                self.runtime.settings.Region if whole else "",
                 shares=self.limiter.holding.version,
             )
             self.tell_all(WORD, encode(word))
@@ -120,26 +120,26 @@
     async def tell_out(self) -> None:
         """What this gateway has out at copies, to all, as often as the link and the processor can bear."""
         before, told_at, ill_at = b"", 0.0, 0.0
-        link = self.ground.settings.Limits.NicMbps * 1e6 / 8
+        link = self.runtime.settings.Limits.NicMbps * 1e6 / 8
         while True:
-            now = self.ground.clock.monotonic()
-            count = self.there.swim.there - 1
-            self.there.large = large = count > MANY
-            near, far = self.there.zones()
-            carried = large and bool(self.carriers.of(now, (*near, self.ground.settings.Ip), carts.NEAR))
+            now = self.runtime.clock.monotonic()
+            count = self.membership.swim.there - 1
+            self.membership.large = large = count > MANY
+            near, far = self.membership.zones()
+            carried = large and bool(self.carriers.of(now, (*near, self.runtime.settings.Ip), relay.NEAR))
             if carried:
                 every = max(CARRIED_OUT_EVERY, len(near) * CARRIED_OUT_BYTES / (OUT_SHARE * link))
             else:
                 every = max(OUT_EVERY, count / OUT_A_SECOND, count * OUT_BYTES / (OUT_SHARE * link))
             # In a large fleet other zones, whose part at a copy is small, are told in the other words.
             self.out_in_words = large
-            self.ground.peers.bytes_a_slice = LINK_SHARE * link * SLICE if large else 0.0
-            self.there.swim.settings = LARGE_FLEET if large else SMALL_FLEET
+            self.runtime.peers.bytes_a_slice = LINK_SHARE * link * SLICE if large else 0.0
+            self.membership.swim.settings = LARGE_FLEET if large else SMALL_FLEET
             data = pack_out(self.copies.out())
             if data != before or (data and now - told_at > PERIOD):
                 before, told_at = data, now
                 if large and not carried:
-                    self.ground.peers.cast_all(near, [], OUT, data)
+                    self.runtime.peers.cast_all(near, [], OUT, data)
                 else:
                     self.tell_all(OUT, data)
             # What is ill is told at once, not with the next word; without carriers a large fleet's words are
@@ -151,51 +151,51 @@
 
     def tell_all(self, kind: bytes, data: bytes) -> None:
         """A word to all: by a carrier where there is one, else to each."""
-        near, far = self.there.zones()
-        if self.there.large:
-            me, now = self.ground.settings.Ip, self.ground.clock.monotonic()
-            if found := self.carriers.of(now, (*near, me), carts.NEAR):
+        near, far = self.membership.zones()
+        if self.membership.large:
+            me, now = self.runtime.settings.Ip, self.runtime.clock.monotonic()
+            if found := self.carriers.of(now, (*near, me), relay.NEAR):
                 if me in found:
-                    self.load(me, kind + data, kind not in NEAR_ONLY)
+                    self.relay(me, kind + data, kind not in NEAR_ONLY)
                 else:
                     # What is out goes by one and the same: an older one behind a newer would stand for long.
                     at = found[crc32(me.encode()) % len(found)] if kind in NEAR_ONLY else ""
-                    self.ground.peers.cast(at or self.carriers.next(found), LOAD, kind + data)
+                    self.runtime.peers.cast(at or self.carriers.next(found), LOAD, kind + data)
                 return
-        self.ground.peers.cast_all(near, far, kind, data)
+        self.runtime.peers.cast_all(near, far, kind, data)
 
     def carries(self, now: float) -> bool:
         """Whether this gateway brings the words of others to all in its zone."""
-        near, _ = self.there.zones()
-        link = self.ground.settings.Limits.NicMbps * 1e6 / 8
-        gateways, replica = self.there.swim.there, self.core.replica is not None
-        self.carriers.most = carts.wanted(gateways, len(near), PERIOD)
+        near, _ = self.membership.zones()
+        link = self.runtime.settings.Limits.NicMbps * 1e6 / 8
+        gateways, replica = self.membership.swim.there, self.core.replica is not None
+        self.carriers.most = relay.wanted(gateways, len(near), PERIOD)
         return (
-            self.there.large
+            self.membership.large
             and self.is_ready()
-            and not self.ground.stopping
-            and carts.bears(gateways, len(near), link, PERIOD, replica)
+            and not self.runtime.stopping
+            and relay.bears(gateways, len(near), link, PERIOD, replica)
         )
 
-    def load(self, ip: str, whole: bytes, onward: bool) -> None:
-        self.cart.load(ip, whole, onward)
-        if not self.carting:
-            self.carting = True
-            self.ground.loop.call_later(carts.EVERY, self.unload)
+    def relay(self, ip: str, whole: bytes, onward: bool) -> None:
+        self.batch.add(ip, whole, onward)
+        if not self.relaying:
+            self.relaying = True
+            self.runtime.loop.call_later(relay.EVERY, self.send_batch)
 
-    def unload(self) -> None:
-        self.carting = False
-        here, abroad = self.cart.unload()
-        near, far = self.there.zones()
-        now = self.ground.clock.monotonic()
+    def send_batch(self) -> None:
+        self.relaying = False
+        here, abroad = self.batch.take()
+        near, far = self.membership.zones()
+        now = self.runtime.clock.monotonic()
         for data in here:
-            self.ground.peers.pace(near, CARRIED + data)
+            self.runtime.peers.pace(near, CARRIED + data)
         if abroad:
-            for by_lot, ips in zip(far, self.there.far.values(), strict=True):
-                found = self.carriers.of(now, ips, carts.FAR)
+            for by_lot, ips in zip(far, self.membership.far.values(), strict=True):
+                found = self.carriers.of(now, ips, relay.FAR)
                 at = self.carriers.next(found) if found else by_lot
                 for data in abroad:
-                    self.ground.peers.cast(at, CARRY, data)
+                    self.runtime.peers.cast(at, CARRY, data)
 
     def tell_health(self, changes: list[Verdict]) -> None:
         for change in changes:
@@ -213,16 +213,16 @@
     def datagram(self, ip: str, data: bytes) -> None:
         kind, body = data[:1], data[1:]
         if kind in (PASS, PASSED):
-            passed = self.ground.peers.unpack(body)
-            if passed is None or passed[0] == self.ground.settings.Ip:
+            passed = self.runtime.peers.unpack(body)
+            if passed is None or passed[0] == self.runtime.settings.Ip:
                 return
             if kind == PASS:
-                self.ground.peers.pass_on(self.there.zones()[0], body)
+                self.runtime.peers.pass_on(self.membership.zones()[0], body)
             if passed[1] != SWIM:
                 self._said(*passed)
         elif kind == LOAD:
             if body and body[:1] in TOLD:
-                self.load(ip, body, body[:1] not in NEAR_ONLY)
+                self.relay(ip, body, body[:1] not in NEAR_ONLY)
                 self._said(ip, body[:1], body[1:])
         elif kind in (CARRY, CARRIED):
             self._carried(ip, kind, body)
@@ -234,17 +234,17 @@
     def _carried(self, ip: str, kind: bytes, body: bytes) -> None:
         """Joined words: to this gateway, or (`CARRY`) for all in its zone."""
         if kind == CARRIED and ip in self.carriers.heard:
-            self.carriers.heard[ip] = self.ground.clock.monotonic()
-        for whose, whole in carts.unpack(body):
-            if whose == self.ground.settings.Ip or whole[:1] not in TOLD:
+            self.carriers.heard[ip] = self.runtime.clock.monotonic()
+        for whose, whole in relay.unpack(body):
+            if whose == self.runtime.settings.Ip or whole[:1] not in TOLD:
                 continue
             if kind == CARRY:
-                self.load(whose, whole, False)
+                self.relay(whose, whole, False)
             self._said(whose, whole[:1], whole[1:])
 
     def _said(self, ip: str, kind: bytes, body: bytes) -> None:
         """A datagram, of the gateway at an address."""
-        now = self.ground.clock.monotonic()
+        now = self.runtime.clock.monotonic()
         if kind == OUT:
             try:
                 self.copies.hear(now, ip, unpack_out(body))
@@ -270,14 +270,14 @@
                 packet = swim_wire.read(body)
             except MembersError:
                 return
-            self.there.swim.receive(now, (ip, self.ground.settings.peers_port), packet)
-            self.there.carry()
+            self.membership.swim.receive(now, (ip, self.runtime.settings.peers_port), packet)
+            self.membership.carry()
 
     def word(self, now: float, ip: str, word: Word) -> None:
-        if len(self.there.talks) > MOST:
-            self.there.talks.clear()
-        self.there.talks[ip] = now
-        if word.region and (strange := self.there.strange(ip, word.region)):
+        if len(self.membership.talks) > MOST:
+            self.membership.talks.clear()
+        self.membership.talks[ip] = now
+        if word.region and (strange := self.membership.strange(ip, word.region)):
             tell(Event.REGION_OF_OTHER, **strange)
         self.carriers.hear(now, ip, word.carries)
         self.limiter.usage.hear(now, ip, unpack_use(word.use, self.changes.tenants), word.whole, word.version)
--- a/coralvale/cluster/gates/there.py
+++ b/coralvale/cluster/server/membership.py
@@ -3,15 +3,15 @@
 from __future__ import annotations
 
 from coralvale.cluster.events import Event, tell
-from coralvale.cluster.gates.ground import Ground
-from coralvale.cluster.gates.peers import SWIM
-from coralvale.cluster.gates.words import Gossip
 from coralvale.cluster.rate_limit.usage import MOST, FleetUsage
+from coralvale.cluster.server.messages import Gossip
+from coralvale.cluster.server.peers import SWIM
+from coralvale.cluster.server.runtime import Runtime
 from coralvale.members import wire as swim_wire
 from coralvale.members.model import Changed, Stalled
 from coralvale.members.model import Member as Gateway
 from coralvale.members.model import Settings as SwimSettings
-from coralvale.members.model import State as There_
+from coralvale.members.model import State as GatewayState
 from coralvale.members.swim import Swim
 
 SMALL_FLEET = SwimSettings()
@@ -21,9 +21,9 @@
 TALKS = 2.2  # s since a word, for which one that membership calls dead is still told all
 
 
-class There:
-    def __init__(self, ground: Ground, usage: FleetUsage) -> None:
-        self.ground, self.usage = ground, usage
+class Membership:
+    def __init__(self, runtime: Runtime, usage: FleetUsage) -> None:
+        self.runtime, self.usage = runtime, usage
         self.large = False
         self.talks: dict[str, float] = {}  # by address, when a word of theirs came
         self.near: list[str] | None = None  # addresses of the others in this zone; None: to be looked up
@@ -36,7 +36,7 @@
             return None
         if len(self.regions) > MOST:
             self.regions.clear()
-        settings = self.ground.settings
+        settings = self.runtime.settings
         zones = sorted(settings.Zones)
         for member in self.swim.alive():
             if member.address[0] == ip:
@@ -50,11 +50,14 @@
     def others(self) -> list[Gateway]:
         """All others that are there: those that membership has alive, and those that it calls dead and whose
         words still come, which may be of one that is slow to answer probes, or of the probers."""
-        me, now = self.ground.settings.Hostname, self.ground.clock.monotonic()
+        me, now = self.runtime.settings.Hostname, self.runtime.clock.monotonic()
         found = [m for m in self.swim.alive() if m.name != me]
         for known in self.swim.known.values():
             member = known.update.member
-            if known.update.state is There_.DEAD and now - self.talks.get(member.address[0], -1e9) < TALKS:
+            if (
+                known.update.state is GatewayState.DEAD
+                and now - self.talks.get(member.address[0], -1e9) < TALKS
+            ):
                 found.append(member)
         return found
 
@@ -68,38 +71,38 @@
                     self.near.append(member.address[0])
                 else:
                     self.far.setdefault(member.zone, []).append(member.address[0])
-        return self.near, [self.ground.chance.choice(ips) for ips in self.far.values()]
+        return self.near, [self.runtime.chance.choice(ips) for ips in self.far.values()]
 
     def carry(self) -> None:
         """Sends what membership has to say, and takes what it has found out."""
-        swim, now = self.swim, self.ground.clock.monotonic()
+        swim, now = self.swim, self.runtime.clock.monotonic()
         sends, swim.sends = swim.sends, []
         for send in sends:
             body = swim_wire.body(send.packet)
             if send.whole:
-                self.ground.peers.link(send.to[0]).send(Gossip(body))
+                self.runtime.peers.link(send.to[0]).send(Gossip(body))
             else:
-                self.ground.peers.cast(send.to[0], SWIM, body)
+                self.runtime.peers.cast(send.to[0], SWIM, body)
         events, swim.events = swim.events, []
         for event in events:
             if isinstance(event, Changed):
                 self.near = None
                 member, state = event.update.member, event.update.state
-                if member.name == self.ground.settings.Hostname:
+                if member.name == self.runtime.settings.Hostname:
                     continue
-                if event.before is not state and state is not There_.SUSPECT:
+                if event.before is not state and state is not GatewayState.SUSPECT:
                     tell(Event.MEMBER, name=member.name, state=state.name.lower())
-                if state is There_.LEFT:
+                if state is GatewayState.LEFT:
                     self.usage.left(member.address[0])
-                elif state is There_.ALIVE:
+                elif state is GatewayState.ALIVE:
                     self.usage.know(now, member.address[0])
             elif isinstance(event, Stalled):
                 tell(Event.STALLED, seconds=event.seconds)
 
     def begin(self) -> None:
-        s, now = self.ground.settings, self.ground.clock.monotonic()
+        s, now = self.runtime.settings, self.runtime.clock.monotonic()
         zones = sorted(s.Zones)
         zone = zones.index(s.Az) if s.Az in zones else len(zones)
         me = Gateway(s.Hostname, (s.Ip, s.peers_port), zone)
-        self.swim = Swim(me, self.ground.life, SMALL_FLEET, self.ground.chance, now)
+        self.swim = Swim(me, self.runtime.life, SMALL_FLEET, self.runtime.chance, now)
         self.swim.join(now, [(ip, s.peers_port) for ip in s.seeds])
--- a/coralvale/cluster/gates/node.py
+++ b/coralvale/cluster/server/node.py
@@ -10,19 +10,23 @@
 
 from coralvale.cluster.configuration.history import Change
 from coralvale.cluster.events import Event, tell
-from coralvale.cluster.gates.arrivals import Arrivals
-from coralvale.cluster.gates.changes import Changes
-from coralvale.cluster.gates.core import Core
-from coralvale.cluster.gates.ctl import Answered, Control, ControlServer, Desk
-from coralvale.cluster.gates.edge import Edge, EdgeServer
-from coralvale.cluster.gates.ground import TICK, Ground
-from coralvale.cluster.gates.hosts import Hosts
-from coralvale.cluster.gates.peers import Frames
-from coralvale.cluster.gates.shares import ShareClaims
-from coralvale.cluster.gates.status import status
-from coralvale.cluster.gates.there import There
-from coralvale.cluster.gates.tidings import Tidings
-from coralvale.cluster.gates.words import (
+from coralvale.cluster.rate_limit.limiter import RateLimiter
+from coralvale.cluster.rate_limit.quota import Rule
+from coralvale.cluster.regions import Regions
+from coralvale.cluster.regions import read as read_regions
+from coralvale.cluster.registry.register import Register, Row
+from coralvale.cluster.routing.copies import Copies
+from coralvale.cluster.routing.home import Home
+from coralvale.cluster.routing.router import Router
+from coralvale.cluster.server.arrivals import Arrivals
+from coralvale.cluster.server.changes import Changes
+from coralvale.cluster.server.core import Core
+from coralvale.cluster.server.ctl import Answered, Control, ControlServer, Desk
+from coralvale.cluster.server.edge import Edge, EdgeServer
+from coralvale.cluster.server.gossip import GossipExchange
+from coralvale.cluster.server.hosts import Hosts
+from coralvale.cluster.server.membership import Membership
+from coralvale.cluster.server.messages import (
     Ask,
     Call,
     ClaimShares,
@@ -35,14 +39,10 @@
     Pull,
     Rows,
 )
-from coralvale.cluster.rate_limit.limiter import RateLimiter
-from coralvale.cluster.rate_limit.quota import Rule
-from coralvale.cluster.regions import Regions
-from coralvale.cluster.regions import read as read_regions
-from coralvale.cluster.registry.register import Register, Row
-from coralvale.cluster.routing.copies import Copies
-from coralvale.cluster.routing.home import Home
-from coralvale.cluster.routing.router import Router
+from coralvale.cluster.server.peers import Frames
+from coralvale.cluster.server.runtime import TICK, Runtime
+from coralvale.cluster.server.shares import ShareClaims
+from coralvale.cluster.server.status import status
 from coralvale.cluster.settings import Settings, SettingsError, address, read
 from coralvale.members import wire as swim_wire
 from coralvale.members.model import MembersError
@@ -74,8 +74,8 @@
         """`metrics`: ip:port of the page for Prometheus, none without it; `regions`: what binds services beside
         the configuration."""
         self.metrics, bounds = metrics, settings.Bounds
-        ground = self.ground = Ground(
-            settings, path, clock or Clock(), self._parcel, lambda ip, data: self.tidings.datagram(ip, data)
+        runtime = self.runtime = Runtime(
+            settings, path, clock or Clock(), self._parcel, lambda ip, data: self.gossip.datagram(ip, data)
         )
         rules = regions or Regions()
         self.home = Home(self._region(settings), settings.Zones, rules.Bindings, rules.Lease)
@@ -83,19 +83,19 @@
         self.hosts_abroad: set[str] = set()
         self.unsure_told = False
         self.register = Register(settings.HeartbeatMs / 1000)
-        self.copies = Copies(self.register, settings.Az, ground.chance, self.home)
+        self.copies = Copies(self.register, settings.Az, runtime.chance, self.home)
         rule = Rule(bounds.QuotaWindowS, bounds.QuotaExcess, bounds.QuotaSlack)
-        self.limiter = RateLimiter(rule, settings.Ip, ground.chance)
-        self.router = Router(bounds, self.copies, self.limiter, ground.chance)
-        self.there = There(ground, self.limiter.usage)
-        self.changes = Changes(ground, self.router, self._bound_clients)
-        self.arrivals = Arrivals(ground, self.there, self.register, self._retire)
-        self.core = Core(ground, self.changes.in_force, self.arrivals.remember)
+        self.limiter = RateLimiter(rule, settings.Ip, runtime.chance)
+        self.router = Router(bounds, self.copies, self.limiter, runtime.chance)
+        self.membership = Membership(runtime, self.limiter.usage)
+        self.changes = Changes(runtime, self.router, self._bound_clients)
+        self.arrivals = Arrivals(runtime, self.membership, self.register, self._retire)
+        self.core = Core(runtime, self.changes.in_force, self.arrivals.remember)
         self.changes.core = self.arrivals.core = self.core
-        self.shares = ShareClaims(ground, self.core, self.limiter.holding)
-        self.tidings = Tidings(
-            ground,
-            self.there,
+        self.shares = ShareClaims(runtime, self.core, self.limiter.holding)
+        self.gossip = GossipExchange(
+            runtime,
+            self.membership,
             self.core,
             self.changes,
             self.arrivals,
@@ -122,7 +122,7 @@
     # Start and end
 
     async def run(self) -> None:
-        settings = self.ground.settings
+        settings = self.runtime.settings
         tell(
             Event.STARTED,
             name=settings.Hostname,
@@ -131,99 +131,99 @@
             disk=settings.holds_state,
         )
         for number in (signal.SIGTERM, signal.SIGINT):
-            self.ground.loop.add_signal_handler(number, self.stop)
-        self.ground.loop.add_signal_handler(signal.SIGHUP, self.read_again)
+            self.runtime.loop.add_signal_handler(number, self.stop)
+        self.runtime.loop.add_signal_handler(signal.SIGHUP, self.read_again)
         limits = settings.Limits
         descriptors = max(64, limits.MaxFds - RESERVED)
         most_hosts = int(descriptors * HOSTS_PART)
         bodies = int(limits.MemMb * 0.25 * 1e6)
-        self.hosts = Hosts(self.ground.clock, CONNECT_TIMEOUT, HOST_IDLE / 0.8, most_hosts)
-        self.edge = Edge(self.router, self.hosts, self.ground.clock, self.tidings.quotas.carry_out)
-        self.tidings.quotas.decided = self.edge.decided
+        self.hosts = Hosts(self.runtime.clock, CONNECT_TIMEOUT, HOST_IDLE / 0.8, most_hosts)
+        self.edge = Edge(self.router, self.hosts, self.runtime.clock, self.gossip.quotas.carry_out)
+        self.gossip.quotas.decided = self.edge.decided
         self.control = Control(self)
         self.servers: list[Server] = []
         if settings.Listen.Edge:
             self.front = EdgeServer(
-                address(settings.Listen.Edge), self.edge, descriptors - most_hosts, bodies, self.ground.clock
+                address(settings.Listen.Edge), self.edge, descriptors - most_hosts, bodies, self.runtime.clock
             )
             self.servers.append(self.front)
         for text in (settings.Listen.Readyz, settings.Listen.Ctl):
             if text:
-                self.servers.append(ControlServer(address(text), self.control, self.ground.clock))
+                self.servers.append(ControlServer(address(text), self.control, self.runtime.clock))
         if self.metrics:
-            from coralvale.cluster.gates.figures import Figures, FiguresServer
+            from coralvale.cluster.server.figures import Figures, FiguresServer
 
-            self.servers.append(FiguresServer(address(self.metrics), Figures(self), self.ground.clock))
-        await self.ground.peers.start()
-        self.there.begin()
+            self.servers.append(FiguresServer(address(self.metrics), Figures(self), self.runtime.clock))
+        await self.runtime.peers.start()
+        self.membership.begin()
         if settings.holds_state:
             await self.core.open()
         for server in self.servers:
             server.start()
         for work in (
             self._pulse,
-            self.tidings.tell,
-            self.tidings.tell_out,
+            self.gossip.tell,
+            self.gossip.tell_out,
             self.changes.follow,
             self._watch,
             self.core.join,
             self.shares.follow,
             self.arrivals.keep_hosts,
         ):
-            self.ground.spawn(self.ground.keep(work))
-        self.ground.spawn(self.arrivals.pull_first())
+            self.runtime.spawn(self.runtime.keep(work))
+        self.runtime.spawn(self.arrivals.pull_first())
         await self.ended.wait()
-        for task in list(self.ground.tasks):
+        for task in list(self.runtime.tasks):
             task.cancel()
         for server in self.servers:
             server.close()
         self.hosts.close()
-        self.ground.peers.close()
+        self.runtime.peers.close()
         if self.core.store:
             self.core.store.close()
 
     def stop(self) -> None:
-        if not self.ground.stopping:
-            self.ground.stopping = True
-            self.ground.spawn(self._leave())
+        if not self.runtime.stopping:
+            self.runtime.stopping = True
+            self.runtime.spawn(self._leave())
 
     async def _leave(self) -> None:
         """Out of the platform's list, then out: nobody is cut, and duties are handed on first."""
         tell(Event.LEAVING, open=len(self.edge.open))
-        begun = self.ground.clock.monotonic()
-        ends = begun + max(1.0, self.ground.settings.Bounds.GraceS - SPARE)
+        begun = self.runtime.clock.monotonic()
+        ends = begun + max(1.0, self.runtime.settings.Bounds.GraceS - SPARE)
         self.front.drain()
         self.core.leave()
         self.front.close_idle()
-        await asyncio.sleep(min(ACCEPT, max(0.0, ends - self.ground.clock.monotonic() - 0.5)))
+        await asyncio.sleep(min(ACCEPT, max(0.0, ends - self.runtime.clock.monotonic() - 0.5)))
         self.front.stop_accepting()
-        while self.edge.open and self.ground.clock.monotonic() < ends:
+        while self.edge.open and self.runtime.clock.monotonic() < ends:
             self.front.close_idle()
             await asyncio.sleep(0.02)
         self.front.close_idle()
-        while not self.core.may_end() and self.ground.clock.monotonic() < ends:
+        while not self.core.may_end() and self.runtime.clock.monotonic() < ends:
             await asyncio.sleep(0.02)
         if not self.core.may_end():
             tell(Event.ENDS_UNSAFE)
-        self.ground.spawn(self.shares.give_up())  # heard or not: they are kept for this address for a while
-        self.there.swim.leave(self.ground.clock.monotonic())
+        self.runtime.spawn(self.shares.give_up())  # heard or not: they are kept for this address for a while
+        self.membership.swim.leave(self.runtime.clock.monotonic())
         for _ in range(4):
-            self.there.carry()
+            self.membership.carry()
             await asyncio.sleep(0.06)
         tell(Event.ENDED, open=len(self.edge.open))
         self.ended.set()
 
     def read_again(self) -> None:
         try:
-            fresh = read(self.ground.path)
+            fresh = read(self.runtime.path)
         except SettingsError as error:
             tell(Event.SETTINGS_BAD, reason=str(error))
             return
-        if fresh != self.ground.settings:
-            self.ground.settings = fresh
+        if fresh != self.runtime.settings:
+            self.runtime.settings = fresh
             self.home.move(self._region(fresh), fresh.Zones)
             self.copies.lists.clear()
-            self.there.swim.seeds = [(ip, fresh.peers_port) for ip in fresh.seeds if ip != fresh.Ip]
+            self.membership.swim.seeds = [(ip, fresh.peers_port) for ip in fresh.seeds if ip != fresh.Ip]
             tell(Event.SETTINGS_READ, seeds=len(fresh.Seeds))
 
     async def _watch(self) -> None:
@@ -231,7 +231,7 @@
         before: object = None
         while True:
             try:
-                stat = os.stat(self.ground.path)
+                stat = os.stat(self.runtime.path)
                 seen = (stat.st_mtime_ns, stat.st_size, stat.st_ino)
             except OSError:
                 seen = before  # type: ignore[assignment]
@@ -243,10 +243,10 @@
     # Readiness
 
     def is_ready(self) -> bool:
-        if self.ground.stopping or not self.changes.configuration.version:
+        if self.runtime.stopping or not self.changes.configuration.version:
             return False
-        now = self.ground.clock.monotonic()
-        age = now - self.ground.born
+        now = self.runtime.clock.monotonic()
+        age = now - self.runtime.born
         if not self.was_ready:
             if (
                 self.core.replica
@@ -275,7 +275,7 @@
     def gateways(self) -> int:
         """Gateways that a budget is divided over: those that may be serving, and all that own shares."""
         owners = self.limiter.holding.owner_count
-        return max(self.limiter.usage.count(self.ground.clock.monotonic()), owners)
+        return max(self.limiter.usage.count(self.runtime.clock.monotonic()), owners)
 
     # What is due
 
@@ -283,12 +283,12 @@
         """What is due: membership, the order of changes."""
         swept = 0.0
         while True:
-            now = self.ground.clock.monotonic()
+            now = self.runtime.clock.monotonic()
             if self.core.delivers():
                 self.home.heard = now
-            if now >= self.there.swim.due():
-                self.there.swim.tick(now)
-            self.there.carry()
+            if now >= self.membership.swim.due():
+                self.membership.swim.tick(now)
+            self.membership.carry()
             if self.core.replica:
                 self.core.tick(now)
                 self.core.tell_view()
@@ -299,7 +299,7 @@
             rest = (
                 TICK
                 if self.core.replica
-                else min(REST, self.there.swim.due() - self.ground.clock.monotonic())
+                else min(REST, self.membership.swim.due() - self.runtime.clock.monotonic())
             )
             await asyncio.sleep(max(TICK, rest))
 
@@ -315,15 +315,15 @@
         self.limiter.refused.clear()
         if self.home.routes:
             self._tell_home(now)
-        self.there.near = None  # who only talks may have come or gone
-        self.limiter.borrowing.near = frozenset(self.there.zones()[0])
+        self.membership.near = None  # who only talks may have come or gone
+        self.limiter.borrowing.near = frozenset(self.membership.zones()[0])
         known = (
-            {m.address[0] for m in self.there.others()}
+            {m.address[0] for m in self.membership.others()}
             | set(self.core.known()[2])
-            | set(self.ground.settings.seeds)
+            | set(self.runtime.settings.seeds)
         )
-        self.ground.peers.keep(known)
-        self.tidings.carriers.keep(known | {self.ground.settings.Ip})
+        self.runtime.peers.keep(known)
+        self.gossip.carriers.keep(known | {self.runtime.settings.Ip})
 
     def _tell_home(self, now: float) -> None:
         for bound, count in self.home.refused.items():
@@ -332,7 +332,7 @@
                 self.abroad_told[bound] = count
         unsure = not self.home.fresh(now)
         if unsure and not self.unsure_told:
-            tell(Event.BINDING_UNSURE, seconds=min(now - self.home.heard, now - self.ground.born))
+            tell(Event.BINDING_UNSURE, seconds=min(now - self.home.heard, now - self.runtime.born))
         self.unsure_told = unsure
         here = set()
         for service, bound in self.home.services.items():
@@ -372,7 +372,7 @@
     # What other gateways send
 
     def _parcel(self, frames: Frames, parcel: Parcel) -> None:
-        now = self.ground.clock.monotonic()
+        now = self.runtime.clock.monotonic()
         if isinstance(parcel, ConsensusMessage):
             if self.core.replica:
                 self.core.act(self.core.replica.receive(now, parcel.message, frames.ip, parcel.to))
@@ -381,14 +381,14 @@
                 packet = swim_wire.read(parcel.packet)
             except MembersError:
                 return
-            self.there.swim.receive(now, (frames.ip, self.ground.settings.peers_port), packet)
-            self.there.carry()
+            self.membership.swim.receive(now, (frames.ip, self.runtime.settings.peers_port), packet)
+            self.membership.carry()
         elif isinstance(parcel, Ask):
-            self.ground.spawn(self.changes.asked(frames, parcel))
+            self.runtime.spawn(self.changes.asked(frames, parcel))
         elif isinstance(parcel, Call):
-            self.ground.spawn(self.changes.called(frames, parcel))
+            self.runtime.spawn(self.changes.called(frames, parcel))
         elif isinstance(parcel, ClaimShares):
-            self.ground.spawn(self.shares.claimed(frames, parcel))
+            self.runtime.spawn(self.shares.claimed(frames, parcel))
         elif isinstance(parcel, Rows):
             self.arrivals.note(parcel.rows)
             frames.send(Noted(parcel.number))
--- a/coralvale/cluster/gates/peers.py
+++ b/coralvale/cluster/server/peers.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from coralvale.cluster.gates.words import FRAME, MOST, Answer, Parcel, decode_parcel, framed
+from coralvale.cluster.server.messages import FRAME, MOST, Answer, Parcel, decode_parcel, framed
 
 CONNECT = 0.5  # s that a connection may take to come up
 SILENCE_MS = 1200  # that what was written may stand unacknowledged
--- a/coralvale/cluster/gates/quotas.py
+++ b/coralvale/cluster/server/quotas.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable
 from zlib import crc32
 
-from coralvale.cluster.gates.changes import Changes
-from coralvale.cluster.gates.ground import Ground
 from coralvale.cluster.rate_limit.actions import AskTokens, Decided, GrantTokens, ReturnTokens
 from coralvale.cluster.rate_limit.limiter import RateLimiter
+from coralvale.cluster.server.changes import Changes
+from coralvale.cluster.server.runtime import Runtime
 
 ASK, GRANT, RETURN = b"q", b"g", b"r"
 KINDS = (ASK, GRANT, RETURN)
@@ -24,8 +24,8 @@
 
     decided: Callable[[Decided], None]
 
-    def __init__(self, ground: Ground, changes: Changes, limiter: RateLimiter) -> None:
-        self.ground, self.changes, self.limiter = ground, changes, limiter
+    def __init__(self, runtime: Runtime, changes: Changes, limiter: RateLimiter) -> None:
+        self.runtime, self.changes, self.limiter = runtime, changes, limiter
         self.timer: asyncio.TimerHandle | None = None
 
     def carry_out(self) -> None:
@@ -37,14 +37,14 @@
                         self.decided(action)
                     case AskTokens():
                         body = _TOKENS.pack(action.number, _mark(action.tenant), action.count)
-                        self.ground.peers.cast(action.to, ASK, body)
+                        self.runtime.peers.cast(action.to, ASK, body)
                     case ReturnTokens():
                         body = _TOKENS.pack(action.number, _mark(action.tenant), action.count)
-                        self.ground.peers.cast(action.to, RETURN, body)
+                        self.runtime.peers.cast(action.to, RETURN, body)
                     case GrantTokens():
                         ms = min(MOST_MS, int(action.wait * 1000))
                         body = _GRANT.pack(action.number, _mark(action.tenant), action.count, ms)
-                        self.ground.peers.cast(action.to, GRANT, body)
+                        self.runtime.peers.cast(action.to, GRANT, body)
         self._set_timer()
 
     def _set_timer(self) -> None:
@@ -53,18 +53,18 @@
             self.timer.cancel()
             self.timer = None
         if due < float("inf"):
-            wait = max(0.001, due - self.ground.clock.monotonic())
-            self.timer = self.ground.loop.call_later(wait, self._expire)
+            wait = max(0.001, due - self.runtime.clock.monotonic())
+            self.timer = self.runtime.loop.call_later(wait, self._expire)
 
     def _expire(self) -> None:
         self.timer = None
-        self.limiter.expire(self.ground.clock.monotonic())
+        self.limiter.expire(self.runtime.clock.monotonic())
         self.carry_out()
 
     def datagram(self, ip: str, kind: bytes, body: bytes) -> None:
         """Another gateway's ask, or its answer. What cannot be read, or is of an unknown tenant,
         is passed over."""
-        now = self.ground.clock.monotonic()
+        now = self.runtime.clock.monotonic()
         try:
             if kind == GRANT:
                 number, mark, count, ms = _GRANT.unpack(body)
--- a/coralvale/cluster/gates/carts.py
+++ b/coralvale/cluster/server/relay.py
@@ -58,14 +58,14 @@
         at += size
 
 
-class Cart:
+class RelayBatch:
     """What a carrier has to bring: the newest word of each kind of each gateway."""
 
     def __init__(self) -> None:
         self.near: dict[tuple[str, bytes], bytes] = {}
         self.far: dict[tuple[str, bytes], bytes] = {}
 
-    def load(self, ip: str, whole: bytes, onward: bool) -> bool:
+    def add(self, ip: str, whole: bytes, onward: bool) -> bool:
         """A gateway's word, its kind first; `onward`: other zones have yet to hear it. False: no room."""
         key = (ip, whole[:1])
         if len(self.near) >= MOST_LOADED and key not in self.near:
@@ -75,7 +75,7 @@
             self.far[key] = whole
         return True
 
-    def unload(self) -> tuple[list[bytes], list[bytes]]:
+    def take(self) -> tuple[list[bytes], list[bytes]]:
         """Datagrams for this zone, and for each other one."""
         near, far = self.near, self.far
         self.near, self.far = {}, {}
--- a/coralvale/cluster/gates/ground.py
+++ b/coralvale/cluster/server/runtime.py
@@ -10,15 +10,15 @@
 from typing import Any
 
 from coralvale.cluster.events import Event, tell
-from coralvale.cluster.gates.peers import Frames, Peers
-from coralvale.cluster.gates.words import Parcel
+from coralvale.cluster.server.messages import Parcel
+from coralvale.cluster.server.peers import Frames, Peers
 from coralvale.cluster.settings import Settings
 from coralvale.net.clock import Clock
 
 TICK = 0.05  # s between looks at what is due
 
 
-class Ground:
+class Runtime:
     def __init__(
         self,
         settings: Settings,
--- a/coralvale/cluster/gates/shares.py
+++ b/coralvale/cluster/server/shares.py
@@ -7,12 +7,12 @@
 from msgspec.structs import replace
 
 from coralvale.cluster.events import Event, tell
-from coralvale.cluster.gates.core import Core
-from coralvale.cluster.gates.ground import Ground
-from coralvale.cluster.gates.peers import Frames
-from coralvale.cluster.gates.words import ClaimShares, Shares
 from coralvale.cluster.rate_limit.holding import Holding
 from coralvale.cluster.rate_limit.shares import ShareTable
+from coralvale.cluster.server.core import Core
+from coralvale.cluster.server.messages import ClaimShares, Shares
+from coralvale.cluster.server.peers import Frames
+from coralvale.cluster.server.runtime import Runtime
 from coralvale.cluster.share_desk import TAKEN_WITHIN, ShareAnswer
 
 RENEW = 10.0  # s between claims while all is as it should be
@@ -22,8 +22,8 @@
 
 
 class ShareClaims:
-    def __init__(self, ground: Ground, core: Core, holding: Holding) -> None:
-        self.ground, self.core, self.holding = ground, core, holding
+    def __init__(self, runtime: Runtime, core: Core, holding: Holding) -> None:
+        self.runtime, self.core, self.holding = runtime, core, holding
         self.news = asyncio.Event()
 
     def heard(self, version: int) -> None:
@@ -37,9 +37,9 @@
             pause = RENEW if answered and self.holding.owns_any() else SOON
             self.news.clear()
             try:
-                async with asyncio.timeout(pause * (0.75 + 0.5 * self.ground.chance.random())):
+                async with asyncio.timeout(pause * (0.75 + 0.5 * self.runtime.chance.random())):
                     await self.news.wait()
-                await asyncio.sleep(SPREAD * self.ground.chance.random())
+                await asyncio.sleep(SPREAD * self.runtime.chance.random())
             except TimeoutError:
                 continue
 
@@ -50,7 +50,7 @@
 
     async def _claim(self, left: bool) -> bool:
         """One claim; whether it was answered."""
-        asked_at = self.ground.clock.monotonic()
+        asked_at = self.runtime.clock.monotonic()
         answer = await self._ask(left)
         if answer is None or not answer.settled:
             return False
@@ -61,8 +61,8 @@
         except ValueError as error:
             tell(Event.FAILED, reason=str(error))
             return False
-        now = self.ground.clock.monotonic()
-        since = max(self.ground.born, now - answer.age)
+        now = self.runtime.clock.monotonic()
+        since = max(self.runtime.born, now - answer.age)
         # An answer that was read late, by a process that stood still, brings no allowance.
         allowed = answer.allowed and now - asked_at < TAKEN_WITHIN
         if self.holding.take(since, asked_at, table, allowed):
@@ -71,20 +71,20 @@
         return True
 
     async def _ask(self, left: bool) -> Shares | None:
-        number, version = self.ground.peers.next(), self.holding.version
+        number, version = self.runtime.peers.next(), self.holding.version
         if self.core.leads():
-            answer = await self.core.claim(self.ground.settings.Ip, version, left, PATIENCE)
+            answer = await self.core.claim(self.runtime.settings.Ip, version, left, PATIENCE)
             return _told(number, answer)
         return await self._pass_on(ClaimShares(number, version, left))
 
     async def _pass_on(self, claim: ClaimShares) -> Shares | None:
         """To the leader; where it is not known, to one of the core, who may know it."""
         _, leader, core = self.core.known()
-        own = self.ground.settings.Ip
-        asked = [leader] if leader else [ip for ip in core or self.ground.settings.seeds if ip != own]
+        own = self.runtime.settings.Ip
+        asked = [leader] if leader else [ip for ip in core or self.runtime.settings.seeds if ip != own]
         if not asked or asked == [own]:
             return None
-        link = self.ground.peers.link(self.ground.chance.choice(asked))
+        link = self.runtime.peers.link(self.runtime.chance.choice(asked))
         told = await link.request(claim.number, claim, PATIENCE)
         return told if isinstance(told, Shares) else None
 
@@ -97,7 +97,7 @@
             return
         told: Shares | None = None
         if not claim.address and self.core.known()[1]:
-            number = self.ground.peers.next()
+            number = self.runtime.peers.next()
             told = await self._pass_on(ClaimShares(number, claim.version, claim.left, address))
         if told is None:
             told = Shares(claim.number, settled=False)
--- a/coralvale/cluster/gates/status.py
+++ b/coralvale/cluster/server/status.py
@@ -7,11 +7,11 @@
 import msgspec
 
 if TYPE_CHECKING:
-    from coralvale.cluster.gates.node import GatewayNode
+    from coralvale.cluster.server.node import GatewayNode
 
 
 def status(o: GatewayNode) -> bytes:
-    now, limiter = o.ground.clock.monotonic(), o.limiter
+    now, limiter = o.runtime.clock.monotonic(), o.limiter
     usage, holding = limiter.usage, limiter.holding
     view, holder, core = o.core.known()
     sent: dict[str, float] = {}
@@ -54,9 +54,9 @@
             }
         )
     found = {
-        "name": o.ground.settings.Hostname,
-        "zone": o.ground.settings.Az,
-        "region": o.ground.settings.Region,
+        "name": o.runtime.settings.Hostname,
+        "zone": o.runtime.settings.Az,
+        "region": o.runtime.settings.Region,
         "ready": o.is_ready(),
         "bindings": o.home.services,
         "bound_routes": o.home.routes,
@@ -78,10 +78,10 @@
         "gateways": [
             {
                 "name": m.name,
-                "state": o.there.swim.known[m.name].update.state.name.lower(),
+                "state": o.membership.swim.known[m.name].update.state.name.lower(),
                 "heard": heard.get(m.address[0], 0.0),
             }
-            for m in o.there.swim.alive()
+            for m in o.membership.swim.alive()
         ],
         "hosts": hosts,
         "tenants": tenants,
--- a/coralvale/cluster/start.py
+++ b/coralvale/cluster/start.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from coralvale.cluster import events
-from coralvale.cluster.gates.node import serve
+from coralvale.cluster.server.node import serve
 from coralvale.cluster.settings import SettingsError
 
 
--- a/coralvale/lab/souring.py
+++ b/coralvale/lab/souring.py
@@ -26,7 +26,6 @@
 
 from coralvale.cluster.configuration.model import Configuration, survey
 from coralvale.cluster.errors import Problem
-from coralvale.cluster.gates.words import pack_health, pack_out, unpack_health, unpack_out
 from coralvale.cluster.rate_limit.limiter import RateLimiter
 from coralvale.cluster.rate_limit.quota import Rule
 from coralvale.cluster.rate_limit.shares import even_table
@@ -35,6 +34,7 @@
 from coralvale.cluster.routing.copies import Copies, Copy
 from coralvale.cluster.routing.home import Home
 from coralvale.cluster.routing.router import Job, Router
+from coralvale.cluster.server.messages import pack_health, pack_out, unpack_health, unpack_out
 from coralvale.cluster.settings import Bounds
 from coralvale.interface import Outcome
 from coralvale.lab.model import LabError
--- a/tests/cluster/test_edge.py
+++ b/tests/cluster/test_edge.py
@@ -12,13 +12,13 @@
 from test_configuration import WHOLE, changed
 
 from coralvale.cluster.configuration.model import Configuration, survey
-from coralvale.cluster.gates.edge import Edge, EdgeServer
-from coralvale.cluster.gates.hosts import Hosts
 from coralvale.cluster.rate_limit.actions import Admitted, AskTokens, Decided, Source
 from coralvale.cluster.rate_limit.shares import ShareTable, even_table
 from coralvale.cluster.registry.register import Register, Row
 from coralvale.cluster.routing.copies import Copies
 from coralvale.cluster.routing.router import Router
+from coralvale.cluster.server.edge import Edge, EdgeServer
+from coralvale.cluster.server.hosts import Hosts
 from coralvale.cluster.settings import Bounds
 from coralvale.net.clock import Clock
 from coralvale.net.transport import Attempt
--- a/tests/cluster/test_grown.py
+++ b/tests/cluster/test_grown.py
@@ -8,7 +8,12 @@
 
 from test_edge import BOOK, READ, Scene, next_of, play, reply
 
-from coralvale.cluster.gates.words import (
+from coralvale.cluster.rate_limit.actions import Admitted, Source
+from coralvale.cluster.rate_limit.limiter import RateLimiter
+from coralvale.cluster.rate_limit.quota import Rule
+from coralvale.cluster.registry.register import Register, Row
+from coralvale.cluster.routing.copies import Copies
+from coralvale.cluster.server.messages import (
     MOST_HEALTH_ROWS,
     MOST_OUT,
     Word,
@@ -17,11 +22,6 @@
     pack_out,
     pack_use,
 )
-from coralvale.cluster.rate_limit.actions import Admitted, Source
-from coralvale.cluster.rate_limit.limiter import RateLimiter
-from coralvale.cluster.rate_limit.quota import Rule
-from coralvale.cluster.registry.register import Register, Row
-from coralvale.cluster.routing.copies import Copies
 from coralvale.standins.wire import answer
 
 DATAGRAM = 1472  # bytes that go through in one piece
--- a/tests/cluster/test_news.py
+++ b/tests/cluster/test_news.py
@@ -10,8 +10,8 @@
 import pytest
 
 from coralvale.cluster.configuration.history import Change, ChangeHistory, pack
-from coralvale.cluster.gates.node import GatewayNode
-from coralvale.cluster.gates.words import Ask, Parcel, Told
+from coralvale.cluster.server.messages import Ask, Parcel, Told
+from coralvale.cluster.server.node import GatewayNode
 from coralvale.cluster.settings import parse
 from coralvale.standins.cluster import configuration, settings
 
@@ -40,7 +40,7 @@
 
         fake: Any = node
         fake.front = Any
-        fake.ground.peers.link = Link
+        fake.runtime.peers.link = Link
         task = asyncio.create_task(node.changes.follow())
         while len(asked) < 2:
             await asyncio.sleep(0)
@@ -56,5 +56,5 @@
 ) -> None:
     node, asked = first_news(sure)
     assert set(asked) <= set(IPS[:3]) and node.changes.configuration.version == 3  # it serves by it
-    now = node.ground.clock.monotonic()
+    now = node.runtime.clock.monotonic()
     assert node.home.fresh(now) is sure  # but nothing that is bound until it hears one that is settled
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -7,9 +7,9 @@
 import socket
 from collections.abc import Awaitable, Callable
 
-from coralvale.cluster.gates import peers
-from coralvale.cluster.gates.peers import Frames, Peers
-from coralvale.cluster.gates.words import Ask, Gossip, Noted, Parcel, Pull, Told
+from coralvale.cluster.server import peers
+from coralvale.cluster.server.messages import Ask, Gossip, Noted, Parcel, Pull, Told
+from coralvale.cluster.server.peers import Frames, Peers
 
 LONG = 20.0  # s, far past all that is waited for
 
--- a/tests/cluster/test_readers.py
+++ b/tests/cluster/test_readers.py
@@ -16,9 +16,9 @@
 from coralvale.cluster.configuration.history import Change, ChangeHistory
 from coralvale.cluster.configuration.model import Configuration, survey
 from coralvale.cluster.errors import Problem
-from coralvale.cluster.gates.ctl import read_beat
-from coralvale.cluster.gates.peers import Frames, Peers
-from coralvale.cluster.gates.words import (
+from coralvale.cluster.registry.register import Row
+from coralvale.cluster.server.ctl import read_beat
+from coralvale.cluster.server.messages import (
     FRAME,
     MOST,
     Noted,
@@ -34,7 +34,7 @@
     unpack_out,
     unpack_use,
 )
-from coralvale.cluster.registry.register import Row
+from coralvale.cluster.server.peers import Frames, Peers
 from coralvale.cluster.settings import Settings, SettingsError, parse
 from coralvale.standins.cluster import settings as settings_text
 
--- a/tests/cluster/test_spread.py
+++ b/tests/cluster/test_spread.py
@@ -11,13 +11,13 @@
 import pytest
 from msgspec.structs import replace
 
-from coralvale.cluster.gates import tidings
-from coralvale.cluster.gates.hosts import Hosts
-from coralvale.cluster.gates.node import GatewayNode
-from coralvale.cluster.gates.peers import LIFE
-from coralvale.cluster.gates.there import TALKS
-from coralvale.cluster.gates.words import Noted, Word
 from coralvale.cluster.registry.register import Register, Row, gone
+from coralvale.cluster.server import gossip
+from coralvale.cluster.server.hosts import Hosts
+from coralvale.cluster.server.membership import TALKS
+from coralvale.cluster.server.messages import Noted, Word
+from coralvale.cluster.server.node import GatewayNode
+from coralvale.cluster.server.peers import LIFE
 from coralvale.cluster.settings import parse
 from coralvale.members.model import Member, State, Update
 from coralvale.members.swim import Known
@@ -30,11 +30,11 @@
     """To a gateway that notes nothing until it is `there`."""
 
     def __init__(self, asked: Counter[str], ip: str, there: asyncio.Event) -> None:
-        self.asked, self.ip, self.there = asked, ip, there
+        self.asked, self.ip, self.membership = asked, ip, there
 
     async def request(self, number: int, parcel: Any, patience: float) -> Noted | None:
         self.asked[self.ip] += 1
-        if not self.there.is_set():
+        if not self.membership.is_set():
             await asyncio.sleep(0)
             return None
         return Noted(number)
@@ -62,17 +62,17 @@
         for ip in set(IPS) - silent:
             there[ip].set()
         fake: Any = node
-        fake.ground.peers.link = links.__getitem__
-        fake.ground.peers.cast_all = lambda near, far, kind, data: cast.append(kind)
-        fake.there.others = lambda: [Member(ip, (ip, 1), 0) for ip in IPS[1:]]
-        fake.there.zones = lambda: (IPS[1:], [])
+        fake.runtime.peers.link = links.__getitem__
+        fake.runtime.peers.cast_all = lambda near, far, kind, data: cast.append(kind)
+        fake.membership.others = lambda: [Member(ip, (ip, 1), 0) for ip in IPS[1:]]
+        fake.membership.zones = lambda: (IPS[1:], [])
         node.core.heard = (1, IPS[0], tuple(IPS[:core]))
         well = await call(node)
         before = Counter(asked)
         for event in there.values():
             event.set()
-        while node.ground.tasks:
-            await asyncio.wait(set(node.ground.tasks))
+        while node.runtime.tasks:
+            await asyncio.wait(set(node.runtime.tasks))
         told_later = sum((asked - before).values())
         return well, asked, cast, told_later
 
@@ -102,7 +102,7 @@
     """It was acknowledged and told to nobody."""
 
     def leave(node: GatewayNode) -> Awaitable[bool]:
-        node.hosts = Hosts(node.ground.clock, 0.5, 8.0, 100)
+        node.hosts = Hosts(node.runtime.clock, 0.5, 8.0, 100)
         return node.arrivals.leave("i-unknown")
 
     well, asked, cast, _ = play(3, set(), leave)
@@ -116,8 +116,8 @@
 
 def test_one_that_says_it_drains_where_it_is_known_to_be_gone_is_told_again() -> None:
     async def beat(node: GatewayNode) -> bool:
-        node.hosts = Hosts(node.ground.clock, 0.5, 8.0, 100)
-        now = node.ground.clock.monotonic()
+        node.hosts = Hosts(node.runtime.clock, 0.5, 8.0, 100)
+        now = node.runtime.clock.monotonic()
         node.register.take(now, replace(ROW, state=0))
         node.register.leave(now, ROW.id)
         return await node.arrivals.beat(replace(ROW, calls=9))
@@ -130,21 +130,21 @@
 def test_one_that_membership_calls_dead_is_told_all_as_long_as_its_words_come() -> None:
     async def whole() -> None:
         node = GatewayNode(parse(settings(0, IPS, 3, Path("/nowhere"), False)), "")
-        node.there.begin()
-        now = node.ground.clock.monotonic()
+        node.membership.begin()
+        now = node.runtime.clock.monotonic()
         for n, state in enumerate((State.ALIVE, State.DEAD, State.DEAD, State.LEFT), 1):
             member = Member(f"gateway-{n}", (IPS[n], 1), 0)
-            node.there.swim.known[member.name] = Known(Update(state, member, 1), now)
-        node.there.swim.others = None
+            node.membership.swim.known[member.name] = Known(Update(state, member, 1), now)
+        node.membership.swim.others = None
         word = Word(1, 0)
         for n in (2, 4):
-            node.tidings.word(now, IPS[n], word)
-        assert {m.address[0] for m in node.there.others()} == {
+            node.gossip.word(now, IPS[n], word)
+        assert {m.address[0] for m in node.membership.others()} == {
             IPS[1],
             IPS[2],
         }  # not the silent, nor who left
-        node.there.talks[IPS[2]] = now - TALKS - 0.1
-        assert {m.address[0] for m in node.there.others()} == {IPS[1]}
+        node.membership.talks[IPS[2]] = now - TALKS - 0.1
+        assert {m.address[0] for m in node.membership.others()} == {IPS[1]}
 
     asyncio.run(whole())
 
@@ -154,23 +154,23 @@
 ) -> None:
     async def whole() -> None:
         told: list[dict[str, Any]] = []
-        monkeypatch.setattr(tidings, "tell", lambda event, **fields: told.append({"event": event, **fields}))
+        monkeypatch.setattr(gossip, "tell", lambda event, **fields: told.append({"event": event, **fields}))
         regions = ("home", "abroad")  # of zone-0 and zone-1
         node = GatewayNode(parse(settings(0, IPS, 3, Path("/nowhere"), False, regions)), "")
-        node.there.begin()
-        now = node.ground.clock.monotonic()
+        node.membership.begin()
+        now = node.runtime.clock.monotonic()
         for n in (1, 2):
             member = Member(f"gateway-{n}", (IPS[n], 1), n % 2)
-            node.there.swim.known[member.name] = Known(Update(State.ALIVE, member, 1), now)
-        node.there.swim.others = None
+            node.membership.swim.known[member.name] = Known(Update(State.ALIVE, member, 1), now)
+        node.membership.swim.others = None
         for _ in range(3):
-            node.tidings.word(now, IPS[1], Word(1, 0, region="home"))  # it stands in zone-1
-            node.tidings.word(now, IPS[2], Word(1, 0, region="home"))
-            node.tidings.word(now, IPS[1], Word(1, 0))  # a word that is not whole says nothing of it
+            node.gossip.word(now, IPS[1], Word(1, 0, region="home"))  # it stands in zone-1
+            node.gossip.word(now, IPS[2], Word(1, 0, region="home"))
+            node.gossip.word(now, IPS[1], Word(1, 0))  # a word that is not whole says nothing of it
         assert [(row["name"], row["zone"], row["region"], row["by_zone"]) for row in told] == [
             ("gateway-1", "zone-1", "home", "abroad")
         ]
-        node.tidings.word(now, IPS[1], Word(1, 0, region="abroad"))
+        node.gossip.word(now, IPS[1], Word(1, 0, region="abroad"))
         assert len(told) == 1
 
     asyncio.run(whole())
--- a/tests/lab/test_souring.py
+++ b/tests/lab/test_souring.py
@@ -11,7 +11,7 @@
 
 from coralvale.cli import main as command
 from coralvale.cluster.errors import Problem
-from coralvale.cluster.routing import way
+from coralvale.cluster.routing import router
 from coralvale.lab import souring
 from coralvale.lab.model import LabError
 
@@ -51,24 +51,24 @@
     assert souring.World(made, 5).play() == souring.World(made, 5).play()
 
 
-class SendsAgain(way.Router):
+class SendsAgain(router.Router):
     """A booking whose answer was lost is sent again."""
 
-    def ended(self, now: float, job: way.Job, *rest: Any) -> Problem | None:
+    def ended(self, now: float, job: router.Job, *rest: Any) -> Problem | None:
         super().ended(now, job, *rest)
-        return None if job.tries < 3 else Problem(way.Kind.MAYBE_RUN)
+        return None if job.tries < 3 else Problem(router.Kind.MAYBE_RUN)
 
 
-class Promises(way.Router):
+class Promises(router.Router):
     """What may have run is refused with a promise that it has not."""
 
-    def _failed(self, now: float, job: way.Job, why: str) -> Problem:
-        return Problem(way.Kind.NOT_RUN, why)
+    def _failed(self, now: float, job: router.Job, why: str) -> Problem:
+        return Problem(router.Kind.NOT_RUN, why)
 
 
 @pytest.mark.parametrize("kind", [SendsAgain, Promises])
 def test_the_observer_sees_a_booking_that_is_doubled_or_promised(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, kind: type[way.Router]
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, kind: type[router.Router]
 ) -> None:
     made = souring.load(day(tmp_path))
     souring.World(made, 1).play()
