--- a/benchmarks/two_regions.py
+++ b/benchmarks/two_regions.py
@@ -2,7 +2,7 @@
 
   python benchmarks/two_regions.py SITE --abroad 1 > copy.toml       the site file, with as many zones abroad
   python benchmarks/two_regions.py SITE --day busy|nodes|core        a day of that site's busiest traffic: nothing
-                                                                     else, nodes killed, the core's holder lost
+                                                                     else, nodes killed, the core's leader lost
 
 Made when it is wanted, never kept. The bindings are in the system's own file, as the users' operator cannot write
 them into a configuration: `myrtlehatch run --regions FILE`.
--- a/coralvale/cluster/commands.py
+++ b/coralvale/cluster/commands.py
@@ -105,10 +105,11 @@
 def _table(found: dict[str, Any]) -> str:
     from coralvale.cluster.rate_limit.shares import CELLS
 
+    leader = found.get("leader", found.get("holder"))  # a gateway of the version before has the other name
     lines = [
         f"{found['name']} ({found['zone']}): {'ready' if found['ready'] else 'not ready'}, "
         f"version {found['version']}, {found['open']} requests in hand",
-        f"core: view {found['view']}, holder {found['holder'] or 'none'}, members {', '.join(found['core'])}",
+        f"core: view {found['view']}, leader {leader or 'none'}, members {', '.join(found['core'])}",
         f"quotas: {found['shares']['cells']} of {CELLS} cells by table {found['shares']['version']}",
         f"{'gateway':<28} {'state':<9} {'heard s':>8}",
     ]
--- a/coralvale/cluster/configuration/history.py
+++ b/coralvale/cluster/configuration/history.py
@@ -1,6 +1,6 @@
 """What the changes, delivered in their one order, lead to: the configuration, and which changes were taken.
 
-The same at every member, since it depends on nothing but the changes. `consider` is what the holder asks
+The same at every member, since it depends on nothing but the changes. `consider` is what the leader asks
 before it orders a change, `deliver` what every member does with it; both judge alike, so a change that lost
 its race, or is invalid, has no effect wherever it stands.
 """
--- a/coralvale/cluster/server/changes.py
+++ b/coralvale/cluster/server/changes.py
@@ -24,7 +24,7 @@
 ASK_FOR = 1.0  # s for which a question for news is kept when there is none
 LOST_AFTER = 0.25  # s between looks at whether the one that is asked is cut off itself
 LATE = 0.8  # s more, after which the one that was asked is taken for cut off
-PASSED_ON = 0.9  # s that the holder is given for an operator's call
+PASSED_ON = 0.9  # s that the leader is given for an operator's call
 LARGE = 4.0  # s more for each 10 MB of it
 
 
--- a/coralvale/cluster/server/figures.py
+++ b/coralvale/cluster/server/figures.py
@@ -35,7 +35,7 @@
     def collect(self) -> Iterator[Any]:
         o = self.node
         now = o.runtime.clock.monotonic()
-        view, holder, core = o.core.known()
+        view, leader, core = o.core.known()
         for name, says, value in (
             ("ready", "1 while the platform may send new connections", float(o.is_ready())),
             (
@@ -45,7 +45,8 @@
             ),
             ("view", "of the core, the newest that is known of", float(view)),
             ("core_members", "machines that hold the state", float(len(core))),
-            ("core_holder_known", "1 while the holder of the view is known", float(bool(holder))),
+            ("core_leader_known", "1 while the leader of the view is known", float(bool(leader))),
+            ("core_holder_known", "the same, for one version more", float(bool(leader))),
             ("voter", "1 where this gateway's disk votes", float(o.core.role() in ("voter", "changing"))),
             ("gateways", "that are taken to serve", float(o.gateways())),
             ("requests_open", "requests in hand", float(len(o.edge.open))),
--- a/coralvale/cluster/server/gossip.py
+++ b/coralvale/cluster/server/gossip.py
@@ -92,7 +92,7 @@
             self.limiter.step(now)
             self.copies.fade()
             self.tell_health(self.copies.weigh(now))
-            view, holder, core = self.core.known()
+            view, leader, core = self.core.known()
             use, whole = self.limiter.told(now)
             if (view, core) != told_core:
                 told_core, told_at = (view, core), now
@@ -102,7 +102,7 @@
                 self.changes.configuration.version,
                 self.register.digest,
                 view,
-                holder,
+                leader,
                 core if whole or now - told_at < CORE_NEWS else (),
                 pack_use(use),
                 whole,
@@ -287,6 +287,6 @@
             self.copies.hear(now, ip, unpack_out(word.out))
         unknown = self.register.beats(now, word.beats)
         view, _, core = self.core.heard
-        if word.view > view or (word.view == view and word.holder):
-            self.core.heard = (word.view, word.holder, word.core or core)
+        if word.view > view or (word.view == view and word.leader):
+            self.core.heard = (word.view, word.leader, word.core or core)
         self.arrivals.compare(now, ip, word.digest, unknown)
--- a/coralvale/cluster/server/messages.py
+++ b/coralvale/cluster/server/messages.py
@@ -58,7 +58,7 @@
 
 
 class Call(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """An operator's change, or (None) a reading of the newest configuration, passed on to the holder."""
+    """An operator's change, or (None) a reading of the newest configuration, passed on to the leader."""
 
     number: int
     change: Change | None = None
@@ -148,7 +148,7 @@
     version: int  # of the configuration
     digest: int  # of the register of hosts
     view: int = 0
-    holder: str = ""  # its address
+    leader: str = ""  # its address
     core: tuple[str, ...] = ()  # addresses of the members of the view; now and then, they seldom change
     use: bytes = b""  # of tenants' quotas: `pack_use`
     whole: bool = True  # it tells of all tenants; else of those of whom there is news
--- a/coralvale/cluster/server/status.py
+++ b/coralvale/cluster/server/status.py
@@ -13,7 +13,7 @@
 def status(o: GatewayNode) -> bytes:
     now, limiter = o.runtime.clock.monotonic(), o.limiter
     usage, holding = limiter.usage, limiter.holding
-    view, holder, core = o.core.known()
+    view, leader, core = o.core.known()
     sent: dict[str, float] = {}
     for copy in o.copies.copies.values():
         sent[copy.life.row.svc] = sent.get(copy.life.row.svc, 0.0) + copy.recent
@@ -67,7 +67,8 @@
         "version": o.changes.configuration.version,
         "open": len(o.edge.open),
         "view": view,
-        "holder": holder,
+        "leader": leader,
+        "holder": leader,  # its name before, for one version more
         "core": list(core),
         "replica": o.core.role(),
         "shares": {
