--- a/tests/cluster/test_edge.py
+++ b/tests/cluster/test_edge.py
@@ -8,6 +8,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
+import pytest
 from quota_world import alone
 from test_configuration import WHOLE, changed
 
@@ -21,6 +22,7 @@
 from coralvale.cluster.server.hosts import Hosts
 from coralvale.cluster.settings import Bounds
 from coralvale.net.clock import Clock
+from coralvale.net.server import Bounds as ClientBounds
 from coralvale.net.transport import Attempt
 from coralvale.net.upstream import Pool
 from coralvale.standins.peer import Arrived, Peer
@@ -362,6 +364,38 @@
     play(1, scene)
 
 
+@pytest.mark.parametrize("cause", ["idle", "end", "room", "bound"])
+def test_a_request_on_a_kept_connection_is_answered_before_that_is_closed(cause: str) -> None:
+    """Whatever makes a gateway close its connections meanwhile; what was passed on to a host has an answer."""
+
+    async def scene(s: Scene) -> None:
+        reader, writer = await s.connect()
+        for number, path in enumerate((READ, BOOK, READ)):
+            writer.write(request_bytes(path, f"r-{number}", b"body"))
+            arrived = await next_of(s)
+            if number == 2:
+                if cause == "idle":  # what stands idle is closed at once
+                    s.server.bounds = ClientBounds(idle=0.0, partial=0.0)
+                    s.server._sweep()
+                elif cause == "end":  # SIGTERM
+                    s.server.drain()
+                    s.server.close_idle()
+                    s.server.stop_accepting()
+                elif cause == "room":  # new connections want places
+                    s.server.most = 1
+                    s.server.close_idle()
+                else:  # a configuration whose bounds the request is past
+                    s.server.bounds = ClientBounds(head=1, body=1, idle=0.0)
+                    s.server._sweep()
+            arrived.reply(reply(f"r-{number}", b"whole"))
+            found = await asyncio.wait_for(read_message(reader), 10.0)
+            assert (found.status, found.body) == (200, b"whole")
+            assert found.headers[b"x-myrtlehatch-request-id"] == b"r-%d" % number
+        writer.close()
+
+    play(1, scene)
+
+
 def test_a_hosts_failure_keeps_its_status_beside_its_seal() -> None:
     async def scene(s: Scene) -> None:
         for status in (500, 503):
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -5,10 +5,32 @@
 import asyncio
 import os
 import socket
+import struct
 from collections.abc import Awaitable, Callable
+from typing import Any
 
+import pytest
+
+from coralvale.cluster.consensus.messages import Member
+from coralvale.cluster.registry.register import Row
 from coralvale.cluster.server import peers
-from coralvale.cluster.server.messages import Ask, Gossip, Noted, Parcel, Pull, Told
+from coralvale.cluster.server.messages import (
+    Answer,
+    Ask,
+    Call,
+    ClaimShares,
+    Gossip,
+    Nominate,
+    Nominee,
+    Noted,
+    Parcel,
+    Pull,
+    Reply,
+    Rows,
+    Shares,
+    Told,
+    framed,
+)
 from coralvale.cluster.server.peers import Frames, Peers
 
 LONG = 20.0  # s, far past all that is waited for
@@ -160,3 +182,69 @@
         assert not here.pacing
 
     play(scene)
+
+
+# Each question between gateways, with the one answer that it may get.
+EXCHANGES: tuple[tuple[Parcel, Answer], ...] = (
+    (Ask(5, 3), Told(5, None, False, True)),
+    (Call(5, None), Reply(5, 200, b"{}")),
+    (Pull(5, (1, 2)), Rows(5, [Row("i-1", "s", "10.0.0.1", 80, "z", "v", 4, 1, 0.0, 1)])),
+    (Nominate(5, Member("d1", "core", "10.0.0.1")), Nominee(5, "d1")),
+    (ClaimShares(5, 2), Shares(5, True, b"table", 1.0)),
+    (Pull(5), Noted(5)),
+)
+
+
+class Resetting(asyncio.Protocol):
+    """Resets its connection after so many bytes that it read, or wrote of an answer; then another connection
+    is served in order."""
+
+    cut: int | None = None
+    in_question = True
+    answer = b""
+
+    def connection_made(self, transport: Any) -> None:  # noqa: ANN401
+        self.transport, self.read = transport, 0
+
+    def data_received(self, data: bytes) -> None:
+        self.read += len(data)
+        kind = type(self)
+        if kind.cut is None:
+            self.transport.write(kind.answer)
+        elif not kind.in_question or self.read > kind.cut:
+            if not kind.in_question:
+                self.transport.write(kind.answer[: kind.cut])
+            self.transport.get_extra_info("socket").setsockopt(
+                socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
+            )
+            asyncio.get_running_loop().call_soon(self.transport.abort)
+
+
+@pytest.mark.parametrize("question, answer", EXCHANGES)
+def test_a_reset_at_any_byte_of_an_exchange_gives_its_answer_or_none(
+    question: Parcel, answer: Answer, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """Never a part of one, nor another's; and the link serves the next question."""
+    monkeypatch.setattr(peers, "PAUSE", 0.0)
+    whole = framed(answer)
+
+    async def scene(here: Peers, there: str, silent: str) -> None:
+        ip = f"{silent[:-1]}5"
+        listener = await asyncio.get_running_loop().create_server(Resetting, ip, here.port)
+        link = here.link(ip)
+        cuts = [(True, n) for n in range(len(framed(question)))] + [(False, n) for n in range(len(whole) + 1)]
+        for in_question, cut in cuts:
+            Resetting.cut, Resetting.in_question, Resetting.answer = cut, in_question, whole
+            found = await link.request(5, question, LONG)
+            assert found is None or (found == answer and cut == len(whole)), (in_question, cut)
+            while link.frames:  # the reset has been seen
+                await asyncio.sleep(0)
+            Resetting.cut = None
+            assert await link.request(5, question, LONG) == answer
+            link.reset()
+            while link.frames:
+                await asyncio.sleep(0)
+        assert not link.waiting
+        listener.close()
+
+    play(scene)
