--- a/experiments/rollout/stored_files.py
+++ b/experiments/rollout/stored_files.py
@@ -1,12 +1,13 @@
-"""Checks that a version reads the files, settings and handed-over state of another one, and the other way round.
+"""Checks that a version reads the files, settings and state of another one, and the other way round.
 
     python experiments/rollout/stored_files.py --old FOLDER --new FOLDER
 
-FOLDER is the root of a copy of the repository. A gateway of the old version writes a journal of attempts, a ledger
-and a spool of syslog messages; both versions' commands must print the same of them. A gateway of the new version
-goes on with the same directories and delivers what the old one had spooled; the old version's commands must read what
-it adds. One process then takes over from the other under requests, in both directions. Example settings must give
-both versions the same answer. Prints one JSON line; the exit code is 1 where a check failed. Only loopback is used.
+FOLDER is the root of a copy of the repository. A gateway of the old version writes a journal of attempts, a
+ledger and a spool of syslog messages; the commands of both versions must print the same of them. A gateway of the
+new version goes on with the same directories and delivers what the old one had spooled; the commands of the old
+version must read what it adds. One process then takes over from the other under requests, in both directions.
+Example settings must give both versions the same answer. Prints one JSON line; the exit code is 1 where a check
+failed. Only loopback addresses are used.
 """
 
 from __future__ import annotations
