--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -37,7 +37,7 @@
 
 from coralvale import interface as api  # noqa: E402
 from coralvale.allowance.model import Ceiling  # noqa: E402
-from coralvale.restrictor import STEP, Restrictor  # noqa: E402
+from coralvale.restrictor import STEP_S, Restrictor  # noqa: E402
 
 QUOTA = Ceiling(10.0, 20.0)
 PLAN = api.Plan("federal", QUOTA.rate, QUOTA.burst, excess_cost=0.8)
@@ -113,15 +113,15 @@
     def ask(self, now: float) -> bool:
         while now >= self.step_at:
             self.restrictor.step(self.step_at)
-            self.step_at += STEP
+            self.step_at += STEP_S
         self.restrictor.drain(now)
         room = not self.restrictor.wait(1.0)
         if room:
             self.restrictor.charge(1.0)
             self.meter.note(now)
             if (reading := self.meter.read(now)) is not None:
-                self.restrictor.reading, self.restrictor.heard_at = reading, now
-        self.restrictor.note(now, 1.0)
+                self.restrictor.reading, self.restrictor.reading_at = reading, now
+        self.restrictor.record_demand(now, 1.0)
         return room
 
 
--- a/coralvale/cluster/rate_limit/limiter.py
+++ b/coralvale/cluster/rate_limit/limiter.py
@@ -128,7 +128,7 @@
         elif tenant.rate != rate or tenant.burst != burst:
             self._change_terms(now, tenant, rate, burst)
         elif tenant.bucket.entries != self.count:
-            tenant.bucket.settle(tenant.bucket.plan, self.count)
+            tenant.bucket.set_plan(tenant.bucket.plan, self.count)
         if tenant.table != self.holding.changes:
             self._follow_table(now, tenant)
         return tenant
@@ -153,7 +153,7 @@
     def _change_terms(self, now: float, tenant: Tenant, rate: float, burst: float) -> None:
         bucket, scale = tenant.bucket, rate / tenant.rate
         bucket.drain(now)
-        bucket.settle(api.Plan(tenant.name, rate, max(1.0, burst), excess_cost=1.0), self.count)
+        bucket.set_plan(api.Plan(tenant.name, rate, max(1.0, burst), excess_cost=1.0), self.count)
         bucket.rate = max(bucket.floor, min(bucket.rate * scale, rate))
         tenant.rate, tenant.burst = rate, burst
         tenant.quota = Quota.of(self.cells, rate, burst)
@@ -264,6 +264,6 @@
     def _rate(self, now: float, tenant: Tenant) -> None:
         """A new leak rate."""
         bucket = tenant.bucket
-        bucket.heard(now, tenant.use / bucket.plan.rate)
+        bucket.record_reading(now, tenant.use / bucket.plan.rate)
         bucket.own_late = tenant.mine  # as old as the reading is
         bucket.step(now)
--- a/coralvale/cluster/routing/copies.py
+++ b/coralvale/cluster/routing/copies.py
@@ -58,11 +58,11 @@
     def there(self, now: float) -> float:
         """Requests that are taken to be there: what all gateways have out, or what it told itself lately."""
         told = self.load * math.pow(0.5, max(0.0, now - self.load_at) / NEWS) - TOLD_LESS
-        return max(float(len(self.out) + self.elsewhere), told)
+        return max(float(len(self.in_flight) + self.elsewhere), told)
 
     def expected(self, now: float) -> float:
         """How much longer than on an idle copy of the usual speed a request is expected to take there."""
-        slow = float(self.slowness(now))
+        slow = float(self.relative_delay(now))
         if now < self.life.warm_at:
             slow = max(slow, COLD)
         over = max(0.0, self.there(now) + 1 - self.slots) / self.slots
@@ -98,7 +98,7 @@
 
     def out(self) -> list[tuple[int, int]]:
         """This gateway's: marks of copies, and tries out there."""
-        return [(number, len(copy.out)) for number, copy in self.marks.items() if copy.out]
+        return [(number, len(copy.in_flight)) for number, copy in self.marks.items() if copy.in_flight]
 
     def hear(self, now: float, gateway: str, out: Iterable[tuple[int, int]]) -> None:
         """Another's, in place of what it told before. Copies that nothing was sent to from here are met by
@@ -127,7 +127,7 @@
 
     def sweep(self) -> list[Copy]:
         """Forgets lives that the register has forgotten, or that are gone, and returns them."""
-        gone = [c for name, c in self.copies.items() if not self.register.may_serve(name) and not c.out]
+        gone = [c for name, c in self.copies.items() if not self.register.may_serve(name) and not c.in_flight]
         for copy in gone:
             del self.copies[copy.life.id]
             self.marks.pop(copy.mark, None)
@@ -172,9 +172,9 @@
         else:
             some = min(len(near), max(NEAR, DRAWN - len(far)))
             pool = self._drawn(near, some) + self._drawn(far, DRAWN - some)
-        best = self._best(now, [c for c in pool if not c.ill(now, usual)], once)
+        best = self._best(now, [c for c in pool if not c.unhealthy(now, usual)], once)
         if best is None and len(pool) < count:
-            best = self._best(now, [c for c in near + far if not c.ill(now, usual)], once)
+            best = self._best(now, [c for c in near + far if not c.unhealthy(now, usual)], once)
         if chosen := best or self._best(now, pool, once):
             chosen.picked += 1
         return chosen
--- a/coralvale/cluster/routing/router.py
+++ b/coralvale/cluster/routing/router.py
@@ -218,7 +218,7 @@
             self._budget(now, job.service).charge(now)
         job.tries += 1
         job.tried.add(copy.life.id)
-        copy.out[(job.id.decode("latin-1"), job.tries)] = now
+        copy.in_flight[(job.id.decode("latin-1"), job.tries)] = now
         return copy
 
     def patience(self, now: float, job: Job) -> float | None:
@@ -234,17 +234,17 @@
 
     def silent(self, now: float, copy: Copy, sent_at: float) -> bool:
         """Whether a copy has answered nobody since a try was sent there."""
-        return copy.heard_at <= sent_at
+        return copy.answered_at <= sent_at
 
     def unsent(self, job: Job, copy: Copy, number: int) -> None:
         """A try ended before any byte of it was written."""
-        copy.out.pop((job.id.decode("latin-1"), number), None)
+        copy.in_flight.pop((job.id.decode("latin-1"), number), None)
 
     def ended(
         self, now: float, job: Job, copy: Copy, number: int, outcome: Outcome, status: int, delay: float
     ) -> Problem | None:
         """A try has ended. None: try again, or, for OK, its answer is the client's."""
-        copy.out.pop((job.id.decode("latin-1"), number), None)
+        copy.in_flight.pop((job.id.decode("latin-1"), number), None)
         self._learn(now, job, copy, outcome, status, delay)
         if outcome is Outcome.OK and not self._failure(job, status):
             return None
@@ -300,8 +300,8 @@
                 self.copies.watch.note(now, copy.mark, well)
         if outcome is Outcome.OK:
             usual = self.usual_of(job)
-            copy.slow += min(LIGHTEST, 0.1) * (delay / usual - copy.slow)
-            copy.answered(now)
+            copy.delay_ratio += min(LIGHTEST, 0.1) * (delay / usual - copy.delay_ratio)
+            copy.record_answer(now)
             if status in HOST_FAILURES:
                 return
             copy.failures = 0.0 if copy.failures < 1 else copy.failures / 2
@@ -310,12 +310,12 @@
             pace = self.pace.get(job.service, usual)
             self.pace[job.service] = pace + LEARNING * (delay * cool - pace)
         elif outcome is Outcome.FULL:
-            copy.answered(now)
-            copy.failed(now, WRONG_PLACE if status == 421 else FAIL_PAUSE / 4)
+            copy.record_answer(now)
+            copy.record_failure(now, WRONG_PLACE if status == 421 else FAIL_PAUSE / 4)
         elif outcome is Outcome.CONNECT_FAILED:
-            copy.failed(now, FAIL_PAUSE)
+            copy.record_failure(now, FAIL_PAUSE)
         elif outcome is Outcome.TIMEOUT:
             if self.silent(now, copy, now - delay):
-                copy.failed(now, FAIL_PAUSE)
+                copy.record_failure(now, FAIL_PAUSE)
         elif outcome in (Outcome.RESET, Outcome.ERROR):
-            copy.broke(now, FAIL_PAUSE)
+            copy.record_break(now, FAIL_PAUSE)
--- a/coralvale/cluster/server/status.py
+++ b/coralvale/cluster/server/status.py
@@ -32,7 +32,7 @@
                 "state": life.state.name.lower(),
                 "heard": now - life.heard,
                 "load": known.load if known else 0.0,
-                "slow": float(known.slowness(now)) if known else 1.0,
+                "slow": float(known.relative_delay(now)) if known else 1.0,
                 "health": o.copies.watch.verdict(known.mark).name.lower() if known else "well",
                 "for": now - since if since else 0.0,
                 "ill": ill,
--- a/coralvale/control/quotas.py
+++ b/coralvale/control/quotas.py
@@ -41,7 +41,7 @@
 from coralvale.allowance.escrow import Escrow
 from coralvale.allowance.leases import Leases
 from coralvale.allowance.model import Ceiling
-from coralvale.restrictor import STEP, Restrictor
+from coralvale.restrictor import STEP_S, Restrictor
 
 BucketId = tuple[tuple[str, str], ...]  # the sorted pairs of envoy.service.rate_limit_quota.v3.BucketId
 SPARE = 0.05  # share of a ceiling that is not given away as rate, so that the level fills and shares can move
@@ -175,7 +175,7 @@
         self.leases = leases
         self.stations: dict[tuple[str, int], Station] = {}
         self.buckets = 0
-        self.step_at = born + STEP
+        self.step_at = born + STEP_S
         self.distrusted = 0  # reports with a number that cannot be
 
     # In
@@ -242,14 +242,14 @@
         """The station's proxies have changed: the floor of each is the quota split anew."""
         for share in station.shares.values():
             restrictor = share.restrictor
-            restrictor.settle(station.plan, len(station.shares))
+            restrictor.set_plan(station.plan, len(station.shares))
             restrictor.rate = max(restrictor.floor, min(restrictor.rate, station.plan.rate))
 
     def tick(self, now: float) -> list[tuple[int, Assign | Abandon]]:
         """To be called often: steps the rates each second, renews, forgets. Returns (stream, action)."""
         if now < self.step_at:
             return []
-        self.step_at = max(self.step_at + STEP, now)
+        self.step_at = max(self.step_at + STEP_S, now)
         actions: list[tuple[int, Assign | Abandon]] = []
         for key, station in list(self.stations.items()):
             station.advance(now)
@@ -262,11 +262,11 @@
             use = sum(share.used for share in station.shares.values())
             if station.escrow:
                 asked = sum(share.asked for share in station.shares.values())
-                station.escrow.heard(now, asked, max(0.0, asked - use), asked * STEP)
+                station.escrow.heard(now, asked, max(0.0, asked - use), asked * STEP_S)
             for share in station.shares.values():
-                share.restrictor.passed = share.used * STEP
+                share.restrictor.passed = share.used * STEP_S
                 share.restrictor.reading = use / station.plan.rate if station.plan.rate else 0.0
-                share.restrictor.heard_at = now
+                share.restrictor.reading_at = now
                 share.restrictor.step(now)
             for stream, share in station.shares.items():
                 if now - share.heard_at <= self.ttl:
--- a/coralvale/control/roster.py
+++ b/coralvale/control/roster.py
@@ -13,7 +13,7 @@
                                                       a drain of the same life of a host stays one even then
 
 Weights are size times warmth, the share of its full capacity that a cold host surely has by the decisions' own
-figures (`Host.warmth` in coralvale/health.py). Every proxy gives a host that share of its own requests, so all
+figures (`Host.warmup` in coralvale/health.py). Every proxy gives a host that share of its own requests, so all
 proxies together keep it under its multiple, however many they are; a weight that comes late is one that was
 surely right earlier, hence lower, and errs on the cold host's side.
 """
@@ -106,7 +106,7 @@
 
     def _place(self, now: float, host: Host) -> Placed:
         info = api.Server(host.id, api.ServerState.HEALTHY, host.scale, started_at=host.started_at)
-        warmth = Known(info, now).warmth(self.settings, now)
+        warmth = Known(info, now).warmup(self.settings, now)
         weight = math.floor(UNIT * max(host.scale, 0.01) * warmth)
         return Placed(host, min(max(1, weight), MOST // max(1, len(self.hosts))), cold=warmth < 1)
 
--- a/coralvale/handover.py
+++ b/coralvale/handover.py
@@ -1,11 +1,11 @@
 """What one process of a gateway hands to the next, so that both together keep to one gateway's limits.
 
-No input or output here. `give` takes the state out of a gateway that goes on for a while, for the requests
-that still reach it on kept connections; `take` puts it into the one that follows. What is left of a ceiling
-is split in halves: the old process spends its half, gets no more and loses the rest after `HOLD`; the new one
-has the other half and all that comes after, and its store is smaller by the old one's half for as long. So
-at every moment the stores of all processes together hold one burst at most and fill at one rate, and they
-never let in more than one would. A quota, which is soft, is known to both as it stands.
+No input or output here. `export_state` takes the state out of a gateway that keeps serving requests on its open
+connections for a while; `import_state` puts it into the one that follows. What is left of a ceiling is split in
+halves: the old process spends its half, gets no refill and loses the rest after `HOLD`; the new process has the
+other half and the whole refill, and its store is smaller by the old one's half for as long. So at every moment
+the stores of all processes together hold at most one burst and fill at one rate, and they never admit more than
+one process would. A quota, which is soft, is copied to both as it stands.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 KEPT = 0.5  # share of each ceiling that the old process keeps for the requests that still come to it
 HOLD = 12.0  # s for which it may spend that: it lives for as long at the most (net/node.py, LEFT)
 CUSTOMER = (
-    "rate", "fill", "at", "seen_at", "passed", "own", "own_late", "use", "reading", "heard_at", "asking",
+    "rate", "fill", "at", "seen_at", "passed", "own", "own_late", "use", "reading", "reading_at", "asking",
     "asked_at", "ceiling", "checks", "known", "known_at", "lent", "lent_until", "left",
     "left_at",
 )  # fmt: skip
-HOST = ("slow", "heard_at", "failures", "retry_at", "breaks", "back_at")
+HOST = ("delay_ratio", "answered_at", "failures", "retry_at", "breaks", "back_at")
 MOST = 200_000  # customers that are taken: what comes is another process's, and must not fill this one
 
 
-def give(gateway: Gateway, now: float) -> dict[str, Any]:
+def export_state(gateway: Gateway, now: float) -> dict[str, Any]:
     """The state for the next process. From now on this gateway spends what it has kept, and no more."""
     plans: dict[int, Any] = {id(plan): i for i, plan in enumerate(gateway.settings.plans)}
     customers = []
@@ -60,7 +60,7 @@
         "usual": gateway.usual,
         "calm": gateway.calm,
         "retries": gateway.retries,
-        "trust": [gateway.tally.trust, gateway.tally.told_at],
+        "trust": [gateway.counter.trust, gateway.counter.told_at],
         "done": [gateway.done.gap, gateway.done.at],
         "customers": customers,
         "hosts": hosts,
@@ -70,7 +70,7 @@
     return state
 
 
-def keep(gateway: Gateway, now: float) -> None:
+def resume(gateway: Gateway, now: float) -> None:
     """The next process came to nothing: all that comes from now on is this gateway's again."""
     gateway.born = now
     for restrictor in gateway.customers.values():
@@ -78,7 +78,7 @@
         restrictor.ceiling, restrictor.kept = max(restrictor.ceiling, 0.0), None
 
 
-def take(gateway: Gateway, now: float, state: dict[str, Any]) -> int:
+def import_state(gateway: Gateway, now: float, state: dict[str, Any]) -> int:
     """Goes on from what another process gave; returns the number of its customers.
 
     Raises ValueError, and changes nothing, if the state cannot be used.
@@ -106,7 +106,7 @@
         raise ValueError(f"a state that cannot be used: {error!r}") from None
     gateway.usual, gateway.calm, gateway.born, gateway.retries = usual, calm, born, retries
     gateway.mean = sum(usual) / len(usual)
-    gateway.tally.trust, gateway.tally.told_at = trust, told_at
+    gateway.counter.trust, gateway.counter.told_at = trust, told_at
     gateway.done.gap, gateway.done.at = gap, at
     gateway.customers.update(customers)
     for name, (started, row) in hosts.items():
--- a/coralvale/health.py
+++ b/coralvale/health.py
@@ -20,8 +20,8 @@
 
     def __init__(self, info: api.Server, now: float) -> None:
         self.info, self.scale = info, max(info.scale, 0.01)
-        self.out: dict[tuple[str, int], float] = {}  # attempts out, oldest first
-        self.slow, self.heard_at = 1.0, now  # its delay over the fleet's for the same class
+        self.in_flight: dict[tuple[str, int], float] = {}  # attempts out, oldest first
+        self.delay_ratio, self.answered_at = 1.0, now  # its delay over the fleet's for the same class
         self.failures, self.retry_at = 0.0, 0.0
         self.breaks = 0  # connections that broke since its last answer
         self.reported, self.reported_at = 0.0, -math.inf
@@ -31,7 +31,7 @@
         """When it last started, as far as is known: one given back by hand may have restarted unseen."""
         return max(self.info.started_at, self.back_at)
 
-    def warmth(self, settings: api.Settings, now: float) -> float:
+    def warmup(self, settings: api.Settings, now: float) -> float:
         """Share of its full capacity that a server surely has: never slower than evenly over the ramp."""
         if not self.started_at() or not settings.warm_after:
             return 1.0
@@ -41,42 +41,47 @@
     def waiting(self, now: float, usual: float) -> list[float]:
         """When the attempts out were sent, but for lost ones: long overdue, and later ones were answered."""
         lost = now - LOST * usual
-        return [at for at in self.out.values() if at >= lost or at >= self.heard_at]
+        return [at for at in self.in_flight.values() if at >= lost or at >= self.answered_at]
 
     def silence(self, now: float, usual: float) -> float:
         """Seconds for which it has left attempts without any answer."""
         waiting = self.waiting(now, usual)
-        return now - max(self.heard_at, waiting[0]) if waiting else 0.0
+        return now - max(self.answered_at, waiting[0]) if waiting else 0.0
 
-    def slowness(self, now: float) -> float:
-        return 1 + (self.slow - 1) * 0.5 ** ((now - self.heard_at) / NEWS)
+    def relative_delay(self, now: float) -> float:
+        return 1 + (self.delay_ratio - 1) * 0.5 ** ((now - self.answered_at) / NEWS)
 
-    def ill(self, now: float, usual: float) -> bool:
+    def unhealthy(self, now: float, usual: float) -> bool:
         """Stalled, crashed, hung, ageing and refusing servers look alike: no answers in time, or bad ones."""
-        late = self.silence(now, usual) * min(len(self.out), SILENCE) > SILENCE * usual * max(1.0, self.slow)
-        return late or now < self.retry_at or (self.failures >= 1 and bool(self.out))  # back: tried singly
-
-    def failed(self, now: float, pause: float) -> None:
+        late = self.silence(now, usual) * min(len(self.in_flight), SILENCE) > SILENCE * usual * max(
+            1.0, self.delay_ratio
+        )
+        return (
+            late or now < self.retry_at or (self.failures >= 1 and bool(self.in_flight))
+        )  # back: tried singly
+
+    def record_failure(self, now: float, pause: float) -> None:
         self.retry_at = max(self.retry_at, now + pause * 2**self.failures)
         self.failures = min(self.failures + 1, 4)
 
-    def broke(self, now: float, pause: float) -> None:
-        """A lost connection is no lost server: idle limits, resets on the way and single faults break some.
+    def record_break(self, now: float, pause: float) -> None:
+        """Counts a connection that broke; a failure only from the `BREAKS`th in a row.
 
-        A server that dies breaks all that is out at once, or takes no new connection: that is `failed`. This
-        does harm where one resets all that it is sent but is sent little: it has cost three attempts by then.
+        Idle limits, resets on the way and single faults break connections to healthy servers. A server that
+        dies breaks all connections at once or accepts no new one (`record_failure`). This rule does harm
+        where a server resets all that it is sent but is sent little: by then it has cost three attempts.
         """
         self.breaks += 1
         if self.breaks >= BREAKS:
-            self.failed(now, pause)
+            self.record_failure(now, pause)
 
-    def tell(self, now: float, report: dict[str, float]) -> None:
+    def record_report(self, now: float, report: dict[str, float]) -> None:
         """Takes what it says of its own load."""
         if held := [v for name, v in report.items() if name in ("inflight", "queue") and math.isfinite(v)]:
             self.reported, self.reported_at = max(held), now
 
-    def answered(self, now: float) -> None:
-        self.heard_at, self.breaks = now, 0
+    def record_answer(self, now: float) -> None:
+        self.answered_at, self.breaks = now, 0
 
 
 class Fleet:
@@ -118,11 +123,11 @@
         return len(self.hosts) - sum(now >= host.retry_at for host in self.usable())
 
 
-class Near:
+class ServerSubset:
     """The few servers that a gateway keeps to, so that its few attempts tell something of each."""
 
-    def __init__(self, lots: random.Random) -> None:
-        self.lots, self.move_at = lots, 0.0
+    def __init__(self, rng: random.Random) -> None:
+        self.rng, self.move_at = rng, 0.0
         self.hosts: list[Host] = []
 
     def renew(self, before: list[Host], warm: list[Host], size: int) -> None:
@@ -134,27 +139,27 @@
             self.hosts = list(warm)
             return
         here, known, every = set(warm), set(before), sum(h.scale for h in warm)
-        new = [h for h in warm if h not in known and self.lots.random() < size * h.scale / every][:size]
+        new = [h for h in warm if h not in known and self.rng.random() < size * h.scale / every][:size]
         old = [h for h in self.hosts if h in here and h not in new]
-        self.hosts = self.lots.sample(old, min(len(old), size - len(new))) + new
+        self.hosts = self.rng.sample(old, min(len(old), size - len(new))) + new
         self.hosts += self._draw(warm, size - len(self.hosts))
 
     def step(self, now: float, warm: list[Host], usual: float) -> None:
         """Leaves the worst server for any other: at once where it is ill, else now and then."""
         if len(self.hosts) < len(warm):
-            worst = max(self.hosts, key=lambda h: (h.ill(now, usual), h.slowness(now)))
-            if now >= self.move_at or worst.ill(now, usual):
+            worst = max(self.hosts, key=lambda h: (h.unhealthy(now, usual), h.relative_delay(now)))
+            if now >= self.move_at or worst.unhealthy(now, usual):
                 self.move_at = now + MOVE
                 self.hosts.remove(worst)
                 self.hosts += self._draw(warm, 1)
 
     def _draw(self, warm: list[Host], size: int) -> list[Host]:
-        return self.lots.choices(warm, weights=[h.scale for h in warm], k=size)
+        return self.rng.choices(warm, weights=[h.scale for h in warm], k=size)
 
 
 def by_lot(warm: list[Host], cold: list[Host], lot: float, settings: api.Settings, now: float) -> Host | None:
     """The cold server that a lot from 0 to 1 falls on, or None if it falls on the warm ones."""
-    shares = [host.scale * host.warmth(settings, now) for host in cold]
+    shares = [host.scale * host.warmup(settings, now) for host in cold]
     full, every = sum(h.scale for h in warm), sum(h.scale for h in warm + cold)
     lot *= max(every / SPREAD, full + sum(shares))
     for host, share in zip(cold, shares, strict=True):
--- a/coralvale/lab/abroad.py
+++ b/coralvale/lab/abroad.py
@@ -286,8 +286,8 @@
         self.down.add(gateway.number)
         for request in sorted(self.open.pop(gateway.number), key=lambda r: r.id):
             for copy in gateway.copies.copies.values():
-                for key in [k for k in copy.out if k[0] == request.id]:
-                    del copy.out[key]
+                for key in [k for k in copy.in_flight if k[0] == request.id]:
+                    del copy.in_flight[key]
             if request.done:
                 continue
             self.figures["cut by a kill"] += 1
--- a/coralvale/lab/souring.py
+++ b/coralvale/lab/souring.py
@@ -261,8 +261,8 @@
             return
         assert request.job
         for copy in self.copies.copies.values():
-            for key in [k for k in copy.out if k[0] == request.id]:
-                self.ended(Try(request, copy, key[1], copy.out[key]), Outcome.TIMEOUT, 0, last=True)
+            for key in [k for k in copy.in_flight if k[0] == request.id]:
+                self.ended(Try(request, copy, key[1], copy.in_flight[key]), Outcome.TIMEOUT, 0, last=True)
         problem = self.router.give_up(self.world.engine.clock, request.job)
         self.world.answered(request, problem.status, problem.promises)
 
@@ -272,7 +272,7 @@
             return
         one.ended = True
         assert request.job
-        if (request.id, one.number) not in one.copy.out:
+        if (request.id, one.number) not in one.copy.in_flight:
             return
         problem = self.router.ended(now, request.job, one.copy, one.number, outcome, status, now - one.sent)
         if request.done or last:
--- a/coralvale/logic.py
+++ b/coralvale/logic.py
@@ -11,11 +11,11 @@
 from typing import Any
 
 from coralvale import interface as api
-from coralvale.health import LOST, NEWS, SILENCE, Fleet, Host, Near, by_lot
+from coralvale.health import LOST, NEWS, SILENCE, Fleet, Host, ServerSubset, by_lot
 from coralvale.interface import Outcome, Repeat, Verdict
-from coralvale.restrictor import QUIET, STEP, Customers, Restrictor
+from coralvale.restrictor import QUIET, STEP_S, Customers, Restrictor
 from coralvale.state import Asked, Attempt, Held, Pace, Refusals
-from coralvale.tally import PATIENCE, TICK, Tally
+from coralvale.tally import REPLY_TIMEOUTS, TICK, Tally
 
 FAIL_PAUSE = 0.5  # s a failing server is passed over, doubled on each failure in a row up to four
 MOST_PAUSE = 8.0  # s that one which answers with errors alone is passed over at most
@@ -44,24 +44,19 @@
         allowance: api.Allowance | None = None,
         terms: api.Terms | None = None,
     ) -> None:
-        self.settings, self.random, self.allowance, self.terms = (
-            settings,
-            random.Random(seed),
-            allowance,
-            terms,
-        )
+        self.settings, self.rng, self.allowance, self.terms = settings, random.Random(seed), allowance, terms
         self.customers, self.fleet = Customers(settings, allowance, terms), Fleet()
-        self.warm, self.cold, self.near = list[Host](), list[Host](), Near(self.random)
+        self.warm, self.cold, self.subset = list[Host](), list[Host](), ServerSubset(self.rng)
         self.sort_at = -math.inf  # when a cold server becomes warm
         self.busy: dict[Host, None] = {}  # servers with attempts out
         self.requests: dict[str, Held] = {}
-        self.checking: dict[str, Asked] = {}
+        self.pending_checks: dict[str, Asked] = {}
         self.usual = [c.aim / 5 for c in settings.classes]  # delay of a class, learned from answers
         self.calm = list(self.usual)  # the lowest that the usual delay has lately been
         self.mean = sum(self.usual) / len(self.usual)
         self.done = Pace(MEMORY)
         self.retries = 1.0
-        self.tally = Tally(settings, self.random)
+        self.counter = Tally(settings, self.rng)
         self.born, self.step_at, self.ask_at = None, 0.0, 0.0
         self.refused, self.actions = Refusals(every=10.0), list[api.Action]()
         self.answers: dict[type, Any] = {
@@ -80,7 +75,7 @@
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         self.actions = []
         if self.born is None:
-            self.born, self.step_at = now, now + STEP * self.random.random()
+            self.born, self.step_at = now, now + STEP_S * self.rng.random()
             self.actions.append(api.SetTimer(0, TICK))
             if self.settings.ask_for_list:
                 self.actions.append(api.FollowList())
@@ -102,10 +97,10 @@
             self._refuse(request, "quota", shared) if shared else self._admit(now, request, restrictor)
         elif not self._ask(now, request, restrictor):
             self._bucket(now, request, restrictor)
-        restrictor.note(now, request.units)
+        restrictor.record_demand(now, request.units)
 
     def _bucket(self, now: float, request: api.Request, restrictor: Restrictor) -> None:
-        if wait := self.tally.wait(now, request, restrictor):
+        if wait := self.counter.wait(now, request, restrictor):
             return self._refuse(request, "quota uncounted", wait)
         if wait := restrictor.wait(request.units):
             return self._refuse(request, "quota", wait)
@@ -120,16 +115,16 @@
             return True
         if self._guarded(now, request, restrictor):
             return True
-        if request.expires_at - now <= (PATIENCE + 1) * self.settings.counter_timeout + TICK:
+        if request.expires_at - now <= (REPLY_TIMEOUTS + 1) * self.settings.counter_timeout + TICK:
             return False
-        if call := self.tally.ask(now, request, restrictor):
+        if call := self.counter.ask(now, request, restrictor):
             self.actions.append(call)
             return True
         return False
 
     def _counted(self, now: float, event: api.CounterReply) -> None:
         """Lets in what the store has room for; without a total in time the bucket alone decides."""
-        if (call := self.tally.answered(now, event)) is None:
+        if (call := self.counter.answered(now, event)) is None:
             self.actions += self.allowance.reply(now, event) if self.allowance else []
             return
         if (request := call.request) is None or (restrictor := call.restrictor) is None:
@@ -137,11 +132,12 @@
         restrictor = self.customers.of(now, request, self.born) if self.terms else restrictor
         restrictor.drain(now)
         if not (event.ok and math.isfinite(event.total) and restrictor.plan.rate):
-            restrictor.note(now, -request.units)  # the bucket judges by what was asked before this request
+            # The bucket judges by the demand before this request.
+            restrictor.record_demand(now, -request.units)
             self._bucket(now, request, restrictor)
-            return restrictor.note(now, request.units)
+            return restrictor.record_demand(now, request.units)
         guarded = self._guarded(now, request, restrictor)
-        wait, right = self.tally.settle(now, call, event.total, self.usual[request.cls], guarded)
+        wait, right = self.counter.settle(now, call, event.total, self.usual[request.cls], guarded)
         self.actions += right
         if guarded:
             return None
@@ -149,8 +145,6 @@
             return self._refuse(request, "quota counted", wait)
         return self._admit(now, request, restrictor, well=True)
 
-    # The guards, then a server
-
     def _guarded(self, now: float, request: api.Request, restrictor: Restrictor) -> bool:
         """Refuses what the quota may have room for, and something else forbids."""
         usual = self.usual[request.cls]
@@ -172,15 +166,15 @@
         if request.check and (wait := restrictor.check_wait(request.units)):
             return self._refuse(request, "quota of checks", wait)
         if not request.check and not self._serve(now, request, restrictor, now):
-            return self._refuse(request, "no server", STEP)
-        self.tally.let(now, request, restrictor, well)
+            return self._refuse(request, "no server", STEP_S)
+        self.counter.let(now, request, restrictor, well)
         filled = restrictor.charge(request.units)
         if self.allowance:
             self.allowance.charge(request, restrictor.plan)
         if request.check:  # its units are kept, or those that wait could pass the quota together
             restrictor.checks += request.units
             epoch = restrictor.wait_with(request.units)
-            self.checking[request.id] = Asked(request, now, restrictor, restrictor.plan, epoch, filled)
+            self.pending_checks[request.id] = Asked(request, now, restrictor, restrictor.plan, epoch, filled)
             self.actions.append(api.Check(request.id))
 
     def _serve(self, now: float, request: api.Request, restrictor: Restrictor, arrived: float) -> bool:
@@ -195,7 +189,7 @@
 
     def _checked(self, now: float, event: api.Checked) -> None:
         """An authoriser's answer: an approval sends the request if that is of use, else all is given back."""
-        if (asked := self.checking.get(event.request)) is None:
+        if (asked := self.pending_checks.get(event.request)) is None:
             return None
         request, restrictor, reason, wait = asked.request, asked.restrictor, "", self.usual[asked.request.cls]
         restrictor.drain(now)
@@ -209,12 +203,12 @@
             elif ceiling := self.customers.still(now, request, restrictor, asked.epoch):
                 reason, wait = "ceiling", ceiling
             elif self._serve(now, request, restrictor, asked.arrived):
-                del self.checking[request.id]
+                del self.pending_checks[request.id]
                 restrictor.go(request.units, asked.epoch)  # the attempt is out in its place
                 return None
             else:
-                reason, wait = "no server", STEP
-        self.customers.give_back(self.checking.pop(request.id))
+                reason, wait = "no server", STEP_S
+        self.customers.give_back(self.pending_checks.pop(request.id))
         return self._refuse(request, reason, wait) if reason else self.actions.append(api.Deny(request.id))
 
     def _pressed(self, now: float, request: api.Request) -> float:
@@ -233,7 +227,7 @@
         if 2 * len(well) < len(self.busy):  # most of a fleet does not hang by chance: that is a jam
             well = list(counts.values())
         rate, lost = self.done.rate(now), len(self.busy) - len(well)
-        servers = len(self.warm) + sum(h.warmth(self.settings, now) for h in self.cold) - lost
+        servers = len(self.warm) + sum(h.warmup(self.settings, now) for h in self.cold) - lost
         wait = (sum(well) + 1) / (rate + 1 / self.mean)
         # Answers late in spite of the forecast (others' load, thrashing servers, work given up) tighten both.
         tight = min(1.0, most / usual)
@@ -245,7 +239,7 @@
 
     def _list(self, now: float, event: api.ServerList) -> None:
         if event.kind is api.ListKind.FAILED:
-            self.ask_at = now + STEP * (0.5 + self.random.random())
+            self.ask_at = now + STEP_S * (0.5 + self.rng.random())
             return
         self.fleet.merge(now, event)
         self.sort_at = -math.inf
@@ -258,12 +252,12 @@
         """Parts warm servers from cold ones when the list has changed or a cold one has become warm."""
         if now >= self.sort_at:
             well = self.fleet.usable()
-            before, self.warm = self.warm, [h for h in well if h.warmth(self.settings, now) >= 1]
-            self.cold = [h for h in well if h.warmth(self.settings, now) < 1]
+            before, self.warm = self.warm, [h for h in well if h.warmup(self.settings, now) >= 1]
+            self.cold = [h for h in well if h.warmup(self.settings, now) < 1]
             ends = [h.started_at() + self.settings.warm_after for h in self.cold]
             self.sort_at = min(ends, default=math.inf)
             size = max(NEAR, 4 * len(self.warm) // self.settings.gateways)
-            self.near.renew(before, self.warm, size)
+            self.subset.renew(before, self.warm, size)
 
     def _pick_cold(self, now: float) -> Host | None:
         """By lot, a cold server gets its surest warmth times its even share of own first attempts.
@@ -271,22 +265,24 @@
         Where most are cold it is up to `SPREAD` times that, as the few warm ones cannot do the rest.
         """
         # No short queue or saved credit counts, so hundreds of gateways add up to that share and no more.
-        host = by_lot(self.warm, self.cold, self.random.random(), self.settings, now) if self.cold else None
-        return None if host is None or host.ill(now, self.mean / host.warmth(self.settings, now)) else host
+        host = by_lot(self.warm, self.cold, self.rng.random(), self.settings, now) if self.cold else None
+        return (
+            None if host is None or host.unhealthy(now, self.mean / host.warmup(self.settings, now)) else host
+        )
 
     def _pick(self, now: float, held: Held | None = None) -> Host | None:
         """Of some near servers drawn by lot, against herding, the one with the least expected wait."""
-        pool = [h for h in self.warm if self._may_go(now, held, h)] if held else self.near.hosts
+        pool = [h for h in self.warm if self._may_go(now, held, h)] if held else self.subset.hosts
         drawn = max(FEWEST, 4 * len(self.warm) // self.settings.gateways)
         if drawn < len(pool):
-            pool = self.random.sample(pool, k=drawn)
+            pool = self.rng.sample(pool, k=drawn)
         best, least = None, math.inf
         for host in pool:
             others = max(0.0, host.reported) if now - host.reported_at < QUIET / 2 else 0.0
-            wait = (1 + (len(host.out) + others) / host.scale) * host.slowness(now)
-            wait *= 1 + 0.1 * self.random.random() + (0.02 if host.info.zone != self.settings.zone else 0)
+            wait = (1 + (len(host.in_flight) + others) / host.scale) * host.relative_delay(now)
+            wait *= 1 + 0.1 * self.rng.random() + (0.02 if host.info.zone != self.settings.zone else 0)
             # Passing over most of a fleet would drown the rest, so ill ones are put last, not left out.
-            if (wait := wait * ILL if host.ill(now, self.mean) else wait) < least:
+            if (wait := wait * ILL if host.unhealthy(now, self.mean) else wait) < least:
                 best, least = host, wait
         return best
 
@@ -302,8 +298,6 @@
             return host.info.zone == first.host.info.zone
         return cls.group is api.Group.ALL or host.info.cell == first.host.info.cell
 
-    # Attempts and answers
-
     def _refuse(self, request: api.Request, reason: str, wait: float) -> None:
         self.refused.note(reason)
         if reason.startswith("quota"):  # another of the customer's gateways may have room, and in time
@@ -312,7 +306,7 @@
         self.actions.append(api.Refuse(request.id, advice, reason))
 
     def _send(self, now: float, held: Held, host: Host) -> None:
-        host.out[held.request.id, len(held.attempts)] = now
+        host.in_flight[held.request.id, len(held.attempts)] = now
         self.busy[host] = None
         held.restrictor.open += 1
         held.attempts.append(Attempt(host, now))
@@ -332,22 +326,23 @@
             self.requests.pop(name, None)
 
     def _leave(self, now: float, event: api.Abandoned | api.StreamStarted) -> None:
-        self.tally.leave(event.request)
-        if asked := self.checking.pop(event.request, None):
+        self.counter.leave(event.request)
+        if asked := self.pending_checks.pop(event.request, None):
             self.customers.give_back(asked)
         if held := self.requests.get(event.request):
             self._close(event.request, held)
 
     def _stream(self, now: float, event: api.StreamStarted) -> None:
         if held := self.requests.get(event.request):
-            held.restrictor.heard(now, event.usage)  # at the end of the answer it would be seconds old
+            # At the end of the answer the reading would be seconds old.
+            held.restrictor.record_reading(now, event.usage)
         self._leave(now, event)
 
     def _handed(self, now: float, event: api.Handed) -> None:
         if held := self.requests.get(event.request):
             host = held.attempts[-1].host
-            host.out.pop((event.request, len(held.attempts) - 1), None)
-            if not host.out:
+            host.in_flight.pop((event.request, len(held.attempts) - 1), None)
+            if not host.in_flight:
                 self.busy.pop(host, None)
 
     def _answer(self, now: float, event: api.AttemptDone) -> None:
@@ -356,11 +351,11 @@
             return
         attempt, restrictor = held.attempts[event.attempt], held.restrictor
         attempt.done = True
-        attempt.host.out.pop((event.request, event.attempt), None)
-        if not attempt.host.out:
+        attempt.host.in_flight.pop((event.request, event.attempt), None)
+        if not attempt.host.in_flight:
             self.busy.pop(attempt.host, None)
         restrictor.open -= 1
-        restrictor.heard(now, event.usage)
+        restrictor.record_reading(now, event.usage)
         if self.settings.settles_after and 0 <= (event.units or -1) < math.inf:  # corrects the guess
             restrictor.fill += event.units - held.request.units
         self._learn(now, held.request.cls, attempt.host, event)
@@ -397,10 +392,13 @@
         if event.outcome is Outcome.OK:
             self.done.note(now)
             # What is seldom heard of a server counts for more: one that grows slower is left before it dies.
-            weight, host.slow = max(0.1, 1 - 0.5 ** ((now - host.heard_at) / NEWS)), host.slowness(now)
-            delay = event.delay * host.warmth(self.settings, now)  # a cold one is slow by nature, not pressed
-            host.slow += weight * (delay / self.usual[cls] - host.slow)
-            host.answered(now)
+            weight, host.delay_ratio = (
+                max(0.1, 1 - 0.5 ** ((now - host.answered_at) / NEWS)),
+                host.relative_delay(now),
+            )
+            delay = event.delay * host.warmup(self.settings, now)  # a cold one is slow by nature, not pressed
+            host.delay_ratio += weight * (delay / self.usual[cls] - host.delay_ratio)
+            host.record_answer(now)
             host.failures = 0.0 if host.failures < 1 else host.failures / 2
             self.calm[cls] = min(self.calm[cls], self.usual[cls])
             self.usual[cls] += MEMORY * (delay - self.usual[cls])
@@ -408,21 +406,21 @@
             self.usual[cls] += MEMORY * min(max(0.0, event.delay - self.usual[cls]), self.usual[cls])
             # Else only the patience was short, or, where others were answered since, the connection was bad.
             patient = event.delay >= min(self.settings.classes[cls].aim, LOST * self.usual[cls])
-            if patient and host.heard_at < now - event.delay:
-                host.failed(now, FAIL_PAUSE)
+            if patient and host.answered_at < now - event.delay:
+                host.record_failure(now, FAIL_PAUSE)
         elif event.alone and event.outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT):
             if event.broke:
-                host.broke(now, FAIL_PAUSE)
+                host.record_break(now, FAIL_PAUSE)
             elif event.outcome in (Outcome.FULL, Outcome.ERROR):
-                host.answered(now)
+                host.record_answer(now)
                 # Of a sound host one answer in thousands is an error, so one alone tells of a bad one.
                 again = min(FAIL_PAUSE * 2**host.failures, MOST_PAUSE / 2**host.failures)
                 error = again if host.failures >= 1 else 2 * FAIL_PAUSE
-                host.failed(now, error if event.outcome is Outcome.ERROR else FAIL_PAUSE / 4)
+                host.record_failure(now, error if event.outcome is Outcome.ERROR else FAIL_PAUSE / 4)
             else:
-                host.failed(now, FAIL_PAUSE)
+                host.record_failure(now, FAIL_PAUSE)
         self.mean = sum(self.usual) / len(self.usual)
-        host.tell(now, dict(zip(self.settings.report_fields, event.report, strict=False)))
+        host.record_report(now, dict(zip(self.settings.report_fields, event.report, strict=False)))
 
     def _tick(self, now: float, event: api.TimerFired) -> None:
         if event.token != 0:
@@ -433,9 +431,9 @@
             self.ask_at = 0.0
             self.actions.append(api.FollowList() if self.settings.ask_for_list else api.FetchList())
         self.calm = [c * (1 + 0.01 * TICK) for c in self.calm]
-        for name, _ in self.tally.tick(now):  # a lost reply must not lose the request
+        for name, _ in self.counter.tick(now):  # a lost reply must not lose the request
             self._counted(now, api.CounterReply(name, False, 0.0))
         if now >= self.step_at:
-            self.step_at += STEP
-            self.near.step(now, self.warm, self.mean)
+            self.step_at += STEP_S
+            self.subset.step(now, self.warm, self.mean)
             self.customers.step(now)
--- a/coralvale/members/aperture.py
+++ b/coralvale/members/aperture.py
@@ -14,7 +14,7 @@
 import random
 from collections.abc import Callable, Sequence
 
-from coralvale.health import Host, Near
+from coralvale.health import Host, ServerSubset
 from coralvale.members.model import Member
 from coralvale.members.placement import drawn
 
@@ -57,7 +57,7 @@
     return chosen
 
 
-class Even(Near):
+class Even(ServerSubset):
     """The near servers of one gateway, by the view: `members` tells who is there, `me` is its name among them."""
 
     def __init__(self, lots: random.Random, me: str, members: Callable[[], list[Member]]) -> None:
@@ -115,10 +115,10 @@
         near = {h.info.id for h in self.mine}
         for host in self.mine:
             name = host.info.id
-            if not host.ill(now, usual):
+            if not host.unhealthy(now, usual):
                 self.others.pop(name, None)
-            elif name not in self.others or self.others[name].ill(now, usual):
-                well = [h for h in warm if h.info.id not in near and not h.ill(now, usual)]
+            elif name not in self.others or self.others[name].unhealthy(now, usual):
+                well = [h for h in warm if h.info.id not in near and not h.unhealthy(now, usual)]
                 if well:
-                    self.others[name] = self.lots.choice(well)
+                    self.others[name] = self.rng.choice(well)
         self._put()
--- a/coralvale/members/service.py
+++ b/coralvale/members/service.py
@@ -150,7 +150,7 @@
         def there() -> list[Member]:
             return self.swim.alive() if self.swim else []
 
-        self.near = gateway.near = Even(self.chance, self.me.name, there)
+        self.near = gateway.subset = Even(self.chance, self.me.name, there)
 
     def _trust(self, table: Table) -> None:
         self.server_tls = self.client_tls = None
--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -32,7 +32,7 @@
 from coralvale.net.takeover import Offer, Successor
 from coralvale.net.transport import Answer, Attempt, Outgoing, Source, Transport
 from coralvale.net.upstream import Upstreams
-from coralvale.tally import PATIENCE
+from coralvale.tally import REPLY_TIMEOUTS
 
 log = logging.getLogger(__name__)
 
@@ -326,7 +326,7 @@
         state = await successor.take()
         if state is not None:
             try:
-                count = handover.take(self.gateway, self.clock.now(), state)
+                count = handover.import_state(self.gateway, self.clock.now(), state)
                 log.info("taken over, with what is known of %d customers", count)
             except ValueError as error:
                 log.warning("taken over without %s", error)
@@ -341,12 +341,12 @@
         log.info("handing over")
         self.server.pause()
         self.server.drain()
-        return handover.give(self.gateway, self.clock.now())
+        return handover.export_state(self.gateway, self.clock.now())
 
     def _ceded(self, well: bool) -> None:
         if not well:
             log.warning("the process that was to take over is gone: going on")
-            handover.keep(self.gateway, self.clock.now())
+            handover.resume(self.gateway, self.clock.now())
             if self.ends_at is None:
                 self.server.closing = False
                 self.server.resume()
@@ -410,7 +410,7 @@
     def _make_counter(self, address: Address | None) -> Counter | None:
         if address is None:
             return None
-        patience = PATIENCE * self.settings.counter_timeout
+        patience = REPLY_TIMEOUTS * self.settings.counter_timeout
         return Counter(address, patience, self.config.connect_timeout, self.feed)
 
     def _make_patient(self, address: Address | None) -> Counter | None:
--- a/coralvale/restrictor.py
+++ b/coralvale/restrictor.py
@@ -9,7 +9,7 @@
 from coralvale.state import Asked
 
 SMOOTH = 0.5  # weight of the newest second in own and metered use: two seconds of memory tame one odd reading
-STEP = 1.0  # s between new leak rates, as the design sets it
+STEP_S = 1.0  # s between new leak rates, as the design sets it
 DAMP = 0.5  # share of the way to the wanted leak rate taken at once, so that gateways do not chase each other
 GROWTH = 0.5  # most a leak rate grows in one step: a doubling takes two steps
 QUIET = 4.0  # s without a reading after which it is stale: the meter's usual lateness twice over
@@ -27,12 +27,12 @@
     """One customer's leaky bucket, its leak rate, and this gateway's share of the ceiling."""
 
     def __init__(self, plan: api.Plan, entries: int, now: float, born: float) -> None:
-        self.settle(plan, entries)
+        self.set_plan(plan, entries)
         self.rate = self.floor
         self.fill, self.at, self.seen_at = 0.0, now, now
         self.passed, self.open = 0.0, 0  # units let through since the last step; attempts out
         self.own = self.own_late = self.use = 0.0  # own_late lags own by as much as readings lag use
-        self.reading, self.heard_at = 0.0, -math.inf
+        self.reading, self.reading_at = 0.0, -math.inf
         self.asking, self.asked_at = 0.0, now  # units a second asked for here, refused ones too
         # Units that an authoriser was asked about: a store of its own, that denials do not empty.
         self.checks = 0.0
@@ -48,7 +48,7 @@
         # A restart must not refill the ceiling, so the share is empty at birth and fills from then on.
         self.ceiling = min(plan.ceiling_burst, plan.ceiling_rate * (now - born))
 
-    def settle(self, plan: api.Plan, entries: int) -> None:
+    def set_plan(self, plan: api.Plan, entries: int) -> None:
         """Takes plan and set as a request names them: one that named others must not bind all that follow."""
         self.plan, self.entries = plan, max(1, entries)
         self.floor = plan.rate / self.entries
@@ -104,7 +104,7 @@
         share = self.rate / rate
         return max(units, self.plan.burst * (share + spare * (1 - share)) * 2 / (1 + cost))
 
-    def note(self, now: float, units: float) -> None:
+    def record_demand(self, now: float, units: float) -> None:
         """Takes down that the customer has asked, when all has been decided by what it asked before."""
         self.asking = self.asking * math.exp((self.asked_at - now) / ASKING) + units / ASKING
         self.asked_at = now
@@ -176,18 +176,18 @@
         if ceiling:
             self.ceiling = min(max(self.ceiling, self._top(self.at)), self.ceiling + units * self.entries)
 
-    def heard(self, now: float, usage: float | None) -> None:
+    def record_reading(self, now: float, usage: float | None) -> None:
         """Takes a reading of the meter."""
         if usage is not None and 0 <= usage < math.inf:
-            self.reading, self.heard_at = usage, now
+            self.reading, self.reading_at = usage, now
 
     def step(self, now: float) -> None:
         """Sets the leak rate: own use times the quota over metered use of the same, late, time."""
         self.drain(now)
         self.own_late += SMOOTH * (self.own - self.own_late)
-        self.own += SMOOTH * (self.passed / STEP - self.own)
+        self.own += SMOOTH * (self.passed / STEP_S - self.own)
         self.passed = 0.0
-        if now - self.heard_at > QUIET:
+        if now - self.reading_at > QUIET:
             self.rate += EASE * (self.floor - self.rate)
             return
         self.use += SMOOTH * (self.reading - self.use)
@@ -217,7 +217,7 @@
             restrictor.drain(now)
             if self.terms:
                 restrictor.change(now, plan)
-            restrictor.settle(plan, entries)
+            restrictor.set_plan(plan, entries)
             restrictor.rate = max(restrictor.floor, min(restrictor.rate, plan.rate))
         return restrictor
 
--- a/coralvale/tally.py
+++ b/coralvale/tally.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass
 
 from coralvale import interface as api
-from coralvale.restrictor import STEP, Restrictor
+from coralvale.restrictor import STEP_S, Restrictor
 
 EPOCH = 40.0  # s that a name serves: the counter keeps it for 60 s at most
 KEEP = 60.0  # s that it is kept, from its first call
@@ -38,7 +38,7 @@
 GONE = 2.0  # s without an answer, with calls that failed, after which a counter may come back empty
 LOST, FRESH = 0.55, 2.0  # of the burst that is then taken as used under a new name; for so many bursts' time
 TICK = 0.1  # s between looks at what is overdue: well under any delay that a client would notice
-PATIENCE = 4.0  # times the counter's time-out that an answer is waited for: one that is late was added too
+REPLY_TIMEOUTS = 4.0  # counter time-outs that a reply is waited for: a late one was added too
 LATE = 1.5  # times the counter's time-out that an answer may take before the counter is taken to be crowded
 SPOILT = 2.0  # requests by which a store may be over its burst before that is taken for calls that were lost
 
@@ -140,7 +140,7 @@
             return 0.0
         # Who comes again was refused by another gateway, as most are who ask for more than their quota.
         if request.retried:
-            return STEP
+            return STEP_S
         usual = self._usual(now, restrictor)
         if now - self.heard_at < HEARD:  # as many of them fit as of those that are asked about, let in or not
             usual.units += request.units * (1 + usual.found) / (1 + usual.asked)
@@ -220,7 +220,7 @@
 
     def tick(self, now: float) -> list[tuple[int, Call]]:
         """Calls whose reply is lost; to be taken as failed."""
-        late = (PATIENCE + 1) * self.settings.counter_timeout
+        late = (REPLY_TIMEOUTS + 1) * self.settings.counter_timeout
         return [(n, c) for n, calls in self.calls.items() for c in calls if now - c.at > late]
 
     def leave(self, request: str) -> None:
--- a/tests/authorisation/test_answers.py
+++ b/tests/authorisation/test_answers.py
@@ -85,7 +85,7 @@
     made.check(AT, asked)
     made.left(AT + 0.01, "r1")
     assert not made.known and not [
-        c for calls in made.gateway.tally.calls.values() for c in calls if c.request
+        c for calls in made.gateway.counter.calls.values() for c in calls if c.request
     ]
 
 
--- a/tests/authorisation/test_checks.py
+++ b/tests/authorisation/test_checks.py
@@ -132,7 +132,7 @@
     assert checked(made, 1, Verdict.ALLOWED) == []  # one approval, once
     assert kinds(arrive(made, 2)) == ["Check"] and checked(made, 2, Verdict.DENIED) == ["Deny"]
     assert kinds(arrive(made, 3)) == ["Check"] and checked(made, 3, Verdict.NO_ANSWER) == ["Refuse"]
-    assert not made.checking and made.customers[7].open == 1
+    assert not made.pending_checks and made.customers[7].open == 1
 
 
 def test_a_flood_beyond_quota_is_no_flood_at_the_authoriser_denied_or_not() -> None:
@@ -174,7 +174,7 @@
     assert checked(made, 1, Verdict.ALLOWED, 103.99) == ["Refuse"]
     arrive(made, 2)
     made.handle(100.5, api.Abandoned("r2"))
-    assert checked(made, 2, Verdict.ALLOWED) == [] and not made.checking
+    assert checked(made, 2, Verdict.ALLOWED) == [] and not made.pending_checks
     assert made.customers[7].open == 0
 
 
@@ -209,10 +209,10 @@
         now += lots.random() / 4
         note(arrive(made, n, now, lots.randrange(2), lots.choice([0.2, 1.0, 4.0])))
         for _ in range(lots.randrange(3)):
-            if made.checking and lots.random() < 0.7:
+            if made.pending_checks and lots.random() < 0.7:
                 note(
                     made.handle(
-                        now, api.Checked(lots.choice(list(made.checking)), lots.choice(list(Verdict)))
+                        now, api.Checked(lots.choice(list(made.pending_checks)), lots.choice(list(Verdict)))
                     )
                 )
             elif open_:
@@ -228,7 +228,7 @@
                         open_[name] = attempt + 1
                 note([a for a in actions if not isinstance(a, api.Send)])
                 assert set(open_) - before <= {name}
-    for name in list(made.checking):
+    for name in list(made.pending_checks):
         note(made.handle(now, api.Checked(name, Verdict.DENIED)))
     assert all(answers.get(name, 0) == (name not in open_) for name in names), seed
-    assert not made.checking and made.customers[7].open == len(open_)
+    assert not made.pending_checks and made.customers[7].open == len(open_)
--- a/tests/cluster/test_grown.py
+++ b/tests/cluster/test_grown.py
@@ -126,15 +126,15 @@
         for n in range(2000):
             at = now + n / 400
             for ends, copy, key in [o for o in out if o[0] <= at]:
-                copy.out.pop(key)  # type: ignore[attr-defined]
+                copy.in_flight.pop(key)  # type: ignore[attr-defined]
                 out.remove((ends, copy, key))
             chosen = copies.pick(at, "s", 0.02, set())
             assert chosen
-            chosen.out[key := (f"r-{n}", 1)] = at
+            chosen.in_flight[key := (f"r-{n}", 1)] = at
             out.append((at + 0.02 * chance.uniform(0.5, 1.5), chosen, key))
             got += chosen.life.id in ("i-6", "i-7")
         for _, copy, key in out:
-            copy.out.pop(key)  # type: ignore[attr-defined]
+            copy.in_flight.pop(key)  # type: ignore[attr-defined]
         return got / 2000
 
     assert shares(1.0) < 0.125 < shares(20.0)  # an even share is a quarter
--- a/tests/cluster/test_home.py
+++ b/tests/cluster/test_home.py
@@ -132,7 +132,7 @@
             if there != here:
                 raise Broken(f"{self.now:.1f}: {node.zone} sent it abroad, to {there}")
             self.served += 1
-        copy.out.clear()
+        copy.in_flight.clear()
 
     def play(self, steps: int = 60) -> int:
         for _ in range(steps):
--- a/tests/cluster/test_routing.py
+++ b/tests/cluster/test_routing.py
@@ -135,12 +135,12 @@
     made = router()
     copies = [made.copies.get(1.0, life) for life in made.copies.register.usable(1.0, "s")]
     copies[0].told(1.0, 4, 12, 4)
-    copies[1].slow = 4.0
-    copies[2].failed(1.0, 5.0)
+    copies[1].delay_ratio = 4.0
+    copies[2].record_failure(1.0, 5.0)
     picked = {made.copies.pick(1.0, "s", 0.2, set()) for _ in range(100)}
     assert picked.isdisjoint(copies[:3]) and len(picked) >= 1
     for copy in copies:
-        copy.failed(1.0, 5.0)
+        copy.record_failure(1.0, 5.0)
     assert made.copies.pick(1.0, "s", 0.2, set()) is not None  # all are ill: one is used all the same
 
 
--- a/tests/members/test_aperture.py
+++ b/tests/members/test_aperture.py
@@ -162,7 +162,7 @@
                 pull = world.clients.pull
                 return [Member(f"g{n}", ("h", 1), weight=pull[n]) for n in range(gateways)]
 
-            gateway.near = Even(random.Random(number), f"g{driver.number}", view)
+            gateway.subset = Even(random.Random(number), f"g{driver.number}", view)
         return gateway
 
     world = Platform(made, seed, "ours", factory)
--- a/tests/plans/test_terms.py
+++ b/tests/plans/test_terms.py
@@ -185,7 +185,7 @@
 
     for n in range(6):
         gateway.handle(NOW + 10, api.Request(f"a{n}", 0, 0, STATION, 1, NOW + 60, check=True))
-    assert len(gateway.checking) == 6
+    assert len(gateway.pending_checks) == 6
     # Meanwhile as much has risen as the burst: it may not be used before those have gone.
     arrivals = sum(
         sent(gateway.handle(NOW + 12, api.Request(f"b{n}", 0, 0, STATION, 1, NOW + 60))) for n in range(6)
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -124,7 +124,7 @@
     book, bench = Book(), counting(plans=(api.Plan("one", 4.0, 8.0, open_limit=1.0),))
     _, one = ask(bench)
     _, two = ask(bench)
-    _, begun = bench.gateway.tally.epoch(bench.now, 1)
+    _, begun = bench.gateway.counter.epoch(bench.now, 1)
     book.totals[one.name] = 4.0 * (bench.now - begun) - START * 8.0  # neither idle nor in use
     replies = [book.add(one), book.add(two)]
     bench.feed(replies[0])
@@ -178,7 +178,7 @@
     name, _ = ask(bench)
     sends = [a for a in bench.wait(0.3) if isinstance(a, api.Send)]
     assert [s.request for s in sends] == [name]
-    assert bench.gateway.tally.calls == {}
+    assert bench.gateway.counter.calls == {}
 
 
 def test_a_failing_counter_is_asked_ever_less_and_again_later() -> None:
@@ -204,7 +204,7 @@
         api.Plan("cheap", 4.0, 8.0, excess_cost=0.8),
     )
     bench = counting(plans=(cheap, dear))
-    bench.gateway.tally.trust, bench.gateway.tally.told_at = 0.5, bench.now
+    bench.gateway.counter.trust, bench.gateway.counter.told_at = 0.5, bench.now
     asked = [0, 0]
     for customer in range(200):
         for plan in (0, 1):
@@ -221,7 +221,7 @@
         assert isinstance(call, api.Count)
         bench.now += 0.02
         bench.feed(api.CounterReply(call.name, True, 1.0))
-    assert bench.gateway.tally.trust > 0.95
+    assert bench.gateway.counter.trust > 0.95
 
 
 def test_a_client_that_leaves_while_the_counter_is_asked_gets_nothing_more() -> None:
@@ -230,7 +230,7 @@
     bench.feed(api.Abandoned(name))
     assert bench.feed(api.CounterReply(call.name, True, 1.0)) == []
     assert bench.feed(api.CounterReply(call.name, True, 1.0)) == []  # a reply that nobody waits for
-    assert bench.gateway.tally.calls == {} and bench.gateway.requests == {}
+    assert bench.gateway.counter.calls == {} and bench.gateway.requests == {}
 
 
 def test_a_request_of_more_than_the_burst_is_let_in_where_the_store_is_full() -> None:
@@ -247,4 +247,4 @@
     other = api.Plan("new", 4.0, 2.0, price=9.0)
     restrictor = Restrictor(other, 100, bench.now, bench.now)
     told = api.Request("r", 0, 7, 1, 100, bench.now + 4.0)
-    assert isinstance(bench.gateway.tally.ask(bench.now, told, restrictor), api.Count)
+    assert isinstance(bench.gateway.counter.ask(bench.now, told, restrictor), api.Count)
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -169,7 +169,7 @@
             assert [await asked(node, f"r{i}") for i in range(20)] == [200] * 20
             assert first.arrived.empty() and second.arrived.qsize() == 20
             assert (await call(port, "POST /hosts/s-1/ready"))[0] == 200  # one call back for two out
-            assert node.gateway.fleet.hosts["s-1"].warmth(node.settings, node.clock.now()) < 1
+            assert node.gateway.fleet.hosts["s-1"].warmup(node.settings, node.clock.now()) < 1
             for i in range(200):
                 assert await asked(node, f"q{i}") == 200
             assert not first.arrived.empty()
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -111,7 +111,7 @@
             held.append(name)
         if len(held) > 4:
             bench.done(held.pop(0), delay=0.1)
-    hung = len(bench.gateway.fleet.hosts["hung"].out)
+    hung = len(bench.gateway.fleet.hosts["hung"].in_flight)
     assert hung >= 1
     assert all(isinstance(bench.request(customer=c)[1][0], api.Send) for c in range(900, 910))
 
@@ -209,12 +209,12 @@
     bench = Bench(servers=tuple(server(f"s{i}") for i in range(60)), gateways=300)
     name, actions = bench.request()
     bench.done(name)
-    slow = next(iter({h.info.id for h in bench.gateway.near.hosts}))
+    slow = next(iter({h.info.id for h in bench.gateway.subset.hosts}))
     for customer in range(100):
         bench.wait(0.5)
         name, actions = bench.request(customer=customer)
         bench.done(name, delay=3.0 if actions[0].server == slow else 0.1)
-    assert len(bench.gateway.near.hosts) == 8
+    assert len(bench.gateway.subset.hosts) == 8
     sends = [a.server for a in bench.seen if isinstance(a, api.Send)]
     assert sends.count(slow) <= 5
 
@@ -279,7 +279,7 @@
             refused += 1
             continue
         host = bench.gateway.fleet.hosts[actions[0].server]
-        bench.done(name, delay=0.04 / host.warmth(bench.gateway.settings, bench.now))
+        bench.done(name, delay=0.04 / host.warmup(bench.gateway.settings, bench.now))
     assert refused == 0
     assert all(usual < 0.06 for usual in bench.gateway.usual)
 
@@ -295,7 +295,7 @@
     assert not isinstance(bench.request(customer=5)[1][0], api.Send)
     for name in ("told", "silent", "unknown"):
         bench.feed(api.Maintained(name, False))
-    warmth = {n: h.warmth(bench.gateway.settings, bench.now) for n, h in bench.gateway.fleet.hosts.items()}
+    warmth = {n: h.warmup(bench.gateway.settings, bench.now) for n, h in bench.gateway.fleet.hosts.items()}
     assert warmth["silent"] < warmth["told"] < 1
 
 
@@ -306,13 +306,13 @@
     bench.done(bench.request()[0])
     new, gone = 0, 0
     for i in range(30):  # half of them are replaced, one after another
-        before = {h.info.id for h in bench.gateway.near.hosts}
+        before = {h.info.id for h in bench.gateway.subset.hosts}
         bench.feed(api.ServerList(api.ListKind.CHANGES, (server(f"s{i}", state=api.ServerState.GONE),)))
         bench.feed(api.ServerList(api.ListKind.CHANGES, (server(f"t{i}"),)))
         bench.done(bench.request(customer=i)[0])
-        near = {h.info.id for h in bench.gateway.near.hosts}
+        near = {h.info.id for h in bench.gateway.subset.hosts}
         new, gone = new + len(near - before), gone + (f"s{i}" in before)
-    assert len(bench.gateway.near.hosts) == 8
+    assert len(bench.gateway.subset.hosts) == 8
     assert new <= gone + 12  # drawn anew each time: over 200
 
 
@@ -324,7 +324,7 @@
         bench.done(bench.request()[0])
         bench.feed(api.ServerList(api.ListKind.CHANGES, tuple(server(f"t{i}") for i in range(30))))
         bench.done(bench.request(customer=2)[0])
-        counts.update(h.info.id for h in bench.gateway.near.hosts)
+        counts.update(h.info.id for h in bench.gateway.subset.hosts)
     old, new = (sum(n for name, n in counts.items() if name[0] == letter) for letter in "st")
     assert 0.8 < new / old < 1.25
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -430,7 +430,7 @@
                 client.send(request(f"lost{number}"))
                 (await host.next()).reset()
                 assert (await client.receive()).status == 503
-                assert not seen.ill(w.node.clock.now(), 1.0) and not seen.retry_at
+                assert not seen.unhealthy(w.node.clock.now(), 1.0) and not seen.retry_at
                 client.send(request(f"well{number}"))
                 (await host.next()).reply(answer())
                 assert (await client.receive()).status == 200
@@ -459,7 +459,7 @@
         async with world(*(entry(h.name, h.port) for h in hosts), real=True) as w:
             seen = w.node.gateway.fleet.hosts
             refused = 0
-            fail = seen["s-0"].__class__.failed
+            fail = seen["s-0"].__class__.record_failure
 
             async def ask(number: int) -> int:
                 client = await w.client()
@@ -480,7 +480,7 @@
                     refused += 1
                     fail(host, now, pause)
 
-                patch.setattr(type(seen["s-0"]), "failed", counted)
+                patch.setattr(type(seen["s-0"]), "record_failure", counted)
                 served = sum(await soon(asyncio.gather(*(ask(n) for n in range(12)))))
             assert refused  # else nothing was played
             assert served >= 0.9 * 12 * 25
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -158,7 +158,7 @@
         held.append(name)
         if len(held) > 4:
             bench.done(held.pop(0), delay=0.04)
-    warm_share = bench.gateway.fleet.hosts["cold"].warmth(bench.gateway.settings, bench.now)
+    warm_share = bench.gateway.fleet.hosts["cold"].warmup(bench.gateway.settings, bench.now)
     assert 0 < sent["cold"] <= 2 * warm_share * sent["warm"]
 
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -89,13 +89,13 @@
     for i, (gap, which, customer) in enumerate(steps):
         now += gap
         if event := events.get(i):
-            state = json.loads(json.dumps(handover.give(alive[-1], now)))
+            state = json.loads(json.dumps(handover.export_state(alive[-1], now)))
             if event == "keep":
-                handover.keep(alive[-1], now)
+                handover.resume(alive[-1], now)
             else:
                 alive.append(Gateway(SETTINGS, 1 + len(alive)))
                 alive[-1].handle(now, LIST)
-                handover.take(alive[-1], now, state)
+                handover.import_state(alive[-1], now, state)
         gateway = alive[min(which, len(alive) - 1)]
         for n in range(4):
             if let_in(gateway, now, f"{i}-{n}", customer):
@@ -112,7 +112,7 @@
     old.handle(0.0, LIST)
     assert sum(let_in(old, 60.0, f"a{i}", 7) for i in range(30)) == 10  # the ceiling's burst
     new.handle(61.0, LIST)
-    assert handover.take(new, 61.0, json.loads(json.dumps(handover.give(old, 61.0)))) == 1
+    assert handover.import_state(new, 61.0, json.loads(json.dumps(handover.export_state(old, 61.0)))) == 1
     assert sum(let_in(new, 61.0, f"b{i}", 7) for i in range(10)) == 1  # half of the 2 that a second gave
     assert sum(let_in(new, 61.0, f"c{i}", 8) for i in range(30)) == 10  # one that is new has all of it
     assert not let_in(old, 62.0, "d", 8)
@@ -122,8 +122,8 @@
     old = Gateway(SETTINGS, 1)
     old.handle(0.0, LIST)
     assert let_in(old, 60.0, "a", 7)
-    handover.give(old, 60.0)
-    handover.keep(old, 60.0)
+    handover.export_state(old, 60.0)
+    handover.resume(old, 60.0)
     assert sum(let_in(old, 70.0, f"b{i}", 7) for i in range(30)) == 10
 
 
@@ -143,11 +143,11 @@
     for gateway in (old, new):
         gateway.handle(0.0, LIST)
     let_in(old, 1.0, "a", 7)
-    state = json.loads(json.dumps(handover.give(old, 2.0)))
+    state = json.loads(json.dumps(handover.export_state(old, 2.0)))
     state[field] = value
     before = len(new.customers)
     try:
-        handover.take(new, 2.0, state)
+        handover.import_state(new, 2.0, state)
     except ValueError:
         assert len(new.customers) == before
     let_in(new, 3.0, "b", 7)  # and it goes on either way
