--- a/coralvale/handover.py
+++ b/coralvale/handover.py
@@ -1,11 +1,11 @@
-"""What one process of a gateway hands to the next, so that both together keep to one gateway's limits.
-
-No input or output here. `export_state` takes the state out of a gateway that keeps serving requests on its open
-connections for a while; `import_state` puts it into the one that follows. What is left of a ceiling is split in
-halves: the old process spends its half, gets no refill and loses the rest after `HOLD`; the new process has the
-other half and the whole refill, and its store is smaller by the old one's half for as long. So at every moment
-the stores of all processes together hold at most one burst and fill at one rate, and they never admit more than
-one process would. A quota, which is soft, is copied to both as it stands.
+"""The state that one process of a gateway hands to the next, so that both together keep one gateway's limits.
+
+No input or output here. `export_state` takes the state out of a gateway that keeps serving requests on its
+open connections for a while; `import_state` puts it into the one that follows. What is left of a ceiling is
+split in halves: the old process spends its half, gets no refill and loses the rest after `HOLD_S`; the new
+process has the other half and the whole refill, and its store is smaller by the old one's half for as long. So
+at every moment the stores of all processes together hold at most one burst and fill at one rate, and they never
+admit more than one process would. A quota, which is soft, is copied to both as it stands.
 """
 
 from __future__ import annotations
@@ -19,35 +19,35 @@
 from coralvale.logic import Gateway
 from coralvale.restrictor import Restrictor
 
-VERSION = 3  # 2 knew no `known`, 1 no `lent`
-KEPT = 0.5  # share of each ceiling that the old process keeps for the requests that still come to it
-HOLD = 12.0  # s for which it may spend that: it lives for as long at the most (net/node.py, LEFT)
+VERSION = 3  # version 2 had no `known`, version 1 no `lent`
+RETAINED_SHARE = 0.5  # of each ceiling, kept by the old process for requests that still reach it
+HOLD_S = 12.0  # time for which the old process may spend that; it lives no longer (net/node.py)
+# Attributes by position: the state holds no names, so that the order is part of its format.
 CUSTOMER = (
-    "rate", "fill", "at", "seen_at", "passed", "own", "own_late", "use", "reading", "reading_at", "asking",
-    "asked_at", "ceiling", "checks", "known", "known_at", "lent", "lent_until", "left",
-    "left_at",
+    "rate", "fill", "drained_at", "seen_at", "passed", "own", "own_late", "metered_rate", "reading", "reading_at",
+    "demand", "demand_at", "ceiling", "check_fill", "known", "known_at", "lent", "lent_until", "left", "left_at",
 )  # fmt: skip
 HOST = ("delay_ratio", "answered_at", "failures", "retry_at", "breaks", "back_at")
-MOST = 200_000  # customers that are taken: what comes is another process's, and must not fill this one
+MAX_CUSTOMERS = 200_000  # taken over: the input is another process's and must not exhaust memory
 
 
 def export_state(gateway: Gateway, now: float) -> dict[str, Any]:
-    """The state for the next process. From now on this gateway spends what it has kept, and no more."""
+    """The state for the next process. From now on this gateway spends only what it has retained."""
     plans: dict[int, Any] = {id(plan): i for i, plan in enumerate(gateway.settings.plans)}
     customers = []
     for name, restrictor in gateway.customers.items():
         restrictor.drain(now)
-        kept = max(0.0, restrictor.ceiling) * KEPT if restrictor.plan.ceiling_rate else 0.0
-        mine = kept + restrictor.waiting
+        kept = max(0.0, restrictor.ceiling) * RETAINED_SHARE if restrictor.plan.ceiling_rate else 0.0
+        mine = kept + restrictor.reserved
         given = {
-            "ceiling": restrictor.ceiling - kept,  # what it owes goes with it
+            "ceiling": restrictor.ceiling - kept,  # a debt is handed over whole
             "lent": mine + (restrictor.lent if now < restrictor.lent_until else 0.0),
-            "lent_until": now + HOLD,
+            "lent_until": now + HOLD_S,
         }
         row = [given.get(field, getattr(restrictor, field)) for field in CUSTOMER]
-        restrictor.lent, restrictor.lent_until = given["lent"] - mine, now + HOLD
-        restrictor.ceiling, restrictor.kept = kept, mine
-        if (plan := plans.get(id(restrictor.plan))) is None:  # none of the settings': its figures
+        restrictor.lent, restrictor.lent_until = given["lent"] - mine, now + HOLD_S
+        restrictor.ceiling, restrictor.retained = kept, mine
+        if (plan := plans.get(id(restrictor.plan))) is None:  # not a plan of the settings: its values
             plan = plans[id(restrictor.plan)] = astuple(restrictor.plan)
         customers.append([name, plan, restrictor.entries, *row])
     hosts = [
@@ -56,99 +56,99 @@
     ]
     state = {
         "version": VERSION,
-        "born": now if gateway.born is None else gateway.born,
-        "usual": gateway.usual,
-        "calm": gateway.calm,
+        "born": now if gateway.started_at is None else gateway.started_at,
+        "usual": gateway.delays,
+        "calm": gateway.base_delays,
         "retries": gateway.retries,
-        "trust": [gateway.counter.trust, gateway.counter.told_at],
-        "done": [gateway.done.gap, gateway.done.at],
+        "trust": [gateway.counter.trust, gateway.counter.trust_at],
+        "done": [gateway.completions.gap, gateway.completions.last_at],
         "customers": customers,
         "hosts": hosts,
-        "out": list(gateway.fleet.out.items()),
+        "out": list(gateway.fleet.in_maintenance.items()),
     }
-    gateway.born = math.inf  # who comes here for the first time has a whole ceiling at the next process
+    gateway.started_at = math.inf  # new customers get their ceiling at the next process alone
     return state
 
 
 def resume(gateway: Gateway, now: float) -> None:
-    """The next process came to nothing: all that comes from now on is this gateway's again."""
-    gateway.born = now
+    """Undoes `export_state` when the next process failed: the refill is this gateway's again."""
+    gateway.started_at = now
     for restrictor in gateway.customers.values():
         restrictor.drain(now)
-        restrictor.ceiling, restrictor.kept = max(restrictor.ceiling, 0.0), None
+        restrictor.ceiling, restrictor.retained = max(restrictor.ceiling, 0.0), None
 
 
 def import_state(gateway: Gateway, now: float, state: dict[str, Any]) -> int:
-    """Goes on from what another process gave; returns the number of its customers.
+    """Continues from another process's state; returns the number of customers taken over.
 
-    Raises ValueError, and changes nothing, if the state cannot be used.
+    Raises ValueError, and changes nothing, if the state is invalid.
     """
     try:
         if state["version"] != VERSION:
             raise ValueError(f"version {state['version']!r}")
         classes = len(gateway.settings.classes)
-        usual, calm = ([_figure(value) for value in state[name]] for name in ("usual", "calm"))
+        usual, calm = ([_number(value) for value in state[name]] for name in ("usual", "calm"))
         if len(usual) != classes or len(calm) != classes or min(usual + calm) <= 0:
-            raise ValueError("usual or calm: not one delay for each class")
+            raise ValueError("usual or calm: not one positive delay for each class")
         plans = dict[tuple[Any, ...], api.Plan]()
         customers = {
             int(name): _customer(gateway, plans, plan, entries, row, now)
-            for name, plan, entries, *row in state["customers"][:MOST]
+            for name, plan, entries, *row in state["customers"][:MAX_CUSTOMERS]
         }
         hosts = {
-            str(name): (started, [_figure(v, True) for v in row]) for name, started, *row in state["hosts"]
+            str(name): (started, [_number(v, True) for v in row]) for name, started, *row in state["hosts"]
         }
-        born, retries = min(now, _figure(state["born"])), _figure(state["retries"])
-        trust, told_at = (_figure(value) for value in state["trust"])
-        out = {str(name): _figure(since) for name, since in state["out"]}
-        gap, at = (_figure(value, True) for value in state["done"])
+        born, retries = min(now, _number(state["born"])), _number(state["retries"])
+        trust, told_at = (_number(value) for value in state["trust"])
+        out = {str(name): _number(since) for name, since in state["out"]}
+        gap, at = (_number(value, True) for value in state["done"])
     except (KeyError, TypeError, ValueError, IndexError, AttributeError, OverflowError) as error:
-        raise ValueError(f"a state that cannot be used: {error!r}") from None
-    gateway.usual, gateway.calm, gateway.born, gateway.retries = usual, calm, born, retries
+        raise ValueError(f"a usable state: {error!r}") from None
+    gateway.delays, gateway.base_delays, gateway.started_at, gateway.retries = usual, calm, born, retries
     gateway.mean = sum(usual) / len(usual)
-    gateway.counter.trust, gateway.counter.told_at = trust, told_at
-    gateway.done.gap, gateway.done.at = gap, at
+    gateway.counter.trust, gateway.counter.trust_at = trust, told_at
+    gateway.completions.gap, gateway.completions.last_at = gap, at
     gateway.customers.update(customers)
     for name, (started, row) in hosts.items():
         host = gateway.fleet.hosts.get(name)
         if host and host.info.started_at == started and len(row) == len(HOST):
             _set(host, HOST, row)
-    for name in gateway.fleet.out.keys() & out.keys():  # which hosts are out is the marks' to say, not this
-        gateway.fleet.out[name] = out[name]
-    gateway.sort_at = -math.inf
+    for name in gateway.fleet.in_maintenance.keys() & out.keys():  # which are out is for the marks to say
+        gateway.fleet.in_maintenance[name] = out[name]
+    gateway.classify_at = -math.inf
     return len(customers)
 
 
 def _customer(
     gateway: Gateway,
     plans: dict[tuple[Any, ...], api.Plan],
-    told: int | list[Any],
+    stored: int | list[Any],
     entries: int,
     row: list[Any],
     now: float,
 ) -> Restrictor:
     if len(row) != len(CUSTOMER):
-        raise ValueError("a customer of another form")
-    if isinstance(told, list):
-        plan = plans.get(tuple(told)) or plans.setdefault(tuple(told), _plan(gateway, told))
-    elif 0 <= told < len(gateway.settings.plans):
-        plan = gateway.settings.plans[told]
+        raise ValueError("a customer row of the wrong length")
+    if isinstance(stored, list):
+        plan = plans.get(tuple(stored)) or plans.setdefault(tuple(stored), _plan(gateway, stored))
+    elif 0 <= stored < len(gateway.settings.plans):
+        plan = gateway.settings.plans[stored]
     else:
-        raise ValueError(f"plan {told!r}")
+        raise ValueError(f"plan {stored!r}")
     restrictor = Restrictor(plan, int(entries), now, now)
-    _set(restrictor, CUSTOMER, [_figure(value, True) for value in row])
+    _set(restrictor, CUSTOMER, [_number(value, True) for value in row])
     restrictor.rate = max(restrictor.floor, min(restrictor.rate, restrictor.plan.rate))
-    restrictor.lent_until = min(restrictor.lent_until, now + HOLD)
+    restrictor.lent_until = min(restrictor.lent_until, now + HOLD_S)
     restrictor.known = min(restrictor.known, restrictor.plan.burst)
     restrictor.known_at = min(restrictor.known_at, now)
-    restrictor.at = min(restrictor.at, now)  # a clock that differs must not leave a store without a rise
+    restrictor.drained_at = min(restrictor.drained_at, now)  # another clock must not stop a store's refill
     return restrictor
 
 
-def _plan(gateway: Gateway, told: list[Any]) -> api.Plan:
-    """A plan by its figures, checked as those of the settings are: once for all that are on it."""
-    name, *figures = told
-    plan = api.Plan(str(name), *map(_figure, figures))
+def _plan(gateway: Gateway, stored: list[Any]) -> api.Plan:
+    """A plan from its values, checked like those of the settings, once for all customers on it."""
+    name, *values = stored
+    plan = api.Plan(str(name), *map(_number, values))
     replace(gateway.settings, plans=(plan,))
     return plan
 
@@ -158,8 +158,8 @@
         setattr(owner, field, value)
 
 
-def _figure(value: Any, endless: bool = False) -> float:  # noqa: ANN401
-    figure = float(value)
-    if math.isnan(figure) or (math.isinf(figure) and not endless):
-        raise ValueError(f"{value!r} is no figure")
-    return figure
+def _number(value: Any, allow_infinite: bool = False) -> float:  # noqa: ANN401
+    number = float(value)
+    if math.isnan(number) or (math.isinf(number) and not allow_infinite):
+        raise ValueError(f"{value!r} is not a number")
+    return number
--- a/coralvale/restrictor.py
+++ b/coralvale/restrictor.py
@@ -1,4 +1,7 @@
-"""One customer's quota at one gateway: NICC ND1621's leaky bucket, its leak rate, the part of a ceiling."""
+"""One customer's quota at one gateway: the leaky bucket of NICC ND1621, its leak rate, part of a ceiling.
+
+Units are those of requests; rates are units per second; times are seconds.
+"""
 
 from __future__ import annotations
 
@@ -6,230 +9,244 @@
 from dataclasses import replace
 
 from coralvale import interface as api
-from coralvale.state import Asked
-
-SMOOTH = 0.5  # weight of the newest second in own and metered use: two seconds of memory tame one odd reading
-STEP_S = 1.0  # s between new leak rates, as the design sets it
-DAMP = 0.5  # share of the way to the wanted leak rate taken at once, so that gateways do not chase each other
-GROWTH = 0.5  # most a leak rate grows in one step: a doubling takes two steps
-QUIET = 4.0  # s without a reading after which it is stale: the meter's usual lateness twice over
-EASE = 0.25  # share of the way back to the floor in each step without readings
-ASKING = 8.0  # s over which a customer's asking here is averaged: its mean gap there is some seconds
-LIGHT, HEAVY = 0.4, 1.0  # times its quota that a customer asks for, by what it asks here: surely under, over
-IDLE = 60.0  # s after which an idle customer's restrictor is dropped, once its bucket is empty
-PARTED = (
-    3.0  # requests, the part of a burst that a gateway can tell a customer's quota by without the counter
-)
-FEW = 4  # gateways of a set whose parts the meter can still tell
+from coralvale.state import HeldCheck
+
+EWMA_WEIGHT = 0.5  # of the newest second in own and metered use: two seconds of memory damp one odd reading
+STEP_S = 1.0  # interval between new leak rates, as the design sets it
+DAMPING = 0.5  # share of the way to the wanted leak rate taken per step, so that gateways do not oscillate
+MAX_GROWTH = 0.5  # largest growth of a leak rate in one step: a doubling takes two steps
+MAX_READING_AGE_S = 4.0  # age past which a meter reading is stale: twice the meter's usual lag
+FLOOR_RETURN = 0.25  # share of the way back to the floor in each step without readings
+DEMAND_WINDOW_S = 8.0  # averaging time of a customer's demand here, whose mean gap is some seconds
+# Estimated demand over the quota below and above which a customer is surely under or over its quota.
+LIGHT_DEMAND, HEAVY_DEMAND = 0.4, 1.0
+IDLE_TIMEOUT_S = 60.0  # after which an idle customer's restrictor is dropped, once its bucket is empty
+SCATTERED_REQUESTS = 3.0  # requests in a gateway's part of a burst by which it can apply a quota uncounted
+SMALL_SET = 4  # gateways of a set whose parts the meter can still tell apart
 
 
 class Restrictor:
     """One customer's leaky bucket, its leak rate, and this gateway's share of the ceiling."""
 
-    def __init__(self, plan: api.Plan, entries: int, now: float, born: float) -> None:
+    def __init__(self, plan: api.Plan, entries: int, now: float, started_at: float) -> None:
         self.set_plan(plan, entries)
         self.rate = self.floor
-        self.fill, self.at, self.seen_at = 0.0, now, now
-        self.passed, self.open = 0.0, 0  # units let through since the last step; attempts out
-        self.own = self.own_late = self.use = 0.0  # own_late lags own by as much as readings lag use
+        self.fill, self.drained_at, self.seen_at = 0.0, now, now
+        self.passed, self.open = 0.0, 0  # units admitted since the last step; attempts in flight
+        self.own = self.own_late = self.metered_rate = 0.0  # own_late lags own as readings lag use
         self.reading, self.reading_at = 0.0, -math.inf
-        self.asking, self.asked_at = 0.0, now  # units a second asked for here, refused ones too
-        # Units that an authoriser was asked about: a store of its own, that denials do not empty.
-        self.checks = 0.0
-        self.known, self.known_at = 0.0, now  # the least that all gateways' store holds, as the counter told
+        self.demand, self.demand_at = 0.0, now  # units per second requested here, refused ones too
+        # Units that an authoriser was asked about: a bucket of its own, which denials do not empty.
+        self.check_fill = 0.0
+        self.known, self.known_at = 0.0, now  # least fill of all gateways' store, from the counter
         # Of the ceiling's burst: what this process may hold once another has taken over from it, and what
-        # processes before it may hold. Both end at one moment, so that all together never hold more than it.
-        self.kept: float | None = None
+        # processes before it may hold. Both end at the same time, so that together they never exceed it.
+        self.retained: float | None = None
         self.lent, self.lent_until = 0.0, -math.inf
-        self.left, self.left_at = 0.0, born  # of the ceiling, when it was last on a plan that has one
-        # Of the ceiling, what was taken for requests that wait for an authoriser: until they come to a host
-        # it keeps its place in the burst. A lower ceiling begins an epoch: what was taken before is void.
-        self.waiting, self.epoch = 0.0, 0
-        # A restart must not refill the ceiling, so the share is empty at birth and fills from then on.
-        self.ceiling = min(plan.ceiling_burst, plan.ceiling_rate * (now - born))
+        self.left, self.left_at = 0.0, started_at  # of the ceiling, on the last plan that had one
+        # Units of the ceiling reserved for requests that wait for an authoriser: until they reach a
+        # server they keep their place in the burst. A lower ceiling begins an epoch: earlier ones are void.
+        self.reserved, self.epoch = 0.0, 0
+        # A restart must not refill the ceiling, so the share starts empty and fills from then on.
+        self.ceiling = min(plan.ceiling_burst, plan.ceiling_rate * (now - started_at))
 
     def set_plan(self, plan: api.Plan, entries: int) -> None:
-        """Takes plan and set as a request names them: one that named others must not bind all that follow."""
+        """Sets the plan and gateway set that a request names: a wrong one must not bind later requests."""
         self.plan, self.entries = plan, max(1, entries)
         self.floor = plan.rate / self.entries
 
-    def change(self, now: float, plan: api.Plan) -> None:
-        """Another plan is in force from now on: the leak rate keeps its share, and no store is refilled."""
+    def switch_plan(self, now: float, plan: api.Plan) -> None:
+        """Switches to another plan: the leak rate keeps its share of the quota, and no store is refilled."""
         old = self.plan
         lower = plan.ceiling_rate < old.ceiling_rate or plan.ceiling_burst < old.ceiling_burst
         if plan.ceiling_rate and (lower or not old.ceiling_rate):
-            self.epoch, self.waiting = self.epoch + 1, 0.0
+            self.epoch, self.reserved = self.epoch + 1, 0.0
         if plan.ceiling_rate and not old.ceiling_rate:
             risen = self.left + plan.ceiling_rate * (now - self.left_at)
-            self.ceiling = min(plan.ceiling_burst, risen, math.inf if self.kept is None else self._top(now))
+            self.ceiling = min(
+                plan.ceiling_burst, risen, math.inf if self.retained is None else self._ceiling_limit(now)
+            )
         elif old.ceiling_rate and not plan.ceiling_rate:
             self.left, self.left_at = self.ceiling, now
         if old.rate and plan.rate:
             self.rate *= plan.rate / old.rate
 
     def drain(self, now: float) -> None:
-        # Twice a second for every customer, so without calls to max().
-        elapsed = now - self.at if now > self.at else 0.0
+        """Lets the bucket leak, and refills the ceiling, up to `now`."""
+        # Runs twice a second for every customer, so it avoids calls to max().
+        elapsed = now - self.drained_at if now > self.drained_at else 0.0
         if elapsed:
             leaked = self.rate * elapsed
             self.fill = self.fill - leaked if self.fill > leaked else 0.0
-            self.checks = self.checks - leaked if self.checks > leaked else 0.0
+            self.check_fill = self.check_fill - leaked if self.check_fill > leaked else 0.0
         else:
-            now = self.at
-        # A plan without one, named by mistake, leaves the customer's as it was.
+            now = self.drained_at
+        # A plan without a ceiling, named by mistake, leaves the customer's ceiling as it was.
         if self.plan.ceiling_rate:
-            # What others keep is theirs until that moment; this store grows into it from then on, not before.
-            top = self._top(self.at) if self.kept is None else self._top(now)
-            risen = self.ceiling + self.plan.ceiling_rate * elapsed * (self.kept is None)
+            # What others retain is theirs until `lent_until`; this store grows into it only after that.
+            top = self._ceiling_limit(self.drained_at) if self.retained is None else self._ceiling_limit(now)
+            risen = self.ceiling + self.plan.ceiling_rate * elapsed * (self.retained is None)
             self.ceiling = min(top, risen)
-        self.at = now
+        self.drained_at = now
 
-    def _top(self, now: float) -> float:
-        """The most units of the ceiling that this process may hold."""
+    def _ceiling_limit(self, now: float) -> float:
+        """The largest number of units of the ceiling that this process may hold."""
         alone = now >= self.lent_until
-        if self.kept is not None:
-            return 0.0 if alone else self.kept - self.waiting
+        if self.retained is not None:
+            return 0.0 if alone else self.retained - self.reserved
         burst = self.plan.ceiling_burst
-        return (burst if alone else max(0.0, burst - self.lent)) - self.waiting
+        return (burst if alone else max(0.0, burst - self.lent)) - self.reserved
 
     def threshold(self, units: float) -> float:
-        """Burst scaled with the leak rate, one request at least; more where letting in wrongly costs less."""
-        # Let in wrongly a request costs c, refused wrongly its worth; the factor is 1 where these are equal.
+        """Bucket size: the burst scaled with the leak rate, at least a request; more if excess costs less."""
+        # A wrong admission costs c, a wrong refusal the request's worth; the factor is 1 if both are equal.
         cost = max(0.0, self.plan.excess_cost - self.plan.excess_worth)
         rate = max(self.plan.rate, 1e-9)
-        # One that asks for little overall has the burst to itself, whichever gateway it comes to: a part of
-        # it is a request or two, and by chance two that belong together come to the same gateway.
-        asks = self.asking * math.exp((self.asked_at - self.at) / ASKING) * self.entries / rate
-        spare = min(1.0, max(0.0, (HEAVY - asks) / (HEAVY - LIGHT)))
+        # A customer of low overall demand has the whole burst at each gateway: its even part of it would be a
+        # request or two, and by chance two requests that belong together reach the same gateway.
+        asks = (
+            self.demand * math.exp((self.demand_at - self.drained_at) / DEMAND_WINDOW_S) * self.entries / rate
+        )
+        spare = min(1.0, max(0.0, (HEAVY_DEMAND - asks) / (HEAVY_DEMAND - LIGHT_DEMAND)))
         share = self.rate / rate
         return max(units, self.plan.burst * (share + spare * (1 - share)) * 2 / (1 + cost))
 
     def record_demand(self, now: float, units: float) -> None:
-        """Takes down that the customer has asked, when all has been decided by what it asked before."""
-        self.asking = self.asking * math.exp((self.asked_at - now) / ASKING) + units / ASKING
-        self.asked_at = now
+        """Adds a request to the demand, after it was decided by the demand before it."""
+        self.demand = (
+            self.demand * math.exp((self.demand_at - now) / DEMAND_WINDOW_S) + units / DEMAND_WINDOW_S
+        )
+        self.demand_at = now
 
     def wait(self, units: float) -> float:
-        """Seconds until the bucket has room, 0 when it has it now."""
+        """Seconds until the bucket has room, 0 if it has now."""
         return max(0.0, (self.fill + units - self.threshold(units)) / self.rate) if self.plan.rate else 0.0
 
     def ceiling_wait(self, units: float) -> float:
-        short = units * self.entries - self.ceiling  # shares are even, so a request takes for all
+        """Seconds until this gateway's share of the ceiling has room, 0 if it has now."""
+        short = units * self.entries - self.ceiling  # shares are even, so a request is charged to all
         return max(0.0, short / self.plan.ceiling_rate) if self.plan.ceiling_rate else 0.0
 
     def sparse(self, units: float) -> bool:
-        """Whether this gateway's part of the burst is under a request, in a large set: it knows little."""
-        return self.plan.rate > 0 and self.entries > FEW and self.plan.burst < units * self.entries
+        """Whether this gateway's part of the burst is under a request, in a large set: it sees too little."""
+        return self.plan.rate > 0 and self.entries > SMALL_SET and self.plan.burst < units * self.entries
 
     def scattered(self, units: float) -> bool:
-        """Whether its part of the burst is a few requests, which chance and an uneven split soon empty."""
-        return self.plan.rate > 0 and self.entries > FEW and self.plan.burst < PARTED * units * self.entries
+        """Whether its part of the burst is a few requests, which chance and an uneven split soon use up."""
+        return (
+            self.plan.rate > 0
+            and self.entries > SMALL_SET
+            and self.plan.burst < SCATTERED_REQUESTS * units * self.entries
+        )
 
-    def told_full(self, now: float, units: float) -> bool:
-        """Whether the store of all gateways had no room when the counter last told of it, not long ago."""
-        return now - self.known_at < ASKING and self.known + units > self.plan.burst
+    def known_full(self, now: float, units: float) -> bool:
+        """Whether the store of all gateways was full by the counter's last reply, if that is recent."""
+        return now - self.known_at < DEMAND_WINDOW_S and self.known + units > self.plan.burst
 
     def known_wait(self, now: float, units: float) -> float:
-        """Seconds until the store of all gateways may have room, 0 where it may have it now."""
+        """Seconds until the store of all gateways may have room, 0 if it may have now."""
         short = self.known - max(0.0, self.plan.burst - units) - self.plan.rate * (now - self.known_at)
         return max(0.0, short / self.plan.rate) if self.plan.rate else 0.0
 
-    def open_full(self) -> bool:
-        """Whether own attempts, hung ones too, reach the open limit, or its even part where no rate binds."""
+    def open_limit_reached(self) -> bool:
+        """Whether own attempts, hung ones too, reach the open limit, or its even part if no rate binds."""
         limit = self.plan.open_limit / (1 if self.plan.rate else self.entries)
         return limit > 0 and self.open >= max(1.0, limit)
 
     def check_wait(self, units: float) -> float:
-        """Seconds until one more may be asked about: no more are than the quota could let in."""
-        room = self.threshold(units) - self.checks - units
+        """Seconds until an authoriser may be asked again: at most as often as the quota could admit."""
+        room = self.threshold(units) - self.check_fill - units
         return max(0.0, -room / self.rate) if self.plan.rate else 0.0
 
     def charge(self, units: float) -> float:
-        """Takes a request's units; returns by how much the store filled."""
+        """Charges a request's units; returns by how much the bucket filled, for `refund`."""
         before = self.fill
         self.fill = max(self.fill, min(self.fill + units, self.threshold(units)))
         self.passed += units
         self.ceiling -= units * self.entries
         return self.fill - before
 
-    def wait_with(self, units: float) -> int:
-        """A request whose units were taken waits: it is open; returns the epoch, to be given back to `go`."""
+    def reserve(self, units: float) -> int:
+        """Reserves a charged request's place while it waits; returns the epoch, to be passed to `release`."""
         self.open += 1
-        self.waiting += units * self.entries
+        self.reserved += units * self.entries
         return self.epoch
 
-    def go(self, units: float, epoch: int) -> None:
-        """It is on its way, or comes to nothing."""
+    def release(self, units: float, epoch: int) -> None:
+        """Ends a reservation: the request was sent, or will not be."""
         self.open -= 1
         if epoch == self.epoch:
-            self.waiting = max(0.0, self.waiting - units * self.entries)
+            self.reserved = max(0.0, self.reserved - units * self.entries)
 
-    def late(self, units: float) -> int:
-        """Units that were taken have come to no host: what has risen meanwhile is too much. The epoch."""
+    def cap_refill(self, units: float) -> int:
+        """Drops what was refilled while charged units had reached no server, as too much; the epoch."""
         if self.plan.ceiling_rate:
-            self.ceiling = min(self.ceiling, self._top(self.at) - units * self.entries)
+            self.ceiling = min(self.ceiling, self._ceiling_limit(self.drained_at) - units * self.entries)
         return self.epoch
 
     def refund(self, units: float, filled: float, ceiling: bool = True) -> None:
-        """Gives back what was charged for a request that was not sent, to the ceiling too or not."""
+        """Refunds a request that was not sent: the bucket by `filled`, and the ceiling if `ceiling`."""
         self.fill, self.passed = max(0.0, self.fill - filled), max(0.0, self.passed - units)
         if ceiling:
-            self.ceiling = min(max(self.ceiling, self._top(self.at)), self.ceiling + units * self.entries)
+            self.ceiling = min(
+                max(self.ceiling, self._ceiling_limit(self.drained_at)), self.ceiling + units * self.entries
+            )
 
     def record_reading(self, now: float, usage: float | None) -> None:
-        """Takes a reading of the meter."""
+        """Takes a meter reading, a fraction of the quota's rate; values that are no amount are skipped."""
         if usage is not None and 0 <= usage < math.inf:
             self.reading, self.reading_at = usage, now
 
     def step(self, now: float) -> None:
-        """Sets the leak rate: own use times the quota over metered use of the same, late, time."""
+        """Sets the leak rate: own use times the quota over metered use, both of the same, past, time."""
         self.drain(now)
-        self.own_late += SMOOTH * (self.own - self.own_late)
-        self.own += SMOOTH * (self.passed / STEP_S - self.own)
+        self.own_late += EWMA_WEIGHT * (self.own - self.own_late)
+        self.own += EWMA_WEIGHT * (self.passed / STEP_S - self.own)
         self.passed = 0.0
-        if now - self.reading_at > QUIET:
-            self.rate += EASE * (self.floor - self.rate)
+        if now - self.reading_at > MAX_READING_AGE_S:
+            self.rate += FLOOR_RETURN * (self.floor - self.rate)
             return
-        self.use += SMOOTH * (self.reading - self.use)
-        grown = self.rate * (1 + GROWTH)
-        wanted = self.own_late / self.use if self.use > 0 else grown
-        self.rate += DAMP * (max(self.floor, min(wanted, grown, self.plan.rate)) - self.rate)
+        self.metered_rate += EWMA_WEIGHT * (self.reading - self.metered_rate)
+        grown = self.rate * (1 + MAX_GROWTH)
+        wanted = self.own_late / self.metered_rate if self.metered_rate > 0 else grown
+        self.rate += DAMPING * (max(self.floor, min(wanted, grown, self.plan.rate)) - self.rate)
 
 
 class Customers(dict[int, Restrictor]):
-    """All customers' restrictors: the plan in force for each, and what requests that wait keep of it."""
+    """All customers' restrictors, with the plan in force for each; refunds of requests that were not sent."""
 
     def __init__(
         self, settings: api.Settings, allowance: api.Allowance | None = None, terms: api.Terms | None = None
     ) -> None:
         self.settings, self.allowance, self.terms = settings, allowance, terms
 
-    def of(self, now: float, request: api.Request, born: float) -> Restrictor:
-        """The customer's, with the plan that is in force and the set that the request names."""
+    def of(self, now: float, request: api.Request, started_at: float) -> Restrictor:
+        """The customer's restrictor, with the plan in force and the gateway set that the request names."""
         named, customer, entries = request.plan, request.customer, request.entry_gateways
         plan = self.terms.plan(now, customer, named) if self.terms else self.settings.plans[named]
         if (restrictor := self.get(customer)) is None:
-            restrictor = self[customer] = Restrictor(plan, entries, now, born)
+            restrictor = self[customer] = Restrictor(plan, entries, now, started_at)
             if self.settings.may_count and restrictor.sparse(request.units):
-                # After a restart of all gateways one request from each would be a burst that nobody has.
-                restrictor.fill = max(0.0, request.units - restrictor.floor * (now - born))
+                # After a restart of all gateways one request at each would exceed any burst.
+                restrictor.fill = max(0.0, request.units - restrictor.floor * (now - started_at))
         if restrictor.plan is not plan or restrictor.entries != entries:
             restrictor.drain(now)
             if self.terms:
-                restrictor.change(now, plan)
+                restrictor.switch_plan(now, plan)
             restrictor.set_plan(plan, entries)
             restrictor.rate = max(restrictor.floor, min(restrictor.rate, plan.rate))
         return restrictor
 
     def ceiling_wait(self, now: float, request: api.Request, restrictor: Restrictor) -> float:
-        """Seconds until the ceiling has room, 0 if it has."""
+        """Seconds until the ceiling, shared or this gateway's part, has room, 0 if it has now."""
         shared = self.allowance.wait(now, request, restrictor.plan, False) if self.allowance else None
         return restrictor.ceiling_wait(request.units) if shared is None else shared
 
-    def still(self, now: float, request: api.Request, restrictor: Restrictor, epoch: int) -> float:
-        """0 if a request may go on that was charged a while ago, when another plan may have been in force.
+    def recheck_wait(self, now: float, request: api.Request, restrictor: Restrictor, epoch: int) -> float:
+        """0 if a request charged earlier may still be sent, although its plan may have changed since.
 
-        Else the seconds to wait. What comes to its host under a ceiling counts for it, whenever let in.
+        Else the seconds to wait. A request that reaches a server while a ceiling holds counts towards it,
+        whenever it was admitted.
         """
         if self.terms and self.get(request.customer) is restrictor:
             self.of(now, request, now)
@@ -243,19 +260,19 @@
                 self.allowance.charge(request, replace(restrictor.plan, rate=0.0))
         return wait
 
-    def give_back(self, asked: Asked) -> None:
-        """A request that was not sent costs its customer nothing; that it was asked about still counts."""
-        restrictor, units = asked.restrictor, asked.request.units
-        counts = asked.epoch == restrictor.epoch  # else the ceiling that it was charged to holds no more
-        restrictor.go(units, asked.epoch)
-        restrictor.refund(units, asked.filled, counts)
+    def give_back(self, check: HeldCheck) -> None:
+        """Refunds a request that was not sent; that its authoriser was asked still counts."""
+        restrictor, units = check.restrictor, check.request.units
+        counts = check.epoch == restrictor.epoch  # else the ceiling that was charged is no longer in force
+        restrictor.release(units, check.epoch)
+        restrictor.refund(units, check.charged, counts)
         if self.allowance:
-            plan = asked.plan if counts else replace(asked.plan, ceiling_rate=0.0)
-            self.allowance.refund(asked.request, plan)
+            plan = check.plan if counts else replace(check.plan, ceiling_rate=0.0)
+            self.allowance.refund(check.request, plan)
 
     def step(self, now: float) -> None:
-        """Sets the leak rates; forgets who has been idle."""
+        """Sets the leak rates; drops idle customers."""
         for name, restrictor in list(self.items()):
             restrictor.step(now)
-            if now - restrictor.seen_at > IDLE and not (restrictor.open or restrictor.fill):
+            if now - restrictor.seen_at > IDLE_TIMEOUT_S and not (restrictor.open or restrictor.fill):
                 del self[name]
--- a/coralvale/state.py
+++ b/coralvale/state.py
@@ -1,4 +1,4 @@
-"""What the decision module keeps while it waits; nothing in this file decides anything."""
+"""State that the decision module keeps between events. Nothing in this file decides anything."""
 
 from __future__ import annotations
 
@@ -9,57 +9,64 @@
 from coralvale import interface as api
 
 
-class Pace:
-    """How often own events of a kind come: a running mean of the gaps, the newest weighted by `weight`."""
+class RateEstimate:
+    """Rate of own events of one kind, from an exponential average of their gaps (`weight` of the newest)."""
 
     def __init__(self, weight: float) -> None:
-        self.weight, self.gap, self.at = weight, math.inf, -math.inf
+        self.weight, self.gap, self.last_at = weight, math.inf, -math.inf
 
     def note(self, now: float) -> None:
-        gap = now - self.at
+        """Records an event."""
+        gap = now - self.last_at
         self.gap = gap if self.gap == math.inf else self.gap + self.weight * (gap - self.gap)
-        self.at = now
+        self.last_at = now
 
     def rate(self, now: float) -> float:
-        """Events a second; a gap that lasts longer than usual counts while it lasts."""
-        gap = self.gap + self.weight * max(0.0, now - self.at - self.gap) if self.gap < math.inf else math.inf
+        """Events per second; an open gap that is longer than the average counts already."""
+        gap = (
+            self.gap + self.weight * max(0.0, now - self.last_at - self.gap)
+            if self.gap < math.inf
+            else math.inf
+        )
         return 1 / max(gap, 1e-3)
 
 
 @dataclass(slots=True)
 class Attempt:
-    host: Any  # the server that it went to
+    """One sending of a request to a server."""
+
+    host: Any  # the server, a `health.Host`
     sent_at: float
     done: bool = False
 
 
 @dataclass(slots=True)
-class Held:
-    """A request in hand, kept until it is answered and no attempt is out."""
+class HeldRequest:
+    """An admitted request, kept until it is answered and no attempt is in flight."""
 
     request: api.Request
     arrived: float
-    restrictor: Any  # the customer's
+    restrictor: Any  # the customer's `Restrictor`
     epoch: int  # of the restrictor, when it was charged
     attempts: list[Attempt] = field(default_factory=list)
-    maybe: Attempt | None = None  # the first attempt that may have run
-    live: bool = True
+    maybe_ran: Attempt | None = None  # the first attempt that may have run
+    unanswered: bool = True  # and its client still waits
 
 
 @dataclass(slots=True)
-class Asked:
-    """A request that an authoriser is asked about; its units are kept for it."""
+class HeldCheck:
+    """A request that waits for its authoriser; its units are reserved."""
 
     request: api.Request
     arrived: float
     restrictor: Any
-    plan: api.Plan  # that it was charged under
+    plan: api.Plan  # under which it was charged
     epoch: int  # of the restrictor, when it was charged
-    filled: float  # what its store was filled by
+    charged: float  # by how much the bucket was filled
 
 
 class Refusals:
-    """Counts refusals by reason for the log line that on-call staff read."""
+    """Counts refusals by reason, for one log line each `every` seconds."""
 
     def __init__(self, every: float) -> None:
         self.every, self.due = every, math.inf
@@ -74,6 +81,6 @@
         if now < self.due:
             return []
         self.due += self.every
-        told = ", ".join(f"{reason} {count}" for reason, count in sorted(self.counts.items()))
+        counts = ", ".join(f"{reason} {count}" for reason, count in sorted(self.counts.items()))
         self.counts = {}
-        return [api.Log(f"refused in {self.every:.0f} s: {told}")] if told else []
+        return [api.Log(f"refused in {self.every:.0f} s: {counts}")] if counts else []
--- a/coralvale/tally.py
+++ b/coralvale/tally.py
@@ -1,12 +1,13 @@
-"""A customer's store kept on the shared counter, for gateways that each see too little of it.
+"""Quotas kept on the shared counter, for customers of whom each gateway sees too few requests.
 
-The counter only adds, so the number under a name stands for the leaky bucket of NICC ND1621 by a line:
+The counter only adds, so the number under a name represents the leaky bucket of NICC ND1621 as follows:
 
-    fill(t) = number + START x burst - rate x (t - when the name's epoch began)
+    fill(t) = number + INITIAL_FILL x burst - rate x (t - when the name's epoch began)
 
-One call adds a try's units and tells the fill that it found. Where that is below nought the customer has been
-idle: what ran over is added, or it could be saved up. Where there is no room the units are taken off again.
-Names change with epochs, as the counter forgets them; a new name finds its store at START of the burst.
+One call adds a request's units and returns the number, hence the fill. A fill below 0 means that the customer
+has been idle: the overflow is added, or the customer could save it up. If there is no room the units are
+subtracted again. Names change with epochs, as the counter forgets them; a new name starts at INITIAL_FILL of
+the burst.
 """
 
 from __future__ import annotations
@@ -19,212 +20,223 @@
 from coralvale import interface as api
 from coralvale.restrictor import STEP_S, Restrictor
 
-EPOCH = 40.0  # s that a name serves: the counter keeps it for 60 s at most
-KEEP = 60.0  # s that it is kept, from its first call
-START = 0.5  # of the burst that counts as used when an epoch begins: half of it too much or too little
-LAZY = 0.5  # requests by which a store may be wrong before a call puts it right
-TRUST = 0.15  # share of the asking that comes back in a second after the counter was crowded
-GAIN = 0.1  # share that an answer in time brings back: a counter that answers is soon asked again
-DOUBT = 0.4  # share of the asking that one call without an answer in time takes away
-AGAIN = 0.1  # of the calls for first tries that are made for clients' retries: most of them are over
-LEARNT = 8.0  # s over which it is learnt what a plan's customers are let in for
-LOOSE = 1.0  # times that rate at which they are let in uncounted
-SPARE = 2.0  # s of that rate that may come at once while the counter answers, which puts stores right
-ALONE = 1.0  # s of it while it does not
-HEARD = 1.0  # s after its last answer for which the counter is taken to be there
-LEAST = 0.1  # share that goes on being asked, to hear when it is better
-OUT = 2.0  # usual delays after which an attempt is taken to be out no more
-LEEWAY = 0.25  # of a request that a store may be short of: what calls on their way will have drained, about
-GONE = 2.0  # s without an answer, with calls that failed, after which a counter may come back empty
-LOST, FRESH = 0.55, 2.0  # of the burst that is then taken as used under a new name; for so many bursts' time
-TICK = 0.1  # s between looks at what is overdue: well under any delay that a client would notice
+EPOCH_S = 40.0  # time for which a name is used: the counter keeps it for 60 s at most
+LIFETIME_S = 60.0  # time for which the counter keeps a name, from its first call
+INITIAL_FILL = 0.5  # of the burst at the start of an epoch: at most half of it too much or too little
+CORRECTION_REQUESTS = 0.5  # requests by which a number may be wrong before a call corrects it
+TRUST_RECOVERY_PER_S = 0.15  # share of the calls that comes back per second after the counter was overloaded
+TRUST_GAIN = 0.1  # share of the calls that a reply in time brings back, so that use resumes soon
+TRUST_LOSS = 0.4  # share of the calls that one without a reply in time takes away
+RETRY_CALL_SHARE = 0.1  # calls for clients' retries over those for first tries: most retries are over quota
+RATE_WINDOW_S = 8.0  # averaging time of the rate at which a plan's customers are admitted
+UNCOUNTED_FACTOR = 1.0  # on that rate, for uncounted admissions
+BURST_S = 2.0  # seconds of that rate admitted at once while the counter replies, which corrects the stores
+OUTAGE_BURST_S = 1.0  # seconds of that rate admitted at once while it does not
+ALIVE_S = 1.0  # time after its last reply for which the counter counts as reachable
+MIN_CALL_SHARE = 0.1  # share of the calls that is always made, to notice a recovery
+OPEN_DELAYS = 2.0  # usual delays after which an attempt is no longer taken to be in flight
+LEEWAY_REQUESTS = 0.25  # of a request that a store may lack: about what drains while calls are on their way
+LOSS_SILENCE_S = 2.0  # time without a reply, with failed calls, after which a counter may come back empty
+# Share of the burst that then counts as used under a new name, and for how long, in times to drain a burst.
+LOST_FILL, LOST_BURSTS = 0.55, 2.0
+TICK_S = 0.1  # interval between checks for overdue calls: well under any delay that a client would notice
 REPLY_TIMEOUTS = 4.0  # counter time-outs that a reply is waited for: a late one was added too
-LATE = 1.5  # times the counter's time-out that an answer may take before the counter is taken to be crowded
-SPOILT = 2.0  # requests by which a store may be over its burst before that is taken for calls that were lost
+LATE_TIMEOUTS = 1.5  # counter time-outs after which a reply is a sign of overload
+MAX_OVERFILL_REQUESTS = 2.0  # requests over its burst by which a store may be, before calls count as lost
 
 
 @dataclass(slots=True)
 class Call:
-    """A call on its way; those that put a store right have no request that waits."""
+    """A call to the counter without a reply yet; corrections have no request that waits."""
 
-    at: float
+    sent_at: float
     amount: float = 0.0  # units
     request: api.Request | None = None
     restrictor: Restrictor | None = None
-    begun: float = 0.0  # when the name's epoch began
+    epoch_start: float = 0.0  # when the name's epoch began
 
 
 @dataclass(slots=True)
-class Usual:
-    """What a plan's sparse customers were let in for here while the counter told, and uncounted since."""
-
-    at: float
-    units: float = 0.0  # let in, each forgotten over `LEARNT` seconds of a counter that answers
-    time: float = 0.0  # s, forgotten in the same way: their quotient is the rate
-    fill: float = 0.0  # of a bucket (NICC ND1621) that leaks at that rate
-    asked: float = 0.0  # units that the counter was asked about, and those of them that it had room for
+class UncountedBucket:
+    """The rate at which a plan's sparse customers were admitted here by the counter, and a bucket at it."""
+
+    drained_at: float
+    admitted: float = 0.0  # units, forgotten over `RATE_WINDOW_S` while the counter replies
+    time: float = 0.0  # s, forgotten in the same way: `admitted / time` is the rate
+    fill: float = 0.0  # of the leaky bucket (NICC ND1621) at that rate
+    asked: float = 0.0  # units that the counter was asked about; `found`: those that it had room for
     found: float = 0.0
-    told: bool = True  # whether the counter answers
-
-    def drain(self, now: float, told: bool) -> None:
-        elapsed, self.at, self.told = max(0.0, now - self.at), now, told
-        self.fill = max(0.0, self.fill - LOOSE * elapsed * self.rate())
-        if told:
-            kept = math.exp(-elapsed / LEARNT)
-            self.units, self.time = self.units * kept, self.time * kept + LEARNT * (1 - kept)
+    alive: bool = True  # whether the counter replies
+
+    def drain(self, now: float, alive: bool) -> None:
+        """Lets the bucket leak up to `now`; the rate is forgotten only while the counter is alive."""
+        elapsed, self.drained_at, self.alive = max(0.0, now - self.drained_at), now, alive
+        self.fill = max(0.0, self.fill - UNCOUNTED_FACTOR * elapsed * self.rate())
+        if alive:
+            kept = math.exp(-elapsed / RATE_WINDOW_S)
+            self.admitted, self.time = self.admitted * kept, self.time * kept + RATE_WINDOW_S * (1 - kept)
             self.asked, self.found = self.asked * kept, self.found * kept
 
     def rate(self) -> float:
-        return self.units / self.time if self.time > 0 else 0.0
+        """Units per second."""
+        return self.admitted / self.time if self.time > 0 else 0.0
 
     def size(self) -> float:
-        return (SPARE if self.told else ALONE) * LOOSE * self.rate()
+        """Units that may be admitted at once."""
+        return (BURST_S if self.alive else OUTAGE_BURST_S) * UNCOUNTED_FACTOR * self.rate()
 
     def wait(self, units: float) -> float:
-        """Seconds until one more may be let in uncounted, 0 where it may, or where too little is known."""
-        if self.time < LEARNT / 3:
+        """Seconds until one more may be admitted uncounted, 0 if it may now or if too little is known."""
+        if self.time < RATE_WINDOW_S / 3:
             return 0.0
-        rate = max(LOOSE * self.rate(), 1e-3)
+        rate = max(UNCOUNTED_FACTOR * self.rate(), 1e-3)
         return max(0.0, (self.fill + units - max(units, self.size())) / rate)
 
 
-class Tally:
-    """One gateway's calls to the counter for customers that it sees seldom."""
+class CounterQuota:
+    """One gateway's calls to the counter for customers of whom it sees few requests."""
 
-    def __init__(self, settings: api.Settings, lots: random.Random) -> None:
-        self.settings, self.lots = settings, lots
+    def __init__(self, settings: api.Settings, rng: random.Random) -> None:
+        self.settings, self.rng = settings, rng
         self.calls: dict[int, deque[Call]] = {}
-        self.heard_at = (
-            self.back_at
-        ) = -math.inf  # when the counter last answered; answered again after a loss
-        self.silent = False  # since then calls have failed
-        self.usual: dict[str, Usual] = {}  # by plan
-        self.trust, self.told_at = 1.0, 0.0  # share of the wanted calls that are made
-        self.dear = [self._dear(plan) for plan in settings.plans]  # what a mistake costs, by plan
+        # When the counter last replied, and when it first replied again after a loss.
+        self.answered_at = self.recovered_at = -math.inf
+        self.failing = False  # whether calls have failed since then
+        self.uncounted: dict[str, UncountedBucket] = {}  # by plan
+        self.trust, self.trust_at = 1.0, 0.0  # share of the wanted calls that is made
+        self.mistake_costs = [self._mistake_cost(plan) for plan in settings.plans]
 
     @staticmethod
-    def _dear(plan: api.Plan) -> float:
+    def _mistake_cost(plan: api.Plan) -> float:
+        """What a wrong decision costs, relative to other plans."""
         return plan.price * max(plan.excess_cost, 0.1)
 
     @staticmethod
     def epoch(now: float, customer: int) -> tuple[int, float]:
-        """A customer's name on the counter at this time, and when its epoch began."""
-        place = now / EPOCH + customer % 97 / 97  # customers' epochs must not all begin at once
-        return customer << 24 | int(place) & 0xFFFFFF, now - place % 1 * EPOCH
+        """A customer's name on the counter at `now`, and when its epoch began."""
+        place = now / EPOCH_S + customer % 97 / 97  # customers' epochs must not all begin at once
+        return customer << 24 | int(place) & 0xFFFFFF, now - place % 1 * EPOCH_S
 
     def ask(self, now: float, request: api.Request, restrictor: Restrictor) -> api.Count | None:
-        """The call that tells whether the store has room; None where there is to be none."""
-        self.trust, self.told_at = min(1.0, self.trust + TRUST * (now - self.told_at)), now
-        # By the plan in force, which need not be one of the settings'. Dearest mistakes first.
-        rank = sum(other > self._dear(restrictor.plan) for other in self.dear)
-        last = len(self.dear) - 1  # one cheaper than all of them is asked for like the cheapest
-        if self.lots.random() >= max(LEAST, (last + 1) * self.trust - min(rank, last)) * (
-            AGAIN if request.retried else 1
+        """The call that tells whether the store has room; None if none is to be made."""
+        self.trust, self.trust_at = min(1.0, self.trust + TRUST_RECOVERY_PER_S * (now - self.trust_at)), now
+        # Costliest mistakes first, by the plan in force, which need not be one of the settings'.
+        rank = sum(other > self._mistake_cost(restrictor.plan) for other in self.mistake_costs)
+        last = len(self.mistake_costs) - 1  # a plan cheaper than all of them ranks as the cheapest
+        if self.rng.random() >= max(MIN_CALL_SHARE, (last + 1) * self.trust - min(rank, last)) * (
+            RETRY_CALL_SHARE if request.retried else 1
         ):
             return None
         name, begun = self.epoch(now, request.customer)
-        # Units added and taken off again are a second call: where a refusal is likely the store is read
-        # and charged if there was room after all. Two that read at once may both find the same room.
-        amount = 0.0 if request.retried or restrictor.told_full(now, request.units) else request.units
+        # Adding units and subtracting them again takes two calls: where a refusal is likely the number is
+        # only read, and charged if there was room after all. Concurrent reads may both find the same room.
+        amount = 0.0 if request.retried or restrictor.known_full(now, request.units) else request.units
         self.calls.setdefault(name, deque()).append(Call(now, amount, request, restrictor, begun))
-        return api.Count(name, amount, KEEP)
+        return api.Count(name, amount, LIFETIME_S)
 
     def wait(self, now: float, request: api.Request, restrictor: Restrictor) -> float:
-        """Seconds until a sparse customer's request may go on that was not counted, 0 if it may now.
+        """Seconds until a sparse customer's uncounted request may be admitted, 0 if it may now.
 
-        When the counter is away a gateway sees mostly customers that it has not seen, and cannot tell who is
-        over its quota. But it knows what customers of that plan were let in for while the counter told: the
-        fleet goes on at that rate by the sum of its gateways, also where all of them ask for more at once.
+        During a counter outage a gateway mostly gets customers that it has not seen, and cannot tell who is
+        over quota. But it knows the rate at which the counter admitted customers of that plan: the gateways
+        together continue at that rate, even if all customers ask for more at once.
         """
         if not (self.settings.may_count and restrictor.sparse(request.units)):
             return 0.0
-        # Who comes again was refused by another gateway, as most are who ask for more than their quota.
+        # A retry was refused by another gateway, most likely because its customer is over quota.
         if request.retried:
             return STEP_S
-        usual = self._usual(now, restrictor)
-        if now - self.heard_at < HEARD:  # as many of them fit as of those that are asked about, let in or not
-            usual.units += request.units * (1 + usual.found) / (1 + usual.asked)
-        return usual.wait(request.units)
-
-    def let(self, now: float, request: api.Request, restrictor: Restrictor, counted: bool) -> None:
-        """A request goes on, counted or not; if its customer is a sparse one it is taken down."""
+        uncounted = self._uncounted(now, restrictor)
+        # Admitted or not, uncounted requests are taken to fit as often as counted ones.
+        if now - self.answered_at < ALIVE_S:
+            uncounted.admitted += request.units * (1 + uncounted.found) / (1 + uncounted.asked)
+        return uncounted.wait(request.units)
+
+    def record_admitted(
+        self, now: float, request: api.Request, restrictor: Restrictor, counted: bool
+    ) -> None:
+        """Charges a sparse customer's admitted request to its plan's bucket, a counted one to the rate."""
         units = request.units
         if not (self.settings.may_count and restrictor.sparse(units)):
             return
-        usual = self._usual(now, restrictor)
-        usual.units += units * counted
-        usual.fill = min(usual.fill + units, max(units, usual.size()))
+        uncounted = self._uncounted(now, restrictor)
+        uncounted.admitted += units * counted
+        uncounted.fill = min(uncounted.fill + units, max(units, uncounted.size()))
+
+    def _uncounted(self, now: float, restrictor: Restrictor) -> UncountedBucket:
+        uncounted = self.uncounted.setdefault(restrictor.plan.name, UncountedBucket(now))
+        uncounted.drain(now, now - self.answered_at < ALIVE_S)
+        return uncounted
 
-    def _usual(self, now: float, restrictor: Restrictor) -> Usual:
-        usual = self.usual.setdefault(restrictor.plan.name, Usual(now))
-        usual.drain(now, now - self.heard_at < HEARD)
-        return usual
+    def take_reply(self, now: float, event: api.CounterReply) -> Call | None:
+        """The call that a reply belongs to, None if to none of these; updates the trust in the counter.
 
-    def answered(self, now: float, event: api.CounterReply) -> Call | None:
-        """The call that a reply belongs to; replies for one name come in the order of its calls."""
+        Replies for one name come in the order of its calls.
+        """
         if not (calls := self.calls.get(int(event.name) if isinstance(event.name, int) else -1)):
             return None
         call = calls.popleft()
         if not calls:
             del self.calls[int(event.name)]
-        # A line that is well used has delays of its own: only what is later than a client would notice, is
-        # turned away or is lost tells of a counter that more calls would crowd.
-        took, late = now - call.at, max(LATE * self.settings.counter_timeout, 1e-3)
-        crowded = min(1.0, max(0.0, took / late - 1)) if event.ok else 1.0
-        self.trust = max(LEAST, self.trust * (1 - DOUBT * crowded))
+        # Links under normal load have delays of their own: only a reply later than a client would notice, a
+        # rejected call or a lost one is a sign of a counter that more calls would overload.
+        took, late = now - call.sent_at, max(LATE_TIMEOUTS * self.settings.counter_timeout, 1e-3)
+        overload = min(1.0, max(0.0, took / late - 1)) if event.ok else 1.0
+        self.trust = max(MIN_CALL_SHARE, self.trust * (1 - TRUST_LOSS * overload))
         if event.ok:
-            if self.silent and now - self.heard_at > GONE:
-                self.back_at = now
-            self.heard_at, self.silent = now, False
+            if self.failing and now - self.answered_at > LOSS_SILENCE_S:
+                self.recovered_at = now
+            self.answered_at, self.failing = now, False
         else:
-            self.silent = True
-        if not crowded:
-            self.trust = min(1.0, self.trust + GAIN)
+            self.failing = True
+        if not overload:
+            self.trust = min(1.0, self.trust + TRUST_GAIN)
         return call
 
     def settle(
         self, now: float, call: Call, total: float, usual: float, not_sent: bool
     ) -> tuple[float, list[api.Action]]:
-        """From the total found: seconds until there is room, 0 if there is, and what puts it right."""
+        """From the total found: seconds until there is room, 0 if there is, and calls to correct it."""
         request, restrictor = call.request, call.restrictor
         assert request is not None and restrictor is not None
         plan = restrictor.plan
-        found = total - call.amount + START * plan.burst - plan.rate * (now - call.begun)
+        found = total - call.amount + INITIAL_FILL * plan.burst - plan.rate * (now - call.epoch_start)
         idle, room = max(0.0, found), max(0.0, plan.burst - request.units)
-        if total == call.amount and now - self.back_at < FRESH * plan.burst / plan.rate:
-            idle = max(
-                idle, LOST * plan.burst
-            )  # a name that is new since the loss: its store was hardly empty
-        if (
-            plan.open_limit
-        ):  # at its rate the customer has so many out at any moment, of those that it may have
-            out = OUT * plan.rate * usual
+        if total == call.amount and now - self.recovered_at < LOST_BURSTS * plan.burst / plan.rate:
+            # A name that is new since the loss: its store was hardly empty.
+            idle = max(idle, LOST_FILL * plan.burst)
+        # At its rate the customer has `out` attempts in flight, of those that it may have.
+        if plan.open_limit:
+            out = OPEN_DELAYS * plan.rate * usual
             room = min(room, plan.burst * max(0.0, plan.open_limit / out - 1)) if out else room
         wait = 0.0
-        if not_sent or idle > room + LEEWAY * request.units:
+        if not_sent or idle > room + LEEWAY_REQUESTS * request.units:
             wait = max((idle - room) / plan.rate, 1e-3)
-            # Its own units alone: what is over beside them others will take off; lost calls leave more.
-            fill = idle if idle <= plan.burst + SPOILT * request.units else plan.burst
+            # Subtracts only its own units: other calls subtract theirs. A larger excess is due to lost calls.
+            fill = idle if idle <= plan.burst + MAX_OVERFILL_REQUESTS * request.units else plan.burst
         else:
             fill = idle + request.units
         restrictor.known, restrictor.known_at = min(fill, plan.burst), now
         if not request.retried:
-            told = self._usual(now, restrictor)
-            told.asked, told.found = told.asked + request.units, told.found + request.units * (not wait)
-        right = fill - found - call.amount
-        if abs(right) <= LAZY * request.units:
+            uncounted = self._uncounted(now, restrictor)
+            uncounted.asked, uncounted.found = (
+                uncounted.asked + request.units,
+                uncounted.found + request.units * (not wait),
+            )
+        correction = fill - found - call.amount
+        if abs(correction) <= CORRECTION_REQUESTS * request.units:
             return wait, []
-        name, _ = self.epoch(call.begun + EPOCH / 2, request.customer)
+        name, _ = self.epoch(call.epoch_start + EPOCH_S / 2, request.customer)
         self.calls.setdefault(name, deque()).append(Call(now))
-        return wait, [api.Count(name, right, KEEP)]
+        return wait, [api.Count(name, correction, LIFETIME_S)]
 
-    def tick(self, now: float) -> list[tuple[int, Call]]:
-        """Calls whose reply is lost; to be taken as failed."""
+    def overdue(self, now: float) -> list[tuple[int, Call]]:
+        """Calls whose reply is overdue; the caller takes them as failed."""
         late = (REPLY_TIMEOUTS + 1) * self.settings.counter_timeout
-        return [(n, c) for n, calls in self.calls.items() for c in calls if now - c.at > late]
+        return [(n, c) for n, calls in self.calls.items() for c in calls if now - c.sent_at > late]
 
-    def leave(self, request: str) -> None:
-        """Nobody waits for a request any more; its call keeps its place."""
+    def abandon(self, request: str) -> None:
+        """Drops a request that nobody waits for; its call keeps its place in the order."""
         for calls in self.calls.values():
             for call in calls:
                 if call.request and call.request.id == request:
--- a/tests/fleet/test_quota.py
+++ b/tests/fleet/test_quota.py
@@ -17,7 +17,7 @@
 from coralvale.lab.experiment import parse
 from coralvale.lab.world.platform import Platform, settings
 from coralvale.restrictor import Restrictor
-from coralvale.tally import ALONE, HEARD, LEARNT, Tally
+from coralvale.tally import ALIVE_S, OUTAGE_BURST_S, RATE_WINDOW_S, CounterQuota
 
 WORLDS, SCHEDULES, BEGIN = 20, 10, 6
 # Of the units sent on, the share beyond quotas; of all tries, the share that is refused with room in the store,
@@ -90,30 +90,30 @@
 def test_without_the_usual_rate_more_is_let_in_while_the_counter_is_away(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(tally, "LOOSE", 1000.0)
+    monkeypatch.setattr(tally, "UNCOUNTED_FACTOR", 1000.0)
     told = played(range(WORLDS // 3))["down"]
     assert told["beyond"] > BEYOND["down"] * told["taken"]
 
 
-def made() -> tuple[Tally, Restrictor]:
+def made() -> tuple[CounterQuota, Restrictor]:
     restrictor = Restrictor(PLANS[0], 150, 1000.0, 1000.0)
-    return Tally(settings(parse(WORLD)), random.Random(1)), restrictor
+    return CounterQuota(settings(parse(WORLD)), random.Random(1)), restrictor
 
 
 def test_uncounted_requests_go_on_at_the_rate_that_was_usual_and_no_faster() -> None:
     counted, restrictor = made()
     request, now = api.Request("r", 0, 0, 7, 150, 2000.0), 1000.0
-    while now < 1000.0 + 4 * LEARNT:  # two a second, all told by the counter
-        counted.heard_at = now
-        counted.let(now, request, restrictor, True)
+    while now < 1000.0 + 4 * RATE_WINDOW_S:  # two a second, all told by the counter
+        counted.answered_at = now
+        counted.record_admitted(now, request, restrictor, True)
         now += 0.5
-    let, begun = 0, now + HEARD
+    let, begun = 0, now + ALIVE_S
     for n in range(2000):  # a hundred a second, none of them told
         at = begun + n * 0.01
         if not counted.wait(at, request, restrictor):
-            counted.let(at, request, restrictor, False)
+            counted.record_admitted(at, request, restrictor, False)
             let += 1
-    assert 2.0 * 20 * 0.9 <= let <= 2.0 * (20 + ALONE) * 1.1 + 1
+    assert 2.0 * 20 * 0.9 <= let <= 2.0 * (20 + OUTAGE_BURST_S) * 1.1 + 1
 
 
 def test_a_crowded_counter_does_not_lower_what_is_usual() -> None:
@@ -123,11 +123,11 @@
     let = 0
     for n in range(1200):  # a minute of two seconds' gaps on average, as clients ask by chance
         now += lots.expovariate(2.0)
-        counted.heard_at = now
+        counted.answered_at = now
         if n % 2:
-            counted.let(now, request, restrictor, True)
+            counted.record_admitted(now, request, restrictor, True)
         elif not counted.wait(now, request, restrictor):
-            counted.let(now, request, restrictor, False)
+            counted.record_admitted(now, request, restrictor, False)
             let += n > 200
     assert let >= 0.75 * 500  # of one request a second: with what was let in as the rate it was 123
 
@@ -138,43 +138,43 @@
     request, now, let = api.Request("r", 0, 0, 7, 150, 9000.0), 1000.0, 0
     for n in range(2400):  # two a second, every other one uncounted
         now += 0.5
-        counted.heard_at = now
+        counted.answered_at = now
         if n % 2:
             if not counted.wait(now, request, restrictor):
-                counted.let(now, request, restrictor, False)
+                counted.record_admitted(now, request, restrictor, False)
                 let += 1
             continue
-        _, begun = Tally.epoch(now, 7)
-        full = PLANS[0].burst * (1 - tally.START) + PLANS[0].rate * (now - begun)
+        _, begun = CounterQuota.epoch(now, 7)
+        full = PLANS[0].burst * (1 - tally.INITIAL_FILL) + PLANS[0].rate * (now - begun)
         total = full + 1.0 if n % 4 else full - PLANS[0].burst + 1.0
         wait, _ = counted.settle(now, tally.Call(now, 1.0, request, restrictor, begun), total, 0.15, False)
         assert bool(wait) == bool(n % 4)
         if not wait:
-            counted.let(now, request, restrictor, True)
+            counted.record_admitted(now, request, restrictor, True)
     assert 0.45 * 1200 <= let <= 0.7 * 1200  # all of them, were they taken to fit as they come
 
 
 def test_when_the_counter_goes_no_more_than_a_second_of_what_is_usual_comes_at_once() -> None:
     counted, restrictor = made()
     request, now = api.Request("r", 0, 0, 7, 150, 2000.0), 1000.0
-    while now < 1000.0 + 4 * LEARNT:  # ten a second
-        counted.heard_at = now
-        counted.let(now, request, restrictor, True)
+    while now < 1000.0 + 4 * RATE_WINDOW_S:  # ten a second
+        counted.answered_at = now
+        counted.record_admitted(now, request, restrictor, True)
         now += 0.1
     let = 0
     for n in range(200):  # a thousand a second, after a pause in which the bucket has run empty
-        at = now + HEARD + 3.0 + n * 0.001
+        at = now + ALIVE_S + 3.0 + n * 0.001
         if not counted.wait(at, request, restrictor):
-            counted.let(at, request, restrictor, False)
+            counted.record_admitted(at, request, restrictor, False)
             let += 1
-    assert 10 * ALONE * 0.8 <= let <= 10 * (ALONE + 0.2) * 1.15 + 1
+    assert 10 * OUTAGE_BURST_S * 0.8 <= let <= 10 * (OUTAGE_BURST_S + 0.2) * 1.15 + 1
 
 
 def test_one_that_has_learnt_nothing_yet_lets_in() -> None:
     counted, restrictor = made()
     request = api.Request("r", 0, 0, 7, 150, 1004.0)
     assert counted.wait(1000.0, request, restrictor) == 0.0
-    counted.let(1000.0, request, restrictor, False)
+    counted.record_admitted(1000.0, request, restrictor, False)
     assert counted.wait(1000.1, request, restrictor) == 0.0
 
 
@@ -185,11 +185,11 @@
     while (call := counted.ask(1000.0, request, restrictor)) is None:
         pass  # of a retry's calls some are not made
     assert call.amount == (0.0 if retried else 1.0)
-    kept = counted.answered(1000.01, api.CounterReply(call.name, True, call.amount))
+    kept = counted.take_reply(1000.01, api.CounterReply(call.name, True, call.amount))
     assert kept is not None
     wait, right = counted.settle(1000.01, kept, call.amount, 0.15, False)
-    _, begun = Tally.epoch(1000.0, 7)
-    found = tally.START * PLANS[0].burst - PLANS[0].rate * (1000.01 - begun)
+    _, begun = CounterQuota.epoch(1000.0, 7)
+    found = tally.INITIAL_FILL * PLANS[0].burst - PLANS[0].rate * (1000.01 - begun)
     due = (max(0.0, found) + 1.0) - found  # what the number has to grow by, idle time that ran over as well
     assert wait == 0.0
     assert call.amount + sum(c.amount for c in right if isinstance(c, api.Count)) == pytest.approx(
@@ -202,9 +202,9 @@
     request = api.Request("r", 0, 0, 7, 150, 1004.0, retried=True)
     while (call := counted.ask(1000.0, request, restrictor)) is None:
         pass
-    _, begun = Tally.epoch(1000.0, 7)
-    full = PLANS[0].burst - tally.START * PLANS[0].burst + PLANS[0].rate * (1000.01 - begun)
-    kept = counted.answered(1000.01, api.CounterReply(call.name, True, full))
+    _, begun = CounterQuota.epoch(1000.0, 7)
+    full = PLANS[0].burst - tally.INITIAL_FILL * PLANS[0].burst + PLANS[0].rate * (1000.01 - begun)
+    kept = counted.take_reply(1000.01, api.CounterReply(call.name, True, full))
     assert kept is not None
     wait, right = counted.settle(1000.01, kept, full, 0.15, False)
     assert wait > 0 and not right
@@ -215,14 +215,14 @@
     room = {}
     for lost in (False, True):
         counted, restrictor = made()
-        counted.heard_at, counted.silent = 1000.0, lost
+        counted.answered_at, counted.failing = 1000.0, lost
         request = api.Request("r", 0, 0, 7, 150, 1014.0)
         while (call := counted.ask(1010.0, request, restrictor)) is None:
             pass
-        kept = counted.answered(1010.01, api.CounterReply(call.name, True, call.amount))
+        kept = counted.take_reply(1010.01, api.CounterReply(call.name, True, call.amount))
         assert kept is not None
         wait, _ = counted.settle(1010.01, kept, call.amount, 0.15, False)
         assert not wait
         room[lost] = PLANS[0].burst - restrictor.known
     assert room[False] == pytest.approx(PLANS[0].burst - 1)
-    assert room[True] == pytest.approx((1 - tally.LOST) * PLANS[0].burst - 1)
+    assert room[True] == pytest.approx((1 - tally.LOST_FILL) * PLANS[0].burst - 1)
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -12,7 +12,7 @@
 
 from coralvale import interface as api
 from coralvale.restrictor import Restrictor
-from coralvale.tally import EPOCH, LEEWAY, START
+from coralvale.tally import EPOCH_S, INITIAL_FILL, LEEWAY_REQUESTS
 
 
 def counting(**more: object) -> Bench:
@@ -70,7 +70,7 @@
     lots, book, benches = random.Random(int(asked * 10)), Book(), [counting(seed=n) for n in range(40)]
     fill, at, sent, beyond, tries = 0.0, 100.0, 0, 0, 0
     alone, fitting = 0.0, 0  # the store that saw every try, and what it would let in
-    while at < 100.0 + 3 * EPOCH:
+    while at < 100.0 + 3 * EPOCH_S:
         gap = lots.expovariate(asked * PLAN.rate)
         fill, at = max(0.0, fill - PLAN.rate * gap), at + gap
         bench = lots.choice(benches)
@@ -85,8 +85,8 @@
         if sends:
             sent, beyond, fill = sent + 1, beyond + (not fits), fill + fits
             bench.done(name)
-    most = PLAN.burst + PLAN.rate * 3 * EPOCH
-    started = 4 * START * PLAN.burst  # a new epoch begins with half a burst whatever was used before
+    most = PLAN.burst + PLAN.rate * 3 * EPOCH_S
+    started = 4 * INITIAL_FILL * PLAN.burst  # a new epoch begins with half a burst whatever was used before
     assert sent <= most + started + 2
     assert beyond <= started + 0.02 * most
     assert sent >= 0.97 * fitting
@@ -96,7 +96,7 @@
 def test_an_idle_customer_saves_up_no_more_than_a_burst() -> None:
     book, bench = Book(), counting()
     book.carry(bench, ask(bench)[1:])
-    bench.now += 0.8 * EPOCH
+    bench.now += 0.8 * EPOCH_S
     sent = 0
     for seed in range(300):
         other = counting(seed=seed)
@@ -125,7 +125,7 @@
     _, one = ask(bench)
     _, two = ask(bench)
     _, begun = bench.gateway.counter.epoch(bench.now, 1)
-    book.totals[one.name] = 4.0 * (bench.now - begun) - START * 8.0  # neither idle nor in use
+    book.totals[one.name] = 4.0 * (bench.now - begun) - INITIAL_FILL * 8.0  # neither idle nor in use
     replies = [book.add(one), book.add(two)]
     bench.feed(replies[0])
     refusal, right = bench.feed(replies[1])
@@ -141,7 +141,7 @@
     (refusal,) = book.carry(bench, [call])
     assert isinstance(refusal, api.Refuse) and 0 < refusal.advice <= 1.0
     assert [type(a) for a in bench.request(entry_gateways=100)[1]] == [api.Refuse]
-    bench.wait((1 + LEEWAY) / PLAN.rate)
+    bench.wait((1 + LEEWAY_REQUESTS) / PLAN.rate)
     ask(bench)
 
 
@@ -204,7 +204,7 @@
         api.Plan("cheap", 4.0, 8.0, excess_cost=0.8),
     )
     bench = counting(plans=(cheap, dear))
-    bench.gateway.counter.trust, bench.gateway.counter.told_at = 0.5, bench.now
+    bench.gateway.counter.trust, bench.gateway.counter.trust_at = 0.5, bench.now
     asked = [0, 0]
     for customer in range(200):
         for plan in (0, 1):
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -81,7 +81,7 @@
 
 def test_work_is_refused_early_when_a_queue_has_built_up() -> None:
     bench = jam(delay=0.9, out=60)
-    assert bench.gateway.refused.counts.get("pressed") or any(
+    assert bench.gateway.refusals.counts.get("pressed") or any(
         isinstance(a, api.Log) and "pressed" in a.text for a in bench.seen
     )
 
@@ -186,12 +186,12 @@
 
 def test_time_outs_of_impatient_clients_tell_of_the_delay_and_not_of_the_server() -> None:
     bench = Bench()
-    before = bench.gateway.usual[0]
+    before = bench.gateway.delays[0]
     for customer in range(40):
         name, actions = bench.request(customer=customer, expires_at=bench.now + 0.5)
         if isinstance(actions[0], api.Send):
             bench.done(name, api.Outcome.TIMEOUT, delay=0.5, finished=True)
-    assert bench.gateway.usual[0] > 1.5 * before
+    assert bench.gateway.delays[0] > 1.5 * before
     assert all(h.failures == 0 for h in bench.gateway.fleet.hosts.values())
 
 
@@ -250,12 +250,12 @@
     """After a takeover the delays are another process's, and no server has been picked yet."""
     bench = Bench(servers=tuple(server(f"s{i}") for i in range(9)))
     gateway = bench.gateway
-    gateway.usual, gateway.calm, gateway.mean = (
-        [0.24] * len(gateway.usual),
-        [0.033] * len(gateway.usual),
+    gateway.delays, gateway.base_delays, gateway.mean = (
+        [0.24] * len(gateway.delays),
+        [0.033] * len(gateway.delays),
         0.24,
     )
-    gateway.warm, gateway.sort_at = [], -math.inf
+    gateway.warm, gateway.classify_at = [], -math.inf
     assert isinstance(bench.request()[1][0], api.Send)
 
 
@@ -281,7 +281,7 @@
         host = bench.gateway.fleet.hosts[actions[0].server]
         bench.done(name, delay=0.04 / host.warmup(bench.gateway.settings, bench.now))
     assert refused == 0
-    assert all(usual < 0.06 for usual in bench.gateway.usual)
+    assert all(usual < 0.06 for usual in bench.gateway.delays)
 
 
 def test_a_host_given_back_is_as_warm_as_the_list_tells_and_cold_if_it_tells_nothing() -> None:
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -54,15 +54,15 @@
     return bool(sent)
 
 
-HOLD = handover.HOLD
+HOLD_S = handover.HOLD_S
 FULL = [(0.0, 0, 1), (9.9, 0, 0)]  # a store that stands full when it is handed on
 AT_ONCE = [(0.0, 0, 1), (0.0, 0, 1), (0.0, 1, 1), (0.0, 1, 1), (0.0, 2, 1), (0.0, 2, 1)]
 
 
 @examples(max_examples=200, deadline=None)
 @example([*FULL, (9.0, 0, 0), *AT_ONCE], {1: "give"})
-@example([*FULL, (HOLD - 0.1, 0, 1), (0.2, 1, 1), (0.0, 1, 1), (0.0, 1, 1)], {1: "give"})
-@example([*FULL, (HOLD + 1, 1, 1), (5.0, 1, 0), *AT_ONCE], {1: "give"})
+@example([*FULL, (HOLD_S - 0.1, 0, 1), (0.2, 1, 1), (0.0, 1, 1), (0.0, 1, 1)], {1: "give"})
+@example([*FULL, (HOLD_S + 1, 1, 1), (5.0, 1, 0), *AT_ONCE], {1: "give"})
 @example([*FULL, (0.0, 0, 0), (9.0, 0, 0), *AT_ONCE], {1: "give", 2: "give"})
 @example([*FULL, (9.0, 0, 0), *AT_ONCE], {1: "keep"})
 @example([*FULL, (0.0, 0, 1), (0.0, 1, 1), (2.0, 0, 1), (0.0, 1, 1)], {1: "give"})
