--- a/coralvale/adapter.py
+++ b/coralvale/adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: text lines to events, actions to text lines; one `Gateway` for each instance."""
+"""Adapter to the simulator: text lines to events, actions to text lines, one `Gateway` for each instance."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class MalformedLine(ValueError):
-    """A line that cannot be read; the message names it."""
+    """An input line that cannot be parsed; the message contains it."""
 
 
 OUTCOMES = {
@@ -44,6 +44,7 @@
 
 
 def split_fields(parts: Iterable[str]) -> Fields:
+    """Parses `name=value` parts of a line."""
     fields: Fields = {}
     for part in parts:
         name, equals, value = part.partition("=")
@@ -54,7 +55,7 @@
 
 
 def read_value(pairs: Fields, path: str, convert: Callable[[str], Any], default: Any = None) -> Any:
-    """One setting; an error names it if it cannot be used, or is missing and has no default."""
+    """One converted setting. Raises SettingsError if it is invalid, or missing without a default."""
     if path not in pairs:
         if default is None:
             raise api.SettingsError(f"{path}: missing")
@@ -66,19 +67,22 @@
 
 
 def flag(text: str) -> bool:
+    """A boolean; KeyError if it is none."""
     return {"true": True, "false": False, "1": True, "0": False}[text]
 
 
 def words(text: str) -> tuple[str, ...]:
+    """A comma-separated list, without empty entries."""
     return tuple(word for word in text.split(",") if word)
 
 
 def whole(text: str) -> int:
+    """An integer, also when written as a float."""
     return int(float(text))
 
 
 def read_settings(pairs: Fields) -> api.Settings:
-    """The settings as the module knows them; a bad one is named, unknown ones are skipped."""
+    """Settings from the simulator's names. Raises SettingsError for an invalid one; skips unknown ones."""
 
     get = functools.partial(read_value, pairs)
     classes = []
@@ -145,6 +149,7 @@
 
 
 def read_server(f: Fields) -> api.Server:
+    """A server from the fields of a list entry."""
     return api.Server(
         id=f["host"],
         state=STATES[f["health"]],
@@ -157,10 +162,12 @@
 
 
 def read_report(f: Fields) -> tuple[float, ...]:
+    """A server's load report: values in the order of `report_fields`."""
     return tuple(float(value) for value in f.get("health_info", "").split(",") if value)
 
 
 def read_request(f: Fields) -> api.Request:
+    """A request from the fields of its line."""
     return api.Request(
         id=f["tid"],
         cls=int(f["band"]),
@@ -175,7 +182,9 @@
 
 
 def read_done(f: Fields) -> api.AttemptDone:
+    """The end of an attempt from the fields of its line."""
     usage, units = float(f.get("quota_use", "0")), float(f.get("cost", "0"))
+    # The simulator sends a fraction `u` as 100 u + 1, and 0 for none.
     return api.AttemptDone(
         request=f["tid"],
         attempt=int(f["n"]),
@@ -216,32 +225,34 @@
 }
 
 
-Make = Callable[[float, api.Settings, int], Gateway]
+GatewayFactory = Callable[[float, api.Settings, int], Gateway]
 
 
-def plain(now: float, settings: api.Settings, seed: int) -> Gateway:
-    """The gateway as the platform has it."""
+def make_gateway(now: float, settings: api.Settings, seed: int) -> Gateway:
+    """A gateway without optional subsystems."""
     return Gateway(settings, seed)
 
 
 class Adapter:
-    """Reads batches, hands each event to its instance, and writes one reply a batch.
+    """Reads batches of lines, passes each event to its instance, and writes one reply for each batch.
 
-    `make` makes an instance's gateway, at a moment and of its settings and seed.
+    `make` creates an instance's gateway from the time, its settings and its seed.
     """
 
-    def __init__(self, make: Make = plain) -> None:
+    def __init__(self, make: GatewayFactory = make_gateway) -> None:
         self.make = make
         self.gateways: dict[int, Gateway] = {}
         self.lists: dict[int, tuple[api.Server, ...]] = {}
 
     def run(self, source: Iterable[str], sink: TextIO) -> None:
+        """Serves batches until the input ends."""
         lines = iter(source)
         for line in lines:
             sink.write(self.batch(line, lines))
             sink.flush()
 
     def batch(self, first: str, lines: Iterator[str]) -> str:
+        """The reply to one batch, whose first line is `first`. Raises MalformedLine."""
         reply: list[str] = []
         speaking = instance = -1
         now, line, started = 0.0, first, False
@@ -283,7 +294,7 @@
             text = next(lines, "").rstrip("\r\n")
             word, *parts = text.split("\t")
             if word != "M":
-                raise ValueError(f"a list entry was due, not {text!r}")
+                raise ValueError(f"expected a list entry, got {text!r}")
             try:
                 servers.append(read_server(split_fields(parts)))
             except (ValueError, KeyError) as error:
@@ -291,7 +302,7 @@
         self.lists[int(f["list"])] = tuple(servers)
 
     def _event(self, now: float, instance: int, word: str, parts: list[str]) -> list[api.Action] | str:
-        """The module's answer to one event, or the plain message of its failure."""
+        """The module's answer to one event, or the message of its failure."""
         if word == "HELLO":
             f = split_fields(parts)
             seed = int(f["nonce64"])
@@ -321,11 +332,12 @@
     def _guarded(call: Callable[[], list[api.Action]]) -> list[api.Action] | str:
         try:
             return call()
-        except Exception as error:  # whatever fails in the module is reported, never hidden
+        except Exception as error:  # any failure in the module is reported as a crash of its instance
             return f"{type(error).__name__}: {error}".replace("\n", " ").replace("\t", " ")
 
 
-def main(make: Make = plain) -> int:
+def main(make: GatewayFactory = make_gateway) -> int:
+    """Runs the adapter on standard input and output; returns the exit code."""
     try:
         Adapter(make).run(sys.stdin, sys.stdout)
     except MalformedLine as error:
--- a/coralvale/interface.py
+++ b/coralvale/interface.py
@@ -1,7 +1,7 @@
-"""Types of the decision module: the settings it is given, the events it sees, the actions it answers with.
+"""Types of the decision module: its settings, the events that it takes and the actions that it returns.
 
-Times are seconds on the caller's clock. Nothing in this file decides anything; `Settings` only refuses
-values that make no sense, by an error that names the setting.
+Times are seconds on the caller's clock, delays are seconds. Nothing in this file decides anything; `Settings`
+only refuses invalid values, by an error that names the setting.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class SettingsError(ValueError):
-    """A setting is missing or makes no sense; the message names it."""
+    """A setting is missing or invalid; the message names it."""
 
 
 class Repeat(Enum):
@@ -25,7 +25,7 @@
 
 
 class Group(Enum):
-    """Which servers drop repeats of a keyed request among themselves."""
+    """Which servers deduplicate a keyed request among themselves: all, those of a zone, or of a cell."""
 
     ALL = "all"
     ZONE = "zone"
@@ -33,13 +33,15 @@
 
 
 class ServerState(Enum):
+    """State of a server on the list; only healthy ones get new requests."""
+
     HEALTHY = "healthy"
     DRAINING = "draining"
     GONE = "gone"
 
 
 class ListKind(Enum):
-    """Kinds of server list news: changes, the full list, the list as last seen, a failed call."""
+    """What a server list event holds: changes, the full list, the list as last seen, or a failed call."""
 
     CHANGES = "changes"
     FULL = "full"
@@ -48,6 +50,8 @@
 
 
 class Outcome(Enum):
+    """How an attempt ended, as the gateway saw it."""
+
     OK = "ok"
     ERROR = "error"
     FULL = "full"
@@ -59,7 +63,7 @@
 
 
 class Verdict(Enum):
-    """What an authoriser said of a request, or that it said nothing in time."""
+    """An authoriser's verdict on a request, or that none came in time."""
 
     ALLOWED = "allowed"
     DENIED = "denied"
@@ -67,6 +71,8 @@
 
 
 class ReportVia(Enum):
+    """How servers report their load: with their answers, when probed, or not at all."""
+
     ANSWERS = "answers"
     PROBE = "probe"
     NONE = "none"
@@ -74,25 +80,30 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
+    """Requests of one kind, with the time that an answer may take."""
+
     name: str
-    aim: float
-    give_up: float
+    aim: float  # s in which an answer is to come
+    give_up: float  # s after which the client gives up
     worth: float
     repeat: Repeat
     group: Group = Group.ALL
-    key_window: float = 0.0
+    key_window: float = 0.0  # s for which servers deduplicate a key
     streamed: bool = False
     late_worth: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """Quota figures of a customer on this plan, over all gateways. A rate or limit of 0 means none."""
+    """Limits of a customer on this plan, over all gateways. A rate or limit of 0 means none.
+
+    Rates are units per second, bursts are units.
+    """
 
     name: str
     rate: float
     burst: float
-    open_limit: float = 0.0
+    open_limit: float = 0.0  # attempts in flight
     price: float = 1.0
     excess_worth: float = 0.0
     excess_cost: float = 0.0
@@ -103,13 +114,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    gateways: int
-    zone: int
+    """Settings of one gateway, checked when they are made."""
+
+    gateways: int  # number of them
+    zone: int  # of this gateway
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
     drain_grace: float
-    cold_share: float
-    warm_after: float
+    cold_share: float  # of its capacity that a server has at its start
+    warm_after: float  # s after its start at which a server has its full capacity
     fall_multiple: float
     fall_window: float
     max_attempts: int
@@ -118,7 +131,7 @@
     may_cancel: bool = False
     may_probe: bool = False
     may_count: bool = False
-    counter_timeout: float = 0.0
+    counter_timeout: float = 0.0  # s
     meter_period: float = 0.0
     settles_after: bool = False
     ask_for_list: bool = False
@@ -126,8 +139,8 @@
     report_via: ReportVia = ReportVia.NONE
     report_fields: tuple[str, ...] = ()
     advice: bool = True
-    max_advice: float = 0.0
-    most_units: float = math.inf  # that one request may take
+    max_advice: float = 0.0  # s
+    most_units: float = math.inf  # of one request
     me: int = 0  # this gateway's number, from 0
 
     def __post_init__(self) -> None:
@@ -158,7 +171,7 @@
                 raise SettingsError(f"plans[{i}].ceiling_burst: a ceiling needs a burst above 0")
 
     def check(self, request: Request, terms: Terms | None = None) -> None:
-        """Refuses a request of a class or plan that is not known, by an error that names it."""
+        """Raises ValueError, with the name of what is unknown, for a request of an unknown class or plan."""
         plans = len(terms.names if terms else self.plans)
         for kind, value, known in (("class", request.cls, len(self.classes)), ("plan", request.plan, plans)):
             if not 0 <= value < known:
@@ -175,6 +188,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Server:
+    """An entry of the server list."""
+
     id: str
     state: ServerState
     scale: float = 1.0
@@ -186,15 +201,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerList:
+    """News of the server list, as `kind` says."""
+
     kind: ListKind
     servers: tuple[Server, ...] = ()
 
 
 @dataclass(frozen=True, slots=True)
 class Maintained:
-    """An operator takes a server out, or gives it back: out, it gets nothing new whatever a list says.
+    """An operator takes a server out or gives it back. While out it gets nothing new, whatever a list says.
 
-    One that is given back is taken to have restarted at that moment, unless a list tells when it did.
+    A server given back counts as restarted at that moment, unless a list says when it did.
     """
 
     server: str
@@ -203,21 +220,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
+    """A client's request. Deadlines are absolute times."""
+
     id: str
     cls: int
     plan: int
     customer: int
-    entry_gateways: int
+    entry_gateways: int  # size of the set of gateways that the customer uses
     expires_at: float
     units: float = 1.0
     first: int = 0  # number of the first gateway of the customer's set
     check: bool = False  # an authoriser has to allow it before it is sent
-    retried: bool = False  # its client says that it has asked before
+    retried: bool = False  # its client says that it is a retry
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The first of a long answer has come; `usage` as in `AttemptDone`."""
+    """The start of a streamed answer has arrived; `usage` as in `AttemptDone`."""
 
     request: str
     attempt: int
@@ -227,10 +246,11 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptDone:
-    """`usage` is the customer's metered use as a fraction of its rate, or None; `units` the true units.
+    """An attempt has ended. `delay` is in seconds; `finished` means that the request needs no more answer.
 
-    `broke`: a connection that had come up broke, where RESET and CONNECT_FAILED do not tell that from a host
-    that takes none. `alone` is false where another attempt's end tells of the same broken connection.
+    `usage` is the customer's metered use as a fraction of its rate, or None; `units` the true units.
+    `broke`: an established connection broke; RESET and CONNECT_FAILED alone don't tell that from a server
+    that accepts none. `alone` is false where another attempt's end reports the same broken connection.
     """
 
     request: str
@@ -247,16 +267,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Abandoned:
+    """The client of a request has left."""
+
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
+    """A timer that `SetTimer` set is due."""
+
     token: int
 
 
 @dataclass(frozen=True, slots=True)
 class ProbeDone:
+    """The result of a `Probe`."""
+
     server: str
     outcome: Outcome
     delay: float
@@ -265,10 +291,12 @@
 
 @dataclass(frozen=True, slots=True)
 class CounterReply:
+    """The one reply to a `Count`: the total after it, or `ok` false if there is none."""
+
     name: int | str
     ok: bool
     total: float
-    maybe_added: bool = False
+    maybe_added: bool = False  # without a total: whether the amount may have been added
 
 
 @dataclass(frozen=True, slots=True)
@@ -281,7 +309,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Handed:
-    """The newest attempt is for another proxy to make: out for its customer, but not at the server picked."""
+    """Another proxy makes the newest attempt: it is in flight for its customer, not at the picked server."""
 
     request: str
 
@@ -306,6 +334,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
+    """Send a request to a server; `until` is when the attempt times out."""
+
     request: str
     server: str
     until: float
@@ -313,13 +343,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Cancel:
+    """Cancel an attempt."""
+
     request: str
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class Refuse:
-    """`advice`: seconds after which to come back; `reason`: for logs, never for the client."""
+    """Refuse a request. `advice`: seconds until a retry; `reason`: for logs, never for the client."""
 
     request: str
     advice: float = 0.0
@@ -328,23 +360,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Fail:
+    """Answer with an error: the request may have run, and must not be retried."""
+
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
+    """Send `TimerFired` with `token` in `delay` seconds."""
+
     token: int
     delay: float
 
 
 @dataclass(frozen=True, slots=True)
 class Probe:
+    """Ask a server for its load."""
+
     server: str
 
 
 @dataclass(frozen=True, slots=True)
 class Count:
-    """`patient`: nobody waits for the reply, so that it may take longer than `Settings.counter_timeout`."""
+    """Add `amount` to a number on the counter, which keeps it for `lifetime` seconds from its first call.
+
+    `patient`: nobody waits for the reply, so that it may take longer than `Settings.counter_timeout`.
+    """
 
     name: int
     amount: float
@@ -354,7 +395,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Check:
-    """Ask the authoriser of a request; its units are kept for it until the answer."""
+    """Ask the authoriser of a request, whose units are reserved until its verdict."""
 
     request: str
 
@@ -378,6 +419,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Log:
+    """Write a line to the log."""
+
     text: str
 
 
@@ -386,35 +429,35 @@
 )
 
 
-# Parts of ceilings and quotas that are shared with other gateways
+# Ceilings and quotas that are shared with other gateways
 
 
 class Allowance(Protocol):
-    """What is asked of a subsystem that shares a customer's ceiling (or quota) among its gateways."""
+    """A subsystem that shares a customer's ceiling (or quota) among its gateways."""
 
     def wait(self, now: float, request: Request, plan: Plan, quota: bool) -> float | None:
-        """Seconds until there is room for the request, 0 if there is; None where the decisions are to know."""
+        """Seconds until there is room for the request, 0 if there is now; None: the gateway is to decide."""
 
     def charge(self, request: Request, plan: Plan) -> None:
-        """The request is sent on, by room that `wait` told of at the same moment."""
+        """Charges a request that is sent, after `wait` returned 0 at the same moment."""
 
     def refund(self, request: Request, plan: Plan) -> None:
-        """What was charged for a request was not used: it was not sent after all."""
+        """Refunds a request that was charged and not sent."""
 
     def due(self, now: float) -> list[Action]:
-        """Calls to the counter and lines for the log that are due now."""
+        """Calls to the counter and log lines that are due now."""
 
     def reply(self, now: float, event: CounterReply) -> list[Action]:
-        """Takes the reply to one of its calls; returns those that it leads to."""
+        """Takes the reply to one of its calls; returns further calls that it leads to."""
 
 
-# Plans that change in service
+# Plans that change at run time
 
 
 class Terms(Protocol):
-    """What is asked of a subsystem that knows which plan is in force for a customer."""
+    """A subsystem that knows which plan is in force for a customer."""
 
-    names: list[str]  # of plans, by the numbers that requests have: the settings' first
+    names: list[str]  # of plans, by the number that requests give; those of the settings come first
 
     def plan(self, now: float, customer: int, named: int) -> Plan:
-        """What is in force for a customer whose request names a plan. The same figures are the same object."""
+        """The plan in force for a customer whose request names a plan; equal plans are the same object."""
