--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Builders that the tests share."""
+"""Settings, builders and the gateway harness that the tests share."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Bench:
-    """A gateway with its clock and timers, and short ways to feed it."""
+    """A gateway with a clock and timers, and short methods to pass events to it."""
 
     def __init__(self, servers: tuple[api.Server, ...] | None = None, seed: int = 1, **changes: Any) -> None:
         self.gateway = Gateway(replace(SETTINGS, **changes), seed)
@@ -46,6 +46,7 @@
         self.feed(full_list(*(servers if servers is not None else (server("a"), server("b")))))
 
     def feed(self, event: api.Event) -> list[api.Action]:
+        """Passes an event; returns the actions other than timers, which it keeps."""
         actions = self.gateway.handle(self.now, event)
         for action in actions:
             if isinstance(action, api.SetTimer):
@@ -54,6 +55,7 @@
         return [a for a in actions if not isinstance(a, api.SetTimer)]
 
     def wait(self, seconds: float) -> list[api.Action]:
+        """Lets time pass and the timers fire; returns all their actions."""
         until, actions = self.now + seconds, []
         while self.timers and min(self.timers)[0] <= until:
             due = min(self.timers)
@@ -64,6 +66,7 @@
         return actions
 
     def request(self, customer: int = 1, **more: Any) -> tuple[str, list[api.Action]]:
+        """Makes a request; returns its id and the actions."""
         self.serial += 1
         name = more.pop("id", f"r{self.serial}")
         fields = {"cls": 0, "plan": 0, "entry_gateways": 1, "expires_at": self.now + 4.0, **more}
@@ -72,5 +75,6 @@
     def done(
         self, name: str, outcome: api.Outcome = api.Outcome.OK, attempt: int = 0, **more: Any
     ) -> list[api.Action]:
+        """Ends an attempt of a request."""
         fields = {"delay": 0.1, "finished": outcome is api.Outcome.OK, **more}
         return self.feed(api.AttemptDone(name, attempt, outcome, **fields))
--- a/tests/test_health.py
+++ b/tests/test_health.py
@@ -1,4 +1,4 @@
-"""Server health, pressure and what the log tells."""
+"""Server health, load shedding and the log of refusals."""
 
 import math
 from collections import Counter
@@ -11,7 +11,7 @@
 UNSAFE = replace(READ, repeat=api.Repeat.UNSAFE)
 
 
-def test_a_server_without_connections_is_passed_over_and_found_again() -> None:
+def test_a_server_that_refuses_connections_is_avoided_and_tried_again_later() -> None:
     bench = Bench()
     name, actions = bench.request()
     bad = actions[0].server
@@ -25,7 +25,7 @@
     assert bad in servers
 
 
-def test_a_silent_server_is_passed_over() -> None:
+def test_a_server_that_does_not_answer_is_avoided() -> None:
     bench = Bench()
     _, actions = bench.request()
     silent = actions[0].server
@@ -37,8 +37,8 @@
     assert actions[0].server != silent
 
 
-def test_no_connection_anywhere_does_not_use_up_the_retry_budget() -> None:
-    """Most of the fleet takes no connection: each request still finds the server that does."""
+def test_refused_connections_do_not_use_up_the_retry_budget() -> None:
+    """Most of the fleet refuses connections: each request still reaches the server that accepts them."""
     servers = tuple(server(f"s{i}") for i in range(3))
     bench = Bench(servers=servers, max_attempts=5)
     served = 0
@@ -56,7 +56,7 @@
     assert served == 60
 
 
-def test_errors_everywhere_do_not_double_the_load() -> None:
+def test_errors_of_all_servers_do_not_double_the_load() -> None:
     bench = Bench()
     for customer in range(100):
         name, _ = bench.request(customer=customer)
@@ -65,8 +65,8 @@
     assert sum(isinstance(a, api.Send) for a in bench.seen) <= 100 + 10 + 100 * 0.2 + 1
 
 
-def jam(delay: float, out: int) -> Bench:
-    """Answers take `delay` while `out` requests stay out at two servers."""
+def loaded(delay: float, out: int) -> Bench:
+    """A gateway with two servers whose answers take `delay` while `out` requests stay in flight."""
     bench = Bench()
     held: list[str] = []
     for customer in range(400):
@@ -80,19 +80,19 @@
 
 
 def test_work_is_refused_early_when_a_queue_has_built_up() -> None:
-    bench = jam(delay=0.9, out=60)
+    bench = loaded(delay=0.9, out=60)
     assert bench.gateway.refusals.counts.get("pressed") or any(
         isinstance(a, api.Log) and "pressed" in a.text for a in bench.seen
     )
 
 
-def test_slow_answers_with_little_out_are_not_taken_for_a_queue() -> None:
+def test_slow_answers_with_few_requests_in_flight_are_not_taken_for_a_queue() -> None:
     """A slow dependency: every answer is late, but refusing would not speed it up."""
-    bench = jam(delay=0.9, out=2)
+    bench = loaded(delay=0.9, out=2)
     assert not [a for a in bench.seen if isinstance(a, api.Refuse)]
 
 
-def test_refusals_are_told_in_one_line_for_each_ten_seconds() -> None:
+def test_refusals_are_logged_in_one_line_every_ten_seconds() -> None:
     bench = Bench()
     for _ in range(50):
         bench.request()
@@ -100,8 +100,8 @@
     assert logs == ["refused in 10 s: quota 42"]
 
 
-def test_attempts_on_hung_servers_are_not_taken_for_a_queue() -> None:
-    """A server that answers nothing keeps its attempts for long; the others have room all the same."""
+def test_attempts_at_a_hung_server_are_not_taken_for_a_queue() -> None:
+    """A hung server keeps its attempts for long, while the other one has room."""
     bench = Bench(servers=(server("hung"), server("well")), gateways=8)
     held: list[str] = []
     for customer in range(300):
@@ -130,7 +130,7 @@
     assert left[api.Outcome.ERROR] <= 30 * 1.2 + 1
 
 
-def test_a_server_back_from_a_pause_is_tried_singly() -> None:
+def test_a_server_is_tried_with_one_request_after_its_pause() -> None:
     bench = Bench(servers=tuple(server(f"s{i}") for i in range(4)))
     name, actions = bench.request()
     bad = actions[0].server
@@ -141,7 +141,7 @@
     assert sends.count(bad) == 1
 
 
-def test_the_retry_store_follows_own_traffic() -> None:
+def test_the_saved_retry_budget_is_bounded_by_own_traffic() -> None:
     """Hundreds of gateways with ten saved attempts each would repeat thousands at once."""
     bench = Bench(gateways=300)
     for customer in range(60):
@@ -151,8 +151,8 @@
     assert bench.gateway.retries < 2.5
 
 
-def test_little_own_traffic_is_not_taken_for_a_queue() -> None:
-    """Two requests a second and three out by chance at one of 300 gateways: no reason to refuse."""
+def test_sparse_traffic_of_one_of_many_gateways_is_not_taken_for_a_queue() -> None:
+    """Two requests per second, three in flight by chance, at one of 300 gateways: no reason to refuse."""
     bench = Bench(servers=tuple(server(f"s{i}") for i in range(75)), gateways=300)
     for customer in range(40):
         bench.wait(0.5)
@@ -163,8 +163,8 @@
         assert isinstance(actions[0], api.Send)
 
 
-def test_servers_get_work_by_their_size_where_gateways_are_many() -> None:
-    """A gateway with nothing out must not send all of it to the largest servers."""
+def test_servers_get_requests_in_proportion_to_their_size_with_many_gateways() -> None:
+    """A gateway with nothing in flight must not send everything to the largest servers."""
     servers = tuple(server(f"s{i}", scale=1.0 + i % 2) for i in range(20))
     sent = {1.0: 0, 2.0: 0}
     for seed in range(150):
@@ -176,15 +176,15 @@
     assert 1.4 < sent[2.0] / sent[1.0] < 2.4
 
 
-def test_clients_that_come_with_little_time_are_refused_when_answers_take_longer() -> None:
-    bench = jam(delay=0.9, out=2)
+def test_requests_with_less_time_left_than_answers_take_are_refused() -> None:
+    bench = loaded(delay=0.9, out=2)
     _, actions = bench.request(customer=9000, expires_at=bench.now + 0.3)
     assert [type(a) for a in actions] == [api.Refuse]
     _, actions = bench.request(customer=9001, expires_at=bench.now + 3.0)
     assert [type(a) for a in actions] == [api.Send]
 
 
-def test_time_outs_of_impatient_clients_tell_of_the_delay_and_not_of_the_server() -> None:
+def test_short_client_timeouts_raise_the_usual_delay_and_are_no_server_failures() -> None:
     bench = Bench()
     before = bench.gateway.delays[0]
     for customer in range(40):
@@ -195,7 +195,7 @@
     assert all(h.failures == 0 for h in bench.gateway.fleet.hosts.values())
 
 
-def test_reports_of_odd_length_or_value_change_nothing() -> None:
+def test_load_reports_of_wrong_length_or_value_do_no_harm() -> None:
     bench = Bench(report_fields=("queue", "qps"))
     for report in ((), (math.nan,), (math.inf, 1.0), (-5.0, -1.0), (1.0, 2.0, 3.0, 4.0)):
         name, actions = bench.request(customer=len(report) * 10 + bench.serial)
@@ -204,8 +204,8 @@
     assert all(math.isfinite(h.reported) for h in bench.gateway.fleet.hosts.values())
 
 
-def test_a_gateway_keeps_to_few_servers_and_leaves_the_slow_one() -> None:
-    """With two requests a second over 60 servers, each would be heard of twice in a minute."""
+def test_a_gateway_sends_to_a_small_subset_and_replaces_its_slow_server() -> None:
+    """Two requests per second spread over 60 servers would give two answers of each in a minute."""
     bench = Bench(servers=tuple(server(f"s{i}") for i in range(60)), gateways=300)
     name, actions = bench.request()
     bench.done(name)
@@ -219,8 +219,8 @@
     assert sends.count(slow) <= 5
 
 
-def test_a_lost_attempt_tells_nothing_against_its_server() -> None:
-    """Overtaken by later answers and long overdue it is lost: it keeps nobody waiting, now or later."""
+def test_a_lost_attempt_does_not_make_its_server_unhealthy() -> None:
+    """An overdue attempt that later answers overtook is lost: it must not count as silence of its server."""
     bench = Bench(servers=(server("s0"), server("s1")))
     _, (held, *_) = bench.request(customer=1)
     for customer in range(2, 200, 4):
@@ -233,7 +233,7 @@
     assert held.server in picked
 
 
-def test_a_safe_request_is_tried_elsewhere_in_time_and_an_unsafe_one_waits() -> None:
+def test_a_safe_request_times_out_early_for_a_retry_and_an_unsafe_one_does_not() -> None:
     for cls in (READ, UNSAFE):
         bench = Bench(classes=(cls,))
         for customer in range(200):
@@ -243,11 +243,11 @@
         begun = bench.now
         _, (send, *_) = bench.request(customer=1000, expires_at=begun + 4.0)
         assert (send.until < begun + cls.aim) == (cls is READ)
-        assert cls is UNSAFE or send.until > begun + cls.aim / 2  # slow ones may still come
+        assert cls is UNSAFE or send.until > begun + cls.aim / 2  # slow answers may still come
 
 
-def test_one_that_has_sent_nothing_yet_does_not_take_the_fleet_for_empty() -> None:
-    """After a takeover the delays are another process's, and no server has been picked yet."""
+def test_a_gateway_that_has_sent_nothing_yet_does_not_take_the_fleet_for_empty() -> None:
+    """After a takeover the delays are those of another process, and the servers are not classified yet."""
     bench = Bench(servers=tuple(server(f"s{i}") for i in range(9)))
     gateway = bench.gateway
     gateway.delays, gateway.base_delays, gateway.mean = (
@@ -259,8 +259,8 @@
     assert isinstance(bench.request()[1][0], api.Send)
 
 
-def test_cold_servers_that_are_slow_by_nature_are_no_sign_of_a_pressed_fleet() -> None:
-    """Most are given back by hand and cold: each answer takes as much longer as it can do less."""
+def test_slow_answers_of_cold_servers_are_not_taken_for_an_overloaded_fleet() -> None:
+    """Most servers are given back and cold: each answer takes longer in proportion to the lower capacity."""
     bench = Bench(servers=tuple(server(f"s{i}") for i in range(8)))
     for i in range(200):
         bench.wait(0.02)
@@ -284,7 +284,7 @@
     assert all(usual < 0.06 for usual in bench.gateway.delays)
 
 
-def test_a_host_given_back_is_as_warm_as_the_list_tells_and_cold_if_it_tells_nothing() -> None:
+def test_a_server_given_back_is_as_warm_as_the_list_says_and_else_cold() -> None:
     bench = Bench(servers=(server("told"), server("silent")))
     for name in ("told", "silent"):
         bench.feed(api.Maintained(name, True))
@@ -299,8 +299,8 @@
     assert warmth["silent"] < warmth["told"] < 1
 
 
-def test_a_changing_list_leaves_the_near_servers_as_they_are() -> None:
-    """A release changes the list many times; each server near anew costs a handshake at every gateway."""
+def test_list_changes_keep_the_subset_stable() -> None:
+    """A release changes the list many times; each new server in a subset costs a handshake per gateway."""
     servers = [server(f"s{i}") for i in range(60)]
     bench = Bench(servers=tuple(servers), gateways=40)
     bench.done(bench.request()[0])
@@ -316,8 +316,8 @@
     assert new <= gone + 12  # drawn anew each time: over 200
 
 
-def test_near_servers_stay_an_even_choice_among_all() -> None:
-    """Over a fleet every server has as many gateways near, new ones too: else a returned zone stays avoided."""
+def test_the_subsets_stay_evenly_drawn_after_list_changes() -> None:
+    """Every server is in as many subsets, new ones too: else a zone that returns would stay unused."""
     counts: Counter[str] = Counter()
     for seed in range(400):
         bench = Bench(servers=tuple(server(f"s{i}") for i in range(30)), gateways=40, seed=seed)
@@ -329,8 +329,8 @@
     assert 0.8 < new / old < 1.25
 
 
-def test_a_server_that_answers_with_errors_alone_is_tried_ever_less_often() -> None:
-    """Its answers come in 3 ms, so that it looks idle: 40 gateways sent seven such 378 requests in 11 s."""
+def test_a_server_that_only_answers_with_errors_is_tried_less_and_less() -> None:
+    """Its answers take 3 ms, so that it looks idle: 40 gateways sent seven such servers 378 requests in 11 s."""
     bench = Bench(servers=(server("a"), server("b")), classes=(UNSAFE,))
     errors = 0
     for customer in range(2000):
@@ -345,7 +345,7 @@
     assert 4 <= errors <= 16  # in 40 s; with pauses of 2 s at most: 28
 
 
-def test_a_broken_connection_that_carried_many_requests_is_one_break() -> None:
+def test_a_broken_connection_with_many_requests_counts_as_one_break() -> None:
     for alone, passed_over in ((True, True), (False, False)):
         bench = Bench(servers=(server("s0"),), classes=(UNSAFE,))
         names = [bench.request(customer=customer)[0] for customer in range(6)]
--- a/tests/test_meter.py
+++ b/tests/test_meter.py
@@ -1,4 +1,4 @@
-"""The leak rate: floor, growth bound, several gateways on one late meter."""
+"""The leak rate: its floor, its growth limit, and several gateways on one lagging meter."""
 
 import math
 
@@ -6,7 +6,7 @@
 
 
 def drive(bench: Bench, seconds: float, rate: float, usage: float | None) -> int:
-    """Sends `rate` requests a second of one customer at two entry gateways, all answered with `usage`."""
+    """Sends `rate` requests per second of one customer with two entry gateways, all answered with `usage`."""
     sent = 0
     for _ in range(int(seconds * rate)):
         bench.wait(1 / rate)
@@ -27,13 +27,13 @@
     assert restrictor(bench).rate == PLAN.rate / 2
 
 
-def test_the_rate_rises_to_the_own_share_of_the_use_and_not_over_the_quota() -> None:
+def test_the_rate_rises_to_the_own_share_of_the_use_and_at_most_to_the_quota() -> None:
     bench = Bench()
-    drive(bench, 10, 2.0, usage=0.5)  # all of the use comes through here
+    drive(bench, 10, 2.0, usage=0.5)  # this gateway sees all of the use
     assert PLAN.rate * 0.95 < restrictor(bench).rate <= PLAN.rate
 
 
-def test_the_rate_grows_by_the_bound_at_most() -> None:
+def test_the_rate_grows_at_most_by_its_limit() -> None:
     bench = Bench()
     drive(bench, 1.0, 2.0, usage=0.0)
     before = restrictor(bench).rate
@@ -47,15 +47,15 @@
     assert restrictor(bench).rate == PLAN.rate / 2
 
 
-def test_the_rate_eases_back_to_the_floor_without_readings() -> None:
+def test_the_rate_returns_to_the_floor_without_readings() -> None:
     bench = Bench()
     drive(bench, 10, 2.0, usage=0.5)
     bench.wait(30.0)
     assert abs(restrictor(bench).rate - PLAN.rate / 2) < 0.05
 
 
-def test_two_gateways_on_a_late_meter_settle_near_the_quota() -> None:
-    """Demand of twice the quota, split unevenly: what both let through settles near the quota."""
+def test_two_gateways_on_a_lagging_meter_settle_near_the_quota() -> None:
+    """Demand of twice the quota, split unevenly: what both admit settles near the quota."""
     gateways = [Bench(seed=s) for s in (1, 2)]
     history: list[int] = []
     total = 0
@@ -67,14 +67,14 @@
     assert 0.9 * PLAN.rate <= total / 40 <= 1.2 * PLAN.rate
 
 
-def test_true_units_correct_the_guess() -> None:
+def test_true_units_correct_the_estimate() -> None:
     bench = Bench(settles_after=True)
     name, _ = bench.request(units=1.0)
     bench.done(name, units=3.0)
     assert restrictor(bench).fill == 3.0
 
 
-def test_idle_customers_and_finished_requests_are_forgotten() -> None:
+def test_idle_customers_and_finished_requests_are_dropped() -> None:
     bench = Bench(servers=(server("a"), server("b")))
     for customer in range(500):
         name, _ = bench.request(customer=customer)
@@ -84,7 +84,7 @@
     assert len(bench.gateway.customers) == 0
 
 
-def test_readings_and_units_that_are_no_amounts_are_skipped() -> None:
+def test_invalid_readings_and_units_are_skipped() -> None:
     bench = Bench(settles_after=True)
     for odd in (math.nan, math.inf, -math.inf, -0.5):
         name, _ = bench.request(entry_gateways=2)
--- a/tests/test_restrictor.py
+++ b/tests/test_restrictor.py
@@ -1,4 +1,4 @@
-"""The leaky bucket against figures worked by hand."""
+"""The leaky bucket against values computed by hand."""
 
 from helpers import Bench
 
@@ -9,7 +9,7 @@
     return [type(a) for a in actions]
 
 
-def test_a_single_entry_gateway_lets_the_burst_through_and_then_the_rate() -> None:
+def test_a_single_entry_gateway_admits_the_burst_and_then_the_rate() -> None:
     bench = Bench()
     sent = 0
     for _ in range(12):
@@ -17,14 +17,14 @@
         sent += kinds(actions) == [api.Send]
         bench.done(name)
     assert sent == 8  # the burst of 8 units, all at one moment
-    bench.wait(0.25)  # 4 units a second: one more unit of room
+    bench.wait(0.25)  # 4 units per second: one more unit of room
     assert kinds(bench.request()[1]) == [api.Send]
     assert kinds(bench.request()[1]) == [api.Refuse]
 
 
-def test_the_threshold_is_scaled_with_the_floor_for_one_that_asks_for_its_whole_quota() -> None:
+def test_a_customer_at_its_whole_quota_has_the_burst_scaled_with_the_floor() -> None:
     bench = Bench()
-    for _ in range(60):  # 4 units a second over all, here twice its part
+    for _ in range(60):  # 4 units per second, the whole quota, twice the part of this gateway
         bench.wait(0.25)
         bench.done(bench.request(entry_gateways=2)[0])
     bench.wait(4.0)  # the bucket is empty again
@@ -36,12 +36,12 @@
     assert sent == 4  # half of the burst
 
 
-def test_one_that_has_asked_for_little_has_the_whole_burst() -> None:
+def test_a_customer_of_low_demand_has_the_whole_burst_at_one_gateway() -> None:
     bench = Bench()
     assert all(kinds(bench.request(entry_gateways=2)[1]) == [api.Send] for _ in range(6))
 
 
-def test_the_advice_is_when_the_bucket_will_have_room() -> None:
+def test_the_advice_is_the_time_until_the_bucket_has_room() -> None:
     bench = Bench()
     for _ in range(8):
         bench.request()
@@ -49,7 +49,7 @@
     assert actions == [api.Refuse("r9", 0.25)]
 
 
-def test_customers_have_buckets_of_their_own() -> None:
+def test_each_customer_has_its_own_bucket() -> None:
     bench = Bench()
     for _ in range(9):
         bench.request(customer=1)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The five rules at their edges, each seen from one gateway."""
+"""The five rules of the platform in edge cases, each with one gateway."""
 
 from dataclasses import replace
 
@@ -16,10 +16,10 @@
     return actions
 
 
-# No request is lost
+# Every request gets one final answer
 
 
-def test_a_request_past_its_time_is_refused_and_not_sent() -> None:
+def test_an_expired_request_is_refused_and_not_sent() -> None:
     bench = Bench()
     _, actions = bench.request(expires_at=bench.now)
     only(actions, api.Refuse)
@@ -66,14 +66,14 @@
     assert bench.done(name, api.Outcome.CONNECT_FAILED) == []
 
 
-def test_a_stream_that_broke_is_not_started_again() -> None:
+def test_a_broken_stream_is_not_retried() -> None:
     bench = Bench(classes=(replace(READ, streamed=True),))
     name, _ = bench.request()
     bench.feed(api.StreamStarted(name, 0, 0.1))
     assert bench.done(name, api.Outcome.RESET, finished=True) == []
 
 
-# No effect happens twice
+# No request runs twice
 
 
 def test_an_unsafe_request_that_may_have_run_is_neither_repeated_nor_refused() -> None:
@@ -83,7 +83,7 @@
         assert bench.done(name, outcome) == [api.Fail(name)]
 
 
-def test_an_unsafe_request_that_never_ran_goes_elsewhere_at_once() -> None:
+def test_an_unsafe_request_that_never_ran_is_retried_elsewhere_at_once() -> None:
     for outcome in (api.Outcome.FULL, api.Outcome.CONNECT_FAILED):
         bench = Bench(classes=(UNSAFE,))
         name, actions = bench.request()
@@ -91,7 +91,7 @@
         assert again.server != actions[0].server
 
 
-def test_a_keyed_request_that_may_have_run_stays_in_its_group_and_window() -> None:
+def test_a_keyed_request_that_may_have_run_is_retried_only_in_its_group_and_window() -> None:
     servers = tuple(server(f"s{i}", cell=i % 2) for i in range(8))
     cells = {s.id: s.cell for s in servers}
     bench = Bench(servers=servers, classes=(KEYED,))
@@ -102,20 +102,20 @@
     assert bench.done(name, api.Outcome.ERROR, attempt=1) == [api.Fail(name)]
 
 
-def test_a_keyed_request_with_its_group_gone_fails_and_is_not_refused() -> None:
+def test_a_keyed_request_without_servers_of_its_group_fails_and_is_not_refused() -> None:
     bench = Bench(servers=(server("a", cell=1), server("b", cell=2)), classes=(KEYED,))
     name, _ = bench.request()
     assert bench.done(name, api.Outcome.ERROR) == [api.Fail(name)]
 
 
-def test_no_second_attempt_goes_out_while_one_is_out() -> None:
+def test_no_second_attempt_is_sent_while_one_is_in_flight() -> None:
     bench = Bench()
     name, _ = bench.request()
     assert [a for a in bench.wait(3.0) if isinstance(a, api.Send | api.Cancel)] == []
-    only(bench.done(name, api.Outcome.CANCELLED), api.Refuse)  # past its aim another attempt is waste
+    only(bench.done(name, api.Outcome.CANCELLED), api.Refuse)  # past its aim a retry is of no use
 
 
-# Drains are kept
+# Draining servers get nothing new
 
 
 def test_a_draining_or_gone_server_gets_nothing_new_at_once() -> None:
@@ -136,7 +136,7 @@
         assert bench.request()[1][0].server == "b"
 
 
-def test_a_failed_list_call_keeps_the_list_and_is_asked_again() -> None:
+def test_a_failed_list_call_keeps_the_list_and_is_retried() -> None:
     bench = Bench(ask_for_list=True)
     assert api.FollowList() in bench.seen
     bench.feed(api.ServerList(api.ListKind.FAILED))
@@ -144,33 +144,35 @@
     assert api.FollowList() in bench.wait(2.0)
 
 
-# A cold server is not pushed over
+# A cold server is not overloaded
 
 
-def test_a_cold_server_gets_its_budget_and_no_more() -> None:
+def test_a_cold_server_gets_at_most_its_warm_up_share() -> None:
     bench = Bench(servers=(server("cold", started_at=99.9), server("warm")))
     sent = {"cold": 0, "warm": 0}
     held: list[str] = []
-    for i in range(300):  # three seconds at a hundred a second, four of them out at any time
+    for i in range(300):  # three seconds at 100 requests per second, four in flight
         bench.wait(0.01)
         name, actions = bench.request(customer=1000 + i)
         sent[actions[0].server] += 1
         held.append(name)
         if len(held) > 4:
             bench.done(held.pop(0), delay=0.04)
-    warm_share = bench.gateway.fleet.hosts["cold"].warmup(bench.gateway.settings, bench.now)
-    assert 0 < sent["cold"] <= 2 * warm_share * sent["warm"]
+    warmup = bench.gateway.fleet.hosts["cold"].warmup(bench.gateway.settings, bench.now)
+    assert 0 < sent["cold"] <= 2 * warmup * sent["warm"]
 
 
 def test_a_server_that_restarts_is_cold_again() -> None:
     bench = Bench(servers=(server("a"),))
     bench.feed(api.ServerList(api.ListKind.CHANGES, (server("a", started_at=bench.now),)))
     sends = [bench.request(customer=i)[1] for i in range(100)]
-    assert 10 < sum(isinstance(a[0], api.Send) for a in sends) < 45  # a quarter of its capacity is sure
+    assert (
+        10 < sum(isinstance(a[0], api.Send) for a in sends) < 45
+    )  # a quarter of its capacity counts as sure
 
 
 def fleet_sends(servers: tuple[api.Server, ...], gateways: int, each: int) -> dict[str, int]:
-    """What many gateways, each knowing only its own sends, send together within three seconds."""
+    """Requests by server that many gateways, each aware of its own only, send within three seconds."""
     sent = dict.fromkeys((s.id for s in servers), 0)
     for seed in range(gateways):
         bench = Bench(servers=servers, gateways=gateways, seed=seed)
@@ -183,20 +185,20 @@
     return sent
 
 
-def test_hundreds_of_gateways_do_not_push_over_one_cold_server() -> None:
+def test_hundreds_of_gateways_do_not_overload_one_cold_server() -> None:
     servers = (server("cold", started_at=99.9), *(server(f"w{i}") for i in range(19)))
     sent = fleet_sends(servers, gateways=300, each=6)
     even = sum(sent.values()) / 20
     assert 0.15 * even < sent["cold"] < 0.75 * even  # at most 0.48 warm after three seconds
 
 
-def test_a_fleet_that_is_all_cold_gets_no_more_than_its_warmth() -> None:
+def test_a_fleet_of_cold_servers_gets_at_most_its_warm_up_capacity() -> None:
     servers = tuple(server(f"c{i}", started_at=99.9) for i in range(10))
     sent = fleet_sends(servers, gateways=200, each=6)
     assert 0.2 < sum(sent.values()) / 1200 < 0.55
 
 
-def test_an_empty_and_a_shrinking_list_refuse_and_go_on() -> None:
+def test_requests_are_refused_while_the_list_is_empty_and_sent_after_it() -> None:
     bench = Bench(servers=tuple(server(f"s{i}") for i in range(3)))
     held = [bench.request(customer=i)[0] for i in range(3)]
     bench.feed(full_list())
@@ -215,18 +217,18 @@
     only(bench.request(entry_gateways=50)[1], api.Send)
 
 
-# Ceilings are kept
+# Ceilings are not exceeded
 
 
 def test_a_fresh_instance_starts_with_an_empty_share_of_the_ceiling() -> None:
     bench = Bench(plans=(CAPPED,))
     only(bench.request()[1], api.Refuse)
-    bench.wait(0.25)  # 4 units a second
+    bench.wait(0.25)  # 4 units per second
     only(bench.request()[1], api.Send)
     only(bench.request()[1], api.Refuse)
 
 
-def test_the_share_of_the_ceiling_never_passes_rate_and_burst() -> None:
+def test_the_share_of_the_ceiling_never_exceeds_rate_and_burst() -> None:
     bench = Bench(plans=(CAPPED,))
     bench.wait(30.0)
     sent = 0
@@ -243,7 +245,7 @@
     first, _ = bench.request()
     bench.request()
     only(bench.request()[1], api.Refuse)
-    bench.feed(api.Abandoned(first))  # the client left, the attempt is still out
+    bench.feed(api.Abandoned(first))  # the client left, the attempt is still in flight
     only(bench.request()[1], api.Refuse)
     bench.done(first, api.Outcome.TIMEOUT)
     only(bench.request()[1], api.Send)
