--- a/benchmarks/adapter.py
+++ b/benchmarks/adapter.py
@@ -1,8 +1,8 @@
-"""The simulator's adapter with the allowance on, to hold its days against those without.
+"""The simulator's adapter with shared allowances, for comparison with runs without them.
 
     SIMULATOR score SITE --quick --why "..." -- python benchmarks/adapter.py [--quotas] [--calls N]
 
-It speaks the simulator's wire on standard input and output, as `python -m coralvale.adapter` does.
+It speaks the simulator's protocol on standard input and output, as `python -m coralvale.adapter` does.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     asked = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     asked.add_argument("--quotas", action="store_true", help="share quotas as well as ceilings")
     asked.add_argument(
-        "--calls", type=float, default=50.0, help="calls to the counter a second, at most (50)"
+        "--calls", type=float, default=50.0, help="maximum calls to the counter per second (50)"
     )
     told = asked.parse_args()
 
--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -1,11 +1,11 @@
-"""CPU and memory that a request costs the decisions, for a small fleet and a large one, beside another checkout.
+"""CPU and memory per request of the decisions, for a small and a large fleet, compared with another checkout.
 
     python benchmarks/fleet.py [--quick] [--before CHECKOUT]
 
-Requests of many customers go through one gateway with sixty hosts: one of three, then one of forty whose counter
-answers each call. With `--before` the same is played by the code of another checkout, in turns, so that the hour
-tells on both alike. The last line is one JSON object: microseconds a request,
-kB kept a thousand customers, share of requests sent on.
+Requests of many customers go through one gateway with sixty hosts: one of three gateways, then one of forty whose
+counter answers each call. With `--before` the code of another checkout runs the same in alternating rounds, so
+that changes of the machine's load affect both. The last line is one JSON object: microseconds per request,
+kB kept per thousand customers, share of requests sent on.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 def play(requests: int, gateways: int, entries: int) -> tuple[float, float, float]:
-    """Microseconds of CPU a request, kB for a thousand customers, and the share of requests that is sent on."""
+    """Microseconds of CPU per request, kB per thousand customers, and the share of requests sent on."""
     from coralvale import Gateway
     from coralvale import interface as api
 
@@ -35,14 +35,14 @@
         classes=(api.RequestClass("fetch", 1.7, 6.9, 3.0, api.Repeat.SAFE),),
         plans=(api.Plan("small", 0.5, 2.0, excess_cost=0.8), api.Plan("middle", 1.0, 4.0, excess_cost=1.2)),
     )  # fmt: skip
-    lots, gateway, now = random.Random(1), Gateway(settings, 1), 1000.0
+    rng, gateway, now = random.Random(1), Gateway(settings, 1), 1000.0
     hosts = tuple(api.Server(f"h{i}", api.ServerState.HEALTHY) for i in range(60))
     gateway.handle(now, api.ServerList(api.ListKind.FULL, hosts))
     totals: dict[int | str, float] = {}
     sent = 0
 
     def ask(now: float, told: api.Request) -> None:
-        """Plays a request to its end: what is left out would cost all that come after it."""
+        """Plays a request to its end: one left in flight would slow down all later ones."""
         nonlocal sent
         due = list(gateway.handle(now, told))
         while due:
@@ -67,7 +67,7 @@
         now += 0.01
         if n % 10 == 0:
             gateway.handle(now, api.TimerFired(0))
-        ask(now, api.Request(f"r{n}", 0, n % 2, lots.randrange(customers), entries, now + 6.9))
+        ask(now, api.Request(f"r{n}", 0, n % 2, rng.randrange(customers), entries, now + 6.9))
     return (time.process_time() - began) / requests * 1e6, kept, sent / requests
 
 
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -1,4 +1,4 @@
-"""What forty gateways do together: bounds over their sum. Each fails with its mend taken out."""
+"""Bounds over the sum of forty gateways. Each fails without the mechanism that it guards."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def fleet(**more: Any) -> Experiment:
-    """Forty gateways, sixty hosts in three zones, three hundred customers; a few that ask past their ceiling."""
+    """Forty gateways, sixty hosts in three zones, three hundred customers; a few of them over their ceiling."""
     said: dict[str, Any] = {
         "name": "fleet",
         "classes": [
@@ -41,7 +41,7 @@
 
 
 def played(made: Experiment, seed: int) -> Platform:
-    """The run, which keeps all rules."""
+    """Runs an experiment, which must break no rule."""
     print(f"seed {seed}")
     world = Platform(made, seed, "ours", policies.factory("ours"))
     world.run()
@@ -54,17 +54,17 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_quotas_are_used_and_hardly_passed_while_all_is_well(seed: int) -> None:
-    """Without the store on the counter 0.050 of units are beyond, and 0.93 of what fits is kept."""
+def test_quotas_are_used_and_hardly_exceeded_in_normal_service(seed: int) -> None:
+    """Without quotas on the counter 0.050 of the units are over quota, and 0.93 of what fits is admitted."""
     told = played(fleet(seconds=25.0), seed).left().figures
     assert told["beyond"] <= 0.042
     assert told["fitting"] >= 0.95
     assert told["calls"] <= 1.6
-    assert told["hosts"] <= 20  # near hosts: eight, and one more every five seconds
+    assert told["hosts"] <= 20  # hosts of the subset: eight, and one more every five seconds
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_most_gateways_are_killed_at_once(seed: int) -> None:
+def test_quotas_are_used_after_most_gateways_are_killed_at_once(seed: int) -> None:
     killed = {"at": 8.0, "what": "gateway.kill", "share": 0.7, "by": 1.0}
     world = played(fleet(seconds=24.0, timeline=[killed], measure={"warm_up": 10.0}), seed)
     told = world.left()
@@ -73,11 +73,11 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_a_zone_is_lost_and_returns_cold(seed: int) -> None:
+def test_a_lost_zone_gets_its_share_again_after_it_returns_cold(seed: int) -> None:
     troubles = [
         {"at": 5.0, "what": "counter.down", "lasts": 5.0},
         {"at": 5.0, "what": "zone.lost", "zone": 1, "lasts": 5.0},
-        {"at": 10.0, "what": "counter.swap"},  # it is back elsewhere, empty
+        {"at": 10.0, "what": "counter.swap"},  # it comes back elsewhere, empty
     ]
     world = played(fleet(seconds=36.0, timeline=troubles), seed)
     zone = [h.name for h in world.hosts.values() if h.zone == 1]
@@ -85,32 +85,34 @@
     share = work(world, zone, 30) / work(world, list(world.hosts), 30)
     assert (
         share >= 0.7 * len(zone) / 60
-    )  # warm since 2 s; if new ones never came near: 0.13 of the even share
+    )  # warm for 2 s; 0.13 of the even share if new hosts never joined the subsets
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_six_in_ten_hosts_are_replaced(seed: int) -> None:
+def test_replacing_six_in_ten_hosts_overloads_no_cold_host(seed: int) -> None:
     replaced = {"at": 5.0, "what": "host.replace", "share": 0.6, "over": 7.0}
     world = played(fleet(seconds=24.0, timeline=[replaced], discovery={"spread": 0.3}), seed)
     told = world.left().figures
-    assert told["coldest"] <= 1.15  # taken for warm: 1.3; the rule allows 2
-    assert told["hosts"] <= 48  # drawn anew at each change: 58
+    assert told["coldest"] <= 1.15  # 1.3 if cold hosts were taken for warm; the rule allows 2
+    assert told["hosts"] <= 48  # 58 if the subset were drawn anew at each change
     assert told["fitting"] >= 0.95 and told["failed"] <= 0.01
 
 
-def line(fleet: int, seed: int, overbook: float = 2.0, a_call: float = 0.2) -> tuple[float, list[float]]:
-    """Forty watches break at once; when the last is answered again (s), and all calls.
+def queue_at_discovery(
+    fleet: int, seed: int, overbook: float = 2.0, a_call: float = 0.2
+) -> tuple[float, list[float]]:
+    """Forty watches break at once: when the last is answered again (s), and the times of all calls.
 
-    Discovery takes `a_call` seconds for a call, in turn, given up or not; what is not answered in 2 s fails, and
-    one that would take longer than `overbook` times that is turned away.
+    Discovery takes `a_call` seconds for each call, one after another, abandoned or not. A call that is not
+    answered in 2 s fails; one that would take longer than `overbook` times that is rejected.
     """
-    lots = random.Random(seed)
+    rng = random.Random(seed)
     watches = []
     for _ in range(40):
         made = Discovery(("", 0), (), (), Clock(), lambda *_: None, fleet=fleet)
-        made.random = random.Random(lots.random())
+        made.random = random.Random(rng.random())
         watches.append(made)
-    due = [(made._turn() + 0.05 * lots.random(), i) for i, made in enumerate(watches)]
+    due = [(made._turn() + 0.05 * rng.random(), i) for i, made in enumerate(watches)]
     heapq.heapify(due)
     free, calls, last = 0.0, list[float](), 0.0
     while due and due[0][0] < 60.0:
@@ -132,12 +134,12 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_fleet_whose_watches_break_at_once_has_all_of_them_back_soon(seed: int) -> None:
-    back, calls = line(40, seed)
+    back, calls = queue_at_discovery(40, seed)
     assert back <= 30.0 and len(calls) <= 5 * 40
 
 
-def test_without_turns_it_keeps_its_own_line_standing() -> None:
-    """What a small fleet does: the same forty with the pauses of one."""
-    results = [line(1, seed) for seed in range(20)]
+def test_without_turns_the_queue_at_discovery_does_not_drain() -> None:
+    """The same forty with the pauses of a fleet of one."""
+    results = [queue_at_discovery(1, seed) for seed in range(20)]
     assert min(back for back, _ in results) >= 40.0
     assert min(len(calls) for _, calls in results) >= 500
--- a/tests/fleet/test_quota.py
+++ b/tests/fleet/test_quota.py
@@ -1,4 +1,4 @@
-"""What two hundred gateways let in together, while the counter answers and while it does not.
+"""What two hundred gateways admit together, while the counter answers and while it does not.
 
 The bounds hold over the sum of all schedules of a kind: a single one lasts some seconds, and chance moves it.
 """
@@ -26,7 +26,7 @@
 WITH_ROOM = {"up": 0.6, "slow": 0.68, "down": 0.72, "split": 0.46, "swapped": 0.5}
 WORLD: dict[str, Any] = {
     "name": "quotas",
-    "fleet": {"gateways": 200, "hosts": 12, "cores": 256, "queue": 10_000},  # hosts answer, however many ask
+    "fleet": {"gateways": 200, "hosts": 12, "cores": 256, "queue": 10_000},  # large enough to answer all requests
     "classes": [
         {"name": "fetch", "work": 0.15, "worth": 3.0},
         {"name": "add", "work": 0.15, "worth": 2.0, "repeat": "unsafe"},
@@ -48,7 +48,7 @@
 
 
 def play(seed: int) -> dict[str, Counter[str]]:
-    """One world through ten schedules; a counter of 300 calls a second for about as many tries."""
+    """One world through ten schedules, with a counter of 300 calls per second for about as many tries."""
     lots, told = random.Random(seed), defaultdict[str, Counter[str]](Counter)
     at, states, timeline = BEGIN, list[str](), list[dict[str, Any]]()
     for _ in range(SCHEDULES):
@@ -81,13 +81,13 @@
     return told
 
 
-def test_quotas_hold_within_their_bounds_while_the_counter_comes_and_goes() -> None:
+def test_quotas_hold_within_their_bounds_through_counter_outages() -> None:
     for state, told in played(range(WORLDS)).items():
         assert told["beyond"] <= BEYOND[state] * told["taken"], state
         assert told["with room"] <= WITH_ROOM[state] * told["tries"], state
 
 
-def test_without_the_usual_rate_more_is_let_in_while_the_counter_is_away(
+def test_without_the_learned_rate_more_is_admitted_during_a_counter_outage(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(tally, "UNCOUNTED_FACTOR", 1000.0)
@@ -100,27 +100,27 @@
     return CounterQuota(settings(parse(WORLD)), random.Random(1)), restrictor
 
 
-def test_uncounted_requests_go_on_at_the_rate_that_was_usual_and_no_faster() -> None:
+def test_uncounted_requests_are_admitted_at_the_learned_rate_and_no_faster() -> None:
     counted, restrictor = made()
     request, now = api.Request("r", 0, 0, 7, 150, 2000.0), 1000.0
-    while now < 1000.0 + 4 * RATE_WINDOW_S:  # two a second, all told by the counter
+    while now < 1000.0 + 4 * RATE_WINDOW_S:  # two per second, all counted
         counted.answered_at = now
         counted.record_admitted(now, request, restrictor, True)
         now += 0.5
-    let, begun = 0, now + ALIVE_S
-    for n in range(2000):  # a hundred a second, none of them told
+    admitted, begun = 0, now + ALIVE_S
+    for n in range(2000):  # 100 per second, none of them counted
         at = begun + n * 0.01
         if not counted.wait(at, request, restrictor):
             counted.record_admitted(at, request, restrictor, False)
-            let += 1
-    assert 2.0 * 20 * 0.9 <= let <= 2.0 * (20 + OUTAGE_BURST_S) * 1.1 + 1
+            admitted += 1
+    assert 2.0 * 20 * 0.9 <= admitted <= 2.0 * (20 + OUTAGE_BURST_S) * 1.1 + 1
 
 
-def test_a_crowded_counter_does_not_lower_what_is_usual() -> None:
-    """Half of the requests go uncounted; those that are refused for that are as likely to fit as the others."""
+def test_an_overloaded_counter_does_not_lower_the_learned_rate() -> None:
+    """Half of the requests are uncounted; those refused for that are as likely to fit as the others."""
     counted, restrictor = made()
     lots, request, now = random.Random(3), api.Request("r", 0, 0, 7, 150, 2000.0), 1000.0
-    let = 0
+    admitted = 0
     for n in range(1200):  # a minute of two seconds' gaps on average, as clients ask by chance
         now += lots.expovariate(2.0)
         counted.answered_at = now
@@ -128,21 +128,21 @@
             counted.record_admitted(now, request, restrictor, True)
         elif not counted.wait(now, request, restrictor):
             counted.record_admitted(now, request, restrictor, False)
-            let += n > 200
-    assert let >= 0.75 * 500  # of one request a second: with what was let in as the rate it was 123
+            admitted += n > 200
+    assert admitted >= 0.75 * 500  # of one request a second: with what was admitted in as the rate it was 123
 
 
-def test_as_many_uncounted_requests_are_usual_as_the_counter_finds_room_for() -> None:
-    """Every second counted one is refused: the uncounted ones are let in at half the rate at which they come."""
+def test_uncounted_requests_are_admitted_as_often_as_counted_ones_fit() -> None:
+    """Every second counted request is refused, so uncounted ones are admitted at half their rate."""
     counted, restrictor = made()
-    request, now, let = api.Request("r", 0, 0, 7, 150, 9000.0), 1000.0, 0
-    for n in range(2400):  # two a second, every other one uncounted
+    request, now, admitted = api.Request("r", 0, 0, 7, 150, 9000.0), 1000.0, 0
+    for n in range(2400):  # two per second, every other one uncounted
         now += 0.5
         counted.answered_at = now
         if n % 2:
             if not counted.wait(now, request, restrictor):
                 counted.record_admitted(now, request, restrictor, False)
-                let += 1
+                admitted += 1
             continue
         _, begun = CounterQuota.epoch(now, 7)
         full = PLANS[0].burst * (1 - tally.INITIAL_FILL) + PLANS[0].rate * (now - begun)
@@ -151,26 +151,26 @@
         assert bool(wait) == bool(n % 4)
         if not wait:
             counted.record_admitted(now, request, restrictor, True)
-    assert 0.45 * 1200 <= let <= 0.7 * 1200  # all of them, were they taken to fit as they come
+    assert 0.45 * 1200 <= admitted <= 0.7 * 1200  # all of them, were they taken to fit as they come
 
 
-def test_when_the_counter_goes_no_more_than_a_second_of_what_is_usual_comes_at_once() -> None:
+def test_a_counter_outage_admits_at_most_one_second_of_the_learned_rate_at_once() -> None:
     counted, restrictor = made()
     request, now = api.Request("r", 0, 0, 7, 150, 2000.0), 1000.0
-    while now < 1000.0 + 4 * RATE_WINDOW_S:  # ten a second
+    while now < 1000.0 + 4 * RATE_WINDOW_S:  # ten per second
         counted.answered_at = now
         counted.record_admitted(now, request, restrictor, True)
         now += 0.1
-    let = 0
-    for n in range(200):  # a thousand a second, after a pause in which the bucket has run empty
+    admitted = 0
+    for n in range(200):  # 1000 per second, after a pause in which the bucket has drained
         at = now + ALIVE_S + 3.0 + n * 0.001
         if not counted.wait(at, request, restrictor):
             counted.record_admitted(at, request, restrictor, False)
-            let += 1
-    assert 10 * OUTAGE_BURST_S * 0.8 <= let <= 10 * (OUTAGE_BURST_S + 0.2) * 1.15 + 1
+            admitted += 1
+    assert 10 * OUTAGE_BURST_S * 0.8 <= admitted <= 10 * (OUTAGE_BURST_S + 0.2) * 1.15 + 1
 
 
-def test_one_that_has_learnt_nothing_yet_lets_in() -> None:
+def test_a_gateway_that_has_learned_no_rate_yet_admits() -> None:
     counted, restrictor = made()
     request = api.Request("r", 0, 0, 7, 150, 1004.0)
     assert counted.wait(1000.0, request, restrictor) == 0.0
@@ -179,11 +179,11 @@
 
 
 @pytest.mark.parametrize("retried", [False, True])
-def test_a_retry_reads_the_store_and_pays_when_it_has_room(retried: bool) -> None:
+def test_a_retry_reads_the_store_and_is_charged_if_there_is_room(retried: bool) -> None:
     counted, restrictor = made()
     request = api.Request("r", 0, 0, 7, 150, 1004.0, retried=retried)
     while (call := counted.ask(1000.0, request, restrictor)) is None:
-        pass  # of a retry's calls some are not made
+        pass  # some calls for retries are not made
     assert call.amount == (0.0 if retried else 1.0)
     kept = counted.take_reply(1000.01, api.CounterReply(call.name, True, call.amount))
     assert kept is not None
@@ -210,8 +210,8 @@
     assert wait > 0 and not right
 
 
-def test_a_store_that_is_new_after_a_loss_is_not_taken_for_an_empty_one() -> None:
-    """In the midst of an epoch a lost number would tell of idle time, and of a whole burst for everyone."""
+def test_a_new_store_after_a_counter_loss_is_not_taken_for_an_empty_one() -> None:
+    """In the middle of an epoch a lost number would look like idle time: a whole burst for every customer."""
     room = {}
     for lost in (False, True):
         counted, restrictor = made()
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -1,4 +1,4 @@
-"""The wire in both directions, bad input, and the same actions under every hash seed."""
+"""The simulator's protocol in both directions, malformed input, and equal actions under every hash seed."""
 
 import io
 import os
@@ -61,7 +61,7 @@
     return sink.getvalue().splitlines()
 
 
-def test_a_request_is_handed_off_and_its_answer_ends_it() -> None:
+def test_a_request_is_sent_and_its_answer_ends_it() -> None:
     done = "DONE\ttid=rq_a\tn=0\thost=10.0.0.1:80\toutcome=pass\tdelay_seen_s=0.1\tover=1\tquota_use=86"
     lines = play(start(hello()), batch(10.1, ingress("rq_a")), batch(10.2, done))
     assert lines == [
@@ -92,7 +92,7 @@
         ({"packages__0__most_at_once": "0"}, "plans[0].burst"),
     ],
 )
-def test_a_bad_setting_is_refused_by_name(change: dict[str, str | None], named: str) -> None:
+def test_an_invalid_setting_is_rejected_by_name(change: dict[str, str | None], named: str) -> None:
     crash = [line for line in play(batch(10.0, hello(**change))) if line.startswith("CRASH")]
     assert len(crash) == 1
     assert named in crash[0]
@@ -109,7 +109,7 @@
 @pytest.mark.parametrize(
     "line", ["NONSENSE\tx=1", "INGRESS\ttid=rq_a", "DONE\tbroken", "TIMEOUT_FIRED\tmark=x"]
 )
-def test_a_malformed_line_is_named(line: str) -> None:
+def test_a_malformed_line_is_named_in_the_error(line: str) -> None:
     with pytest.raises(MalformedLine, match=line.split("\t")[0]):
         play(start(hello()), batch(10.1, line))
 
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -1,4 +1,4 @@
-"""The store on the counter: when it is asked, what it lets in, and that it never holds a request for long."""
+"""Quotas on the shared counter: when it is called, what it admits, and that no request waits for long."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from coralvale.tally import EPOCH_S, INITIAL_FILL, LEEWAY_REQUESTS
 
 
-def counting(**more: object) -> Bench:
+def counting_gateway(**more: object) -> Bench:
     return Bench(gateways=100, may_count=True, counter_timeout=0.05, **more)
 
 
@@ -25,8 +25,8 @@
     return name, actions[0]
 
 
-class Book:
-    """A counter: totals by name, each call answered at once."""
+class FakeCounter:
+    """A counter in memory: totals by name, each call answered at once."""
 
     def __init__(self) -> None:
         self.totals: defaultdict[int | str, float] = defaultdict(float)
@@ -37,46 +37,50 @@
         self.totals[call.name] += call.amount
         return api.CounterReply(call.name, True, self.totals[call.name])
 
-    def carry(self, bench: Bench, actions: list[api.Action]) -> list[api.Action]:
-        """Answers all calls among the actions and those that follow; returns the other actions."""
+    def answer_calls(self, bench: Bench, actions: list[api.Action]) -> list[api.Action]:
+        """Answers all calls among the actions, and those that follow; returns the other actions."""
         rest = []
         for action in actions:
             if isinstance(action, api.Count):
-                rest += self.carry(bench, bench.feed(self.add(action)))
+                rest += self.answer_calls(bench, bench.feed(self.add(action)))
             else:
                 rest.append(action)
         return rest
 
 
-def test_nothing_is_asked_where_the_part_of_the_burst_is_some_requests_or_the_set_is_small() -> None:
+def test_no_call_is_made_where_the_part_of_the_burst_is_some_requests_or_the_set_is_small() -> None:
     for plan, entries in ((replace(PLAN, burst=3.0 * 8), 8), (api.Plan("small", 0.5, 1.0), 4)):
-        bench = counting(plans=(plan,))
+        bench = counting_gateway(plans=(plan,))
         for _ in range(20):
             _, actions = bench.request(entry_gateways=entries)
             assert not [a for a in actions if isinstance(a, api.Count)]
         assert isinstance(bench.request(customer=2, entry_gateways=9)[1][0], api.Count)
 
 
-def test_nothing_is_asked_where_there_is_no_counter_or_little_time() -> None:
+def test_no_call_is_made_without_a_counter_or_with_little_time_left() -> None:
     assert [type(a) for a in Bench(gateways=100).request(entry_gateways=100)[1]] == [api.Send]
-    bench = counting()
+    bench = counting_gateway()
     _, actions = bench.request(entry_gateways=100, expires_at=bench.now + 0.15)
     assert not [a for a in actions if isinstance(a, api.Count)]
 
 
 @pytest.mark.parametrize("asked", [0.5, 0.9, 3.0])
-def test_forty_gateways_let_in_what_one_store_would(asked: float) -> None:
-    """Each sees a request in ten seconds. A bucket each would let in 40 bursts, or refuse with room."""
-    lots, book, benches = random.Random(int(asked * 10)), Book(), [counting(seed=n) for n in range(40)]
+def test_forty_gateways_admit_what_one_store_would(asked: float) -> None:
+    """Each sees one request in ten seconds. Separate buckets would admit 40 bursts, or refuse with room."""
+    lots, fake, benches = (
+        random.Random(int(asked * 10)),
+        FakeCounter(),
+        [counting_gateway(seed=n) for n in range(40)],
+    )
     fill, at, sent, beyond, tries = 0.0, 100.0, 0, 0, 0
-    alone, fitting = 0.0, 0  # the store that saw every try, and what it would let in
+    alone, fitting = 0.0, 0  # a store that sees every try, and what it would admit
     while at < 100.0 + 3 * EPOCH_S:
         gap = lots.expovariate(asked * PLAN.rate)
         fill, at = max(0.0, fill - PLAN.rate * gap), at + gap
         bench = lots.choice(benches)
         bench.now = at
         name, actions = bench.request(entry_gateways=40)
-        sends = [a for a in book.carry(bench, actions) if isinstance(a, api.Send)]
+        sends = [a for a in fake.answer_calls(bench, actions) if isinstance(a, api.Send)]
         fits = fill + 1 <= PLAN.burst
         alone = max(0.0, alone - PLAN.rate * gap)
         if alone + 1 <= PLAN.burst:
@@ -86,47 +90,49 @@
             sent, beyond, fill = sent + 1, beyond + (not fits), fill + fits
             bench.done(name)
     most = PLAN.burst + PLAN.rate * 3 * EPOCH_S
-    started = 4 * INITIAL_FILL * PLAN.burst  # a new epoch begins with half a burst whatever was used before
+    started = 4 * INITIAL_FILL * PLAN.burst  # a new epoch begins with half a burst, whatever was used before
     assert sent <= most + started + 2
     assert beyond <= started + 0.02 * most
     assert sent >= 0.97 * fitting
-    assert book.calls <= 2 * tries  # one a try, and one to put it right
+    assert fake.calls <= 2 * tries  # one for each try, and one to correct it
 
 
-def test_an_idle_customer_saves_up_no_more_than_a_burst() -> None:
-    book, bench = Book(), counting()
-    book.carry(bench, ask(bench)[1:])
+def test_an_idle_customer_saves_up_at_most_one_burst() -> None:
+    fake, bench = FakeCounter(), counting_gateway()
+    fake.answer_calls(bench, ask(bench)[1:])
     bench.now += 0.8 * EPOCH_S
     sent = 0
     for seed in range(300):
-        other = counting(seed=seed)
+        other = counting_gateway(seed=seed)
         other.now = bench.now
-        sent += [type(a) for a in book.carry(other, other.request(entry_gateways=100)[1])] == [api.Send]
+        sent += [type(a) for a in fake.answer_calls(other, other.request(entry_gateways=100)[1])] == [
+            api.Send
+        ]
     assert sent == PLAN.burst
 
 
-def test_two_that_put_one_store_right_at_once_do_not_close_it_for_long() -> None:
-    """Both find it idle and both add what ran over: the next that is refused takes off what is too much."""
-    book, benches = Book(), [counting(seed=n) for n in range(2)]
+def test_concurrent_corrections_of_one_store_do_not_block_it_for_long() -> None:
+    """Both find it idle and both add the overflow: the next refusal subtracts the excess."""
+    fake, benches = FakeCounter(), [counting_gateway(seed=n) for n in range(2)]
     calls = [ask(b)[1] for b in benches]
-    replies = [book.add(call) for call in calls]
+    replies = [fake.add(call) for call in calls]
     rights = [b.feed(reply) for b, reply in zip(benches, replies, strict=True)]
     for actions in rights:
-        book.carry(benches[0], [a for a in actions if isinstance(a, api.Count)])
-    third = counting(seed=3)
-    first = book.carry(third, third.request(entry_gateways=100)[1])
+        fake.answer_calls(benches[0], [a for a in actions if isinstance(a, api.Count)])
+    third = counting_gateway(seed=3)
+    first = fake.answer_calls(third, third.request(entry_gateways=100)[1])
     third.wait(2 / PLAN.rate)
-    second = book.carry(third, third.request(entry_gateways=100)[1])
+    second = fake.answer_calls(third, third.request(entry_gateways=100)[1])
     assert api.Send in [type(a) for a in first + second]
 
 
-def test_what_the_guards_refuse_is_taken_off_again() -> None:
-    book, bench = Book(), counting(plans=(api.Plan("one", 4.0, 8.0, open_limit=1.0),))
+def test_units_of_a_request_that_another_limit_refuses_are_subtracted_again() -> None:
+    fake, bench = FakeCounter(), counting_gateway(plans=(api.Plan("one", 4.0, 8.0, open_limit=1.0),))
     _, one = ask(bench)
     _, two = ask(bench)
     _, begun = bench.gateway.counter.epoch(bench.now, 1)
-    book.totals[one.name] = 4.0 * (bench.now - begun) - INITIAL_FILL * 8.0  # neither idle nor in use
-    replies = [book.add(one), book.add(two)]
+    fake.totals[one.name] = 4.0 * (bench.now - begun) - INITIAL_FILL * 8.0  # neither idle nor in use
+    replies = [fake.add(one), fake.add(two)]
     bench.feed(replies[0])
     refusal, right = bench.feed(replies[1])
     assert isinstance(refusal, api.Refuse) and refusal.reason == "open limit"
@@ -134,11 +140,11 @@
 
 
 def test_a_store_known_to_be_full_needs_no_further_call() -> None:
-    bench = counting()
-    book = Book()
+    bench = counting_gateway()
+    fake = FakeCounter()
     _, call = ask(bench)
-    book.totals[call.name] = 1e6
-    (refusal,) = book.carry(bench, [call])
+    fake.totals[call.name] = 1e6
+    (refusal,) = fake.answer_calls(bench, [call])
     assert isinstance(refusal, api.Refuse) and 0 < refusal.advice <= 1.0
     assert [type(a) for a in bench.request(entry_gateways=100)[1]] == [api.Refuse]
     bench.wait((1 + LEEWAY_REQUESTS) / PLAN.rate)
@@ -147,8 +153,8 @@
 
 def test_the_bucket_alone_decides_when_the_counter_fails() -> None:
     for reply in ((False, 0.0), (True, math.nan), (True, math.inf)):
-        bench = counting()
-        bench.wait(30.0)  # longer than its part of the quota takes for a request
+        bench = counting_gateway()
+        bench.wait(30.0)  # longer than its part of the quota needs for a request
         _, call = ask(bench)
         assert [type(a) for a in bench.feed(api.CounterReply(call.name, *reply))] == [api.Send]
         second = bench.request(entry_gateways=100)[1]
@@ -157,13 +163,13 @@
         assert [type(a) for a in second] == [api.Refuse]
 
 
-def test_a_fleet_that_starts_at_once_lets_no_burst_in_that_the_counter_has_not_seen() -> None:
+def test_a_fleet_that_just_started_admits_no_uncounted_burst() -> None:
     """Forty gateways have just started, and the counter fails: one request each would be a burst of forty."""
     plan = api.Plan("small", 0.5, 1.0, excess_cost=1.0)
     for age, most in ((0.0, 0), (20.0, 0), (81.0, 40)):
         let_in = 0
         for seed in range(40):
-            bench = counting(plans=(plan,), seed=seed)
+            bench = counting_gateway(plans=(plan,), seed=seed)
             bench.wait(age)
             actions = bench.request(entry_gateways=40)[1]
             if isinstance(actions[0], api.Count):
@@ -172,8 +178,8 @@
         assert let_in == most, (age, let_in)
 
 
-def test_a_silent_counter_loses_no_request() -> None:
-    bench = counting()
+def test_a_counter_without_replies_loses_no_request() -> None:
+    bench = counting_gateway()
     bench.wait(30.0)
     name, _ = ask(bench)
     sends = [a for a in bench.wait(0.3) if isinstance(a, api.Send)]
@@ -181,8 +187,8 @@
     assert bench.gateway.counter.calls == {}
 
 
-def test_a_failing_counter_is_asked_ever_less_and_again_later() -> None:
-    bench = counting()
+def test_a_failing_counter_gets_fewer_calls_and_all_again_later() -> None:
+    bench = counting_gateway()
 
     def asked_of(first: int) -> int:
         asked = 0
@@ -198,12 +204,12 @@
     ask(bench, customer=1000)
 
 
-def test_a_crowded_counter_is_asked_for_the_plans_first_where_a_mistake_costs_most() -> None:
+def test_an_overloaded_counter_is_called_first_for_plans_with_the_costliest_mistakes() -> None:
     dear, cheap = (
         api.Plan("dear", 4.0, 8.0, excess_cost=1.2, price=1.3),
         api.Plan("cheap", 4.0, 8.0, excess_cost=0.8),
     )
-    bench = counting(plans=(cheap, dear))
+    bench = counting_gateway(plans=(cheap, dear))
     bench.gateway.counter.trust, bench.gateway.counter.trust_at = 0.5, bench.now
     asked = [0, 0]
     for customer in range(200):
@@ -213,9 +219,9 @@
     assert asked[1] == 200 and asked[0] < 30
 
 
-def test_a_way_that_is_always_long_is_no_crowd() -> None:
-    """Three gateways in four stand far from the counter: a delay that never changes tells of no line there."""
-    bench = counting()
+def test_a_constant_network_delay_is_not_taken_for_an_overloaded_counter() -> None:
+    """Three gateways in four are far from the counter: a delay that never changes is no sign of a queue."""
+    bench = counting_gateway()
     for customer in range(200):
         call = bench.request(customer=customer, entry_gateways=100)[1][0]
         assert isinstance(call, api.Count)
@@ -224,26 +230,26 @@
     assert bench.gateway.counter.trust > 0.95
 
 
-def test_a_client_that_leaves_while_the_counter_is_asked_gets_nothing_more() -> None:
-    bench = counting()
+def test_a_client_that_leaves_during_a_counter_call_gets_no_answer() -> None:
+    bench = counting_gateway()
     name, call = ask(bench)
     bench.feed(api.Abandoned(name))
     assert bench.feed(api.CounterReply(call.name, True, 1.0)) == []
-    assert bench.feed(api.CounterReply(call.name, True, 1.0)) == []  # a reply that nobody waits for
+    assert bench.feed(api.CounterReply(call.name, True, 1.0)) == []  # a reply to no call
     assert bench.gateway.counter.calls == {} and bench.gateway.requests == {}
 
 
-def test_a_request_of_more_than_the_burst_is_let_in_where_the_store_is_full() -> None:
-    """A request's units at least: else one that is larger than its plan's burst is refused for good."""
-    book, bench = Book(), counting(plans=(api.Plan("small", 4.0, 2.0),))
+def test_a_request_larger_than_its_burst_is_admitted_once() -> None:
+    """The room is at least one request: else one larger than its plan's burst would always be refused."""
+    fake, bench = FakeCounter(), counting_gateway(plans=(api.Plan("small", 4.0, 2.0),))
     _, actions = bench.request(entry_gateways=100, units=3.0)
-    assert [type(a) for a in book.carry(bench, actions)] == [api.Send]
+    assert [type(a) for a in fake.answer_calls(bench, actions)] == [api.Send]
     assert [type(a) for a in bench.request(entry_gateways=100, units=3.0)[1]] == [api.Refuse]
 
 
-def test_a_plan_that_is_none_of_the_settings_is_asked_for_too() -> None:
-    """With plans that change in service a request's number may lie past the settings'."""
-    bench = counting()
+def test_calls_are_made_for_a_plan_that_is_not_in_the_settings() -> None:
+    """With plans that change at run time a request's plan number may be past those of the settings."""
+    bench = counting_gateway()
     other = api.Plan("new", 4.0, 2.0, price=9.0)
     restrictor = Restrictor(other, 100, bench.now, bench.now)
     told = api.Request("r", 0, 7, 1, 100, bench.now + 4.0)
--- a/tests/test_counter_calls.py
+++ b/tests/test_counter_calls.py
@@ -1,4 +1,4 @@
-"""Calls to the counter over sockets."""
+"""Calls to the counter over sockets: pipelining, timeouts, broken connections and invalid answers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
     return answer(body=value.encode())
 
 
-def test_a_call_names_amount_and_life_and_gets_the_total() -> None:
+def test_a_call_sends_amount_and_lifetime_and_gets_the_total() -> None:
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, -2.5, 4.0)
@@ -63,7 +63,7 @@
         (total("x"), True),
     ],
 )
-def test_what_was_turned_away_is_a_plain_no(reply: bytes, maybe: bool) -> None:
+def test_a_rejected_call_was_not_added_and_a_failed_one_may_have_been(reply: bytes, maybe: bool) -> None:
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
@@ -73,7 +73,7 @@
     run(test())
 
 
-def test_a_refused_connection_is_a_plain_no_and_a_break_a_maybe() -> None:
+def test_a_refused_connection_added_nothing_and_a_broken_one_may_have() -> None:
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
@@ -92,7 +92,7 @@
     run(test())
 
 
-def test_a_late_answer_is_not_taken_for_the_next_calls() -> None:
+def test_a_late_answer_is_not_taken_for_that_of_the_next_call() -> None:
     async def test() -> None:
         async with counter(time_out=0.05) as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
@@ -110,7 +110,7 @@
     run(test())
 
 
-def test_a_silent_connection_is_given_up_and_made_anew() -> None:
+def test_a_connection_without_answers_is_replaced() -> None:
     async def test() -> None:
         async with counter(time_out=0.05, stuck=0.01) as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
@@ -137,7 +137,7 @@
     run(test())
 
 
-def test_a_retired_counter_ends_its_calls_with_their_one_reply_and_closes() -> None:
+def test_a_retired_counter_waits_for_its_replies_and_closes() -> None:
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
@@ -167,8 +167,8 @@
 @pytest.mark.parametrize(
     "body", [b"", b"nan", b"inf", b"1_0", b"+3", b"0x1", b"9" * 100, b"<html>", b"x" * 9000]
 )
-def test_an_answer_without_a_number_ends_its_connection(body: bytes) -> None:
-    """The amount was added; what else comes on that connection is of no use."""
+def test_an_answer_without_a_number_closes_its_connection(body: bytes) -> None:
+    """The amount was added; nothing further on that connection can be used."""
 
     async def test() -> None:
         async with counter() as (calls, peer, replies):
@@ -183,7 +183,7 @@
     run(test())
 
 
-def test_what_was_not_asked_for_ends_the_connection_and_is_nobodys_total() -> None:
+def test_an_answer_without_a_call_closes_the_connection_and_is_ignored() -> None:
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
@@ -197,7 +197,7 @@
     run(test())
 
 
-def test_a_head_without_end_ends_the_connection() -> None:
+def test_an_endless_response_head_closes_the_connection() -> None:
     async def test() -> None:
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -1,4 +1,4 @@
-"""One process after another: the state that is handed on, and real processes under load."""
+"""Takeover of a gateway by the next process: the state handed over, and real processes under load."""
 
 from __future__ import annotations
 
@@ -44,8 +44,8 @@
 )
 
 
-def let_in(gateway: Gateway, now: float, name: str, customer: int) -> bool:
-    """One request, answered at once if it is sent: whether it was."""
+def admitted(gateway: Gateway, now: float, name: str, customer: int) -> bool:
+    """Passes one request, answered at once if it is sent; whether it was sent."""
     sent = [
         a for a in gateway.handle(now, api.Request(name, 0, 0, customer, 1, now + 4.0)) if type(a) is api.Send
     ]
@@ -55,7 +55,7 @@
 
 
 HOLD_S = handover.HOLD_S
-FULL = [(0.0, 0, 1), (9.9, 0, 0)]  # a store that stands full when it is handed on
+FULL = [(0.0, 0, 1), (9.9, 0, 0)]  # a store that is full when it is handed over
 AT_ONCE = [(0.0, 0, 1), (0.0, 0, 1), (0.0, 1, 1), (0.0, 1, 1), (0.0, 2, 1), (0.0, 2, 1)]
 
 
@@ -74,13 +74,13 @@
     ),
     st.dictionaries(st.integers(0, 100), st.sampled_from(["give", "keep"]), max_size=3),
 )
-def test_processes_pass_no_ceiling_together(
+def test_processes_together_never_exceed_a_ceiling(
     steps: list[tuple[float, int, int]], events: dict[int, str]
 ) -> None:
-    """In any window all let in at most the burst and what the rate gives, whichever is asked.
+    """In any window all processes admit at most the burst and the refill, whichever is asked.
 
     Steps are (s since the one before, process asked, customer), with four requests each; at the steps in
-    `events` the newest process hands on to the next, or (`keep`) to one that comes to nothing.
+    `events` the newest process hands over to the next, or (`keep`) to one that fails.
     """
     now = 100.0
     alive = [Gateway(SETTINGS, 1)]
@@ -98,7 +98,7 @@
                 handover.import_state(alive[-1], now, state)
         gateway = alive[min(which, len(alive) - 1)]
         for n in range(4):
-            if let_in(gateway, now, f"{i}-{n}", customer):
+            if admitted(gateway, now, f"{i}-{n}", customer):
                 sent[customer].append(now)
     for times in sent.values():
         for i, begin in enumerate(times):
@@ -107,24 +107,24 @@
                 assert j - i + 1 <= room + 1e-6
 
 
-def test_the_next_process_goes_on_from_the_stores_as_they_stand() -> None:
+def test_the_next_process_continues_with_the_fill_of_each_store() -> None:
     old, new = Gateway(SETTINGS, 1), Gateway(SETTINGS, 2)
     old.handle(0.0, LIST)
-    assert sum(let_in(old, 60.0, f"a{i}", 7) for i in range(30)) == 10  # the ceiling's burst
+    assert sum(admitted(old, 60.0, f"a{i}", 7) for i in range(30)) == 10  # the ceiling's burst
     new.handle(61.0, LIST)
     assert handover.import_state(new, 61.0, json.loads(json.dumps(handover.export_state(old, 61.0)))) == 1
-    assert sum(let_in(new, 61.0, f"b{i}", 7) for i in range(10)) == 1  # half of the 2 that a second gave
-    assert sum(let_in(new, 61.0, f"c{i}", 8) for i in range(30)) == 10  # one that is new has all of it
-    assert not let_in(old, 62.0, "d", 8)
+    assert sum(admitted(new, 61.0, f"b{i}", 7) for i in range(10)) == 1  # half of the 2 units of one second
+    assert sum(admitted(new, 61.0, f"c{i}", 8) for i in range(30)) == 10  # a new customer has the whole burst
+    assert not admitted(old, 62.0, "d", 8)
 
 
-def test_one_that_keeps_its_work_goes_on() -> None:
+def test_a_process_whose_successor_failed_continues_with_its_whole_ceiling() -> None:
     old = Gateway(SETTINGS, 1)
     old.handle(0.0, LIST)
-    assert let_in(old, 60.0, "a", 7)
+    assert admitted(old, 60.0, "a", 7)
     handover.export_state(old, 60.0)
     handover.resume(old, 60.0)
-    assert sum(let_in(old, 70.0, f"b{i}", 7) for i in range(30)) == 10
+    assert sum(admitted(old, 70.0, f"b{i}", 7) for i in range(30)) == 10
 
 
 json_values = st.recursive(
@@ -138,11 +138,11 @@
 @given(
     st.sampled_from(["version", "born", "usual", "calm", "trust", "done", "customers", "hosts"]), json_values
 )
-def test_a_state_that_makes_no_sense_is_refused_whole(field: str, value: Any) -> None:
+def test_an_invalid_state_is_rejected_and_changes_nothing(field: str, value: Any) -> None:
     old, new = Gateway(SETTINGS, 1), Gateway(SETTINGS, 2)
     for gateway in (old, new):
         gateway.handle(0.0, LIST)
-    let_in(old, 1.0, "a", 7)
+    admitted(old, 1.0, "a", 7)
     state = json.loads(json.dumps(handover.export_state(old, 2.0)))
     state[field] = value
     before = len(new.customers)
@@ -150,10 +150,10 @@
         handover.import_state(new, 2.0, state)
     except ValueError:
         assert len(new.customers) == before
-    let_in(new, 3.0, "b", 7)  # and it goes on either way
+    admitted(new, 3.0, "b", 7)  # the gateway works either way
 
 
-def test_who_dies_while_taking_over_changes_nothing(tmp_path: Path) -> None:
+def test_a_successor_that_dies_during_the_takeover_changes_nothing(tmp_path: Path) -> None:
     async def test() -> None:
         host = await Host("s-1").start()
         async with operated(tmp_path, entry("s-1", host.port)) as (node, _, _port):
@@ -174,7 +174,9 @@
     run(test())
 
 
-def test_nobody_and_a_stranger_are_not_waited_for(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_missing_hung_or_dead_predecessor_is_not_waited_for(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr("coralvale.net.takeover.ANSWER", 0.05)
 
     async def test() -> None:
@@ -182,8 +184,8 @@
         with contextlib.closing(socket.socket(socket.AF_UNIX)) as hung:
             hung.bind(str(tmp_path / "takeover"))
             hung.listen(1)
-            assert Successor.find(tmp_path / "takeover") is None  # takes the connection and says nothing
-        assert Successor.find(tmp_path / "takeover") is None  # left behind by a kill
+            assert Successor.find(tmp_path / "takeover") is None  # accepts the connection and never answers
+        assert Successor.find(tmp_path / "takeover") is None  # a socket file left behind by a killed process
         with pytest.raises(OSError, match="too long"):
             Offer(tmp_path / ("x" * 120), lambda: None, dict, print)  # type: ignore[arg-type,return-value]
         assert VERSION.endswith(b"\n")
@@ -191,11 +193,11 @@
     run(test())
 
 
-PLENTY: Any = {"name": "team", "per_second": 1e5, "most_at_once": 1e5}  # no quota is what is tested here
+PLENTY: Any = {"name": "team", "per_second": 1e5, "most_at_once": 1e5}  # quotas are not tested here
 
 
 class Process:
-    """The program as the platform starts it, with a door."""
+    """The program as the platform starts it, with a management port."""
 
     def __init__(self, folder: Path, listen: int, discovery: int, known: list[Any]) -> None:
         self.folder, self.door = folder, free_port()
@@ -226,13 +228,13 @@
                 await asyncio.sleep(0.02)
 
 
-def test_a_new_version_takes_over_under_load_and_turns_nobody_back(tmp_path: Path) -> None:
-    """Three upgrades in a row while clients ask on kept and new connections: every one is answered 200."""
+def test_upgrades_under_load_refuse_no_client(tmp_path: Path) -> None:
+    """Three upgrades in a row, while clients use kept and new connections: every request is answered 200."""
 
     async def test() -> None:
         hosts = [
             await Host(f"s-{i}", delay=0.01, slots=64, queue=500).start() for i in range(9)
-        ]  # nothing is pressed
+        ]  # no host is overloaded
         registry = await Registry().start()
         known = [entry(h.name, h.port) for h in hosts]
         port, over, turned, answers = free_port(), asyncio.Event(), [0], [0]
@@ -261,7 +263,7 @@
         for _ in range(3):
             await asyncio.sleep(0.2)
             after = await Process(tmp_path, port, registry.port, known).start()
-            assert (await call(current.door, "GET /healthcheck"))[0] == 200  # stays until it is told
+            assert (await call(current.door, "GET /healthcheck"))[0] == 200  # runs until it is told to end
             current.process.send_signal(signal.SIGTERM)
             async with asyncio.timeout(LIMIT):
                 assert await current.process.wait() == 0
@@ -270,7 +272,7 @@
         await asyncio.sleep(0.2)
         over.set()
         await asyncio.gather(*asking)
-        assert len(hosts[0].arrivals) == seen  # the ban holds across all of them
+        assert len(hosts[0].arrivals) == seen  # the host stays in maintenance across all upgrades
         assert (await call(current.door, "POST /hosts/s-0/ready"))[0] == 200
         current.process.send_signal(signal.SIGTERM)
         async with asyncio.timeout(LIMIT):
