--- a/coralvale/logic.py
+++ b/coralvale/logic.py
@@ -22,14 +22,14 @@
 MAX_ERROR_BACKOFF_S = 8.0  # longest pause of a server that answers with errors alone
 RETRY_BUDGET_RATIO = 0.2  # retries for each request: a broad failure must not double the load
 RETRY_BUDGET_S = 0.5  # seconds of own traffic that the saved-up retries may amount to
-MAX_WAIT = 0.7  # share of the time left that the expected wait may reach
+WAIT_RATIO = 0.7  # longest expected wait, as a share of the time left
 MAX_QUEUE = 2.5  # longest expected wait, in base delays: a longer queue adds no throughput
 UNQUEUED_REQUESTS = 4.0  # requests that a server of any size is taken to work on without a queue
 UNHEALTHY_FACTOR = 4.0  # weight on the wait at an unhealthy server, as most of a fleet may be unhealthy
 SUBSET_SIZE = 8  # servers that a gateway sends to, so that its few attempts tell something of each
-MIN_CANDIDATES = 3  # servers drawn and compared for a request; more where few gateways share the fleet
+MIN_CANDIDATES = 3  # servers compared for a request; both are larger where few gateways share the fleet
 MAX_QUOTA_ADVICE = 0.25  # longest Retry-After for a quota, as a share of the aim: later would be too late
-EWMA_WEIGHT = 0.05  # weight of the newest of own events: twenty of them give a mean to a fifth
+EWMA_WEIGHT = 0.05  # weight of the newest own event: a memory of twenty events gives a mean to a fifth
 MIN_DELAYS = 5.0  # shortest attempt timeout, in usual delays: one attempt in a hundred takes longer by chance
 RETRY_RESERVE_DELAYS = 3.0  # usual delays before the aim that are kept for a retry of a late attempt
 NOT_RUN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
@@ -215,7 +215,7 @@
         """
         self._classify_servers(now)  # before the first send the lists would be empty
         usual, aim = self.delays[request.cls], self.settings.classes[request.cls].aim
-        cap = min(MAX_WAIT * min(aim, request.expires_at - now), MAX_QUEUE * self.base_delays[request.cls])
+        cap = min(WAIT_RATIO * min(aim, request.expires_at - now), MAX_QUEUE * self.base_delays[request.cls])
         counts = {h: len(h.pending(now, self.mean)) for h in self.busy}
         healthy = [
             n for h, n in counts.items()
@@ -377,6 +377,7 @@
         self._finish(event.request, held)
 
     def _should_retry(self, now: float, held: HeldRequest, outcome: Outcome) -> bool:
+        """Whether a retry can answer in time and is within the retry budget and the attempts allowed."""
         cls, end = self.settings.classes[held.request.cls], held.request.expires_at
         end = end if cls.late_worth else min(end, held.arrived + cls.aim)
         in_time = now + self.delays[held.request.cls] / 2 < end
@@ -384,6 +385,7 @@
         return in_time and paid and len(held.attempts) < self.settings.max_attempts
 
     def _record_outcome(self, now: float, cls: int, host: Host, event: api.AttemptDone) -> None:
+        """Updates the usual delays and the server's health."""
         if event.outcome is Outcome.OK:
             self.completions.note(now)
             # Rare answers of a server weigh more: one that grows slower is avoided before it dies.
@@ -391,9 +393,8 @@
                 max(0.1, 1 - 0.5 ** ((now - host.answered_at) / HALF_LIFE_S)),
                 host.relative_delay(now),
             )
-            delay = event.delay * host.warmup(
-                self.settings, now
-            )  # a cold server is slow without being loaded
+            # A cold server is slow without being loaded.
+            delay = event.delay * host.warmup(self.settings, now)
             host.delay_ratio += weight * (delay / self.delays[cls] - host.delay_ratio)
             host.record_answer(now)
             host.failures = 0.0 if host.failures < 1 else host.failures / 2
