--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -41,10 +41,10 @@
     totals: dict[int | str, float] = {}
     sent = 0
 
-    def ask(now: float, told: api.Request) -> None:
+    def ask(now: float, request: api.Request) -> None:
         """Plays a request to its end: one left in flight would slow down all later ones."""
         nonlocal sent
-        due = list(gateway.handle(now, told))
+        due = list(gateway.handle(now, request))
         while due:
             action = due.pop(0)
             if isinstance(action, api.Count):
@@ -87,7 +87,7 @@
             return 2
         trees["before"] = given.before.resolve()
     requests, rounds = (5_000, 3) if given.quick else (20_000, 9)
-    told: dict[str, dict[str, float]] = {}
+    results: dict[str, dict[str, float]] = {}
     for name, (gateways, entries) in {"small": (3, 3), "large": (40, 30)}.items():
         figures: dict[str, list[list[float]]] = {tree: [] for tree in trees}
         for number in range(rounds):
@@ -97,12 +97,12 @@
                 env = {**os.environ, "PYTHONPATH": str(path)}
                 out = subprocess.run(command, env=env, check=True, capture_output=True, text=True).stdout
                 figures[tree].append(json.loads(out))
-        told[name] = {}
+        results[name] = {}
         for tree, rows in figures.items():
-            told[name][f"{tree}_us"] = round(statistics.median(row[0] for row in rows), 1)
-            told[name][f"{tree}_kb"] = round(statistics.median(row[1] for row in rows), 1)
-            told[name][f"{tree}_sent"] = round(statistics.median(row[2] for row in rows), 3)
-    print(json.dumps(told))
+            results[name][f"{tree}_us"] = round(statistics.median(row[0] for row in rows), 1)
+            results[name][f"{tree}_kb"] = round(statistics.median(row[1] for row in rows), 1)
+            results[name][f"{tree}_sent"] = round(statistics.median(row[2] for row in rows), 3)
+    print(json.dumps(results))
     return 0
 
 
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -56,20 +56,20 @@
 @pytest.mark.parametrize("seed", SEEDS)
 def test_quotas_are_used_and_hardly_exceeded_in_normal_service(seed: int) -> None:
     """Without quotas on the counter 0.050 of the units are over quota, and 0.93 of what fits is admitted."""
-    told = played(fleet(seconds=25.0), seed).left().figures
-    assert told["beyond"] <= 0.042
-    assert told["fitting"] >= 0.95
-    assert told["calls"] <= 1.6
-    assert told["hosts"] <= 20  # hosts of the subset: eight, and one more every five seconds
+    summary = played(fleet(seconds=25.0), seed).left().figures
+    assert summary["beyond"] <= 0.042
+    assert summary["fitting"] >= 0.95
+    assert summary["calls"] <= 1.6
+    assert summary["hosts"] <= 20  # hosts of the subset: eight, and one more every five seconds
 
 
 @pytest.mark.parametrize("seed", SEEDS)
 def test_quotas_are_used_after_most_gateways_are_killed_at_once(seed: int) -> None:
     killed = {"at": 8.0, "what": "gateway.kill", "share": 0.7, "by": 1.0}
     world = played(fleet(seconds=24.0, timeline=[killed], measure={"warm_up": 10.0}), seed)
-    told = world.left()
-    assert told.figures["fitting"] >= 0.95 and told.figures["failed"] <= 0.01
-    assert sum(told.series["calls"][19:24]) > 0  # the counter is trusted again
+    summary = world.left()
+    assert summary.figures["fitting"] >= 0.95 and summary.figures["failed"] <= 0.01
+    assert sum(summary.series["calls"][19:24]) > 0  # the counter is trusted again
 
 
 @pytest.mark.parametrize("seed", SEEDS)
@@ -92,10 +92,10 @@
 def test_replacing_six_in_ten_hosts_overloads_no_cold_host(seed: int) -> None:
     replaced = {"at": 5.0, "what": "host.replace", "share": 0.6, "over": 7.0}
     world = played(fleet(seconds=24.0, timeline=[replaced], discovery={"spread": 0.3}), seed)
-    told = world.left().figures
-    assert told["coldest"] <= 1.15  # 1.3 if cold hosts were taken for warm; the rule allows 2
-    assert told["hosts"] <= 48  # 58 if the subset were drawn anew at each change
-    assert told["fitting"] >= 0.95 and told["failed"] <= 0.01
+    summary = world.left().figures
+    assert summary["coldest"] <= 1.15  # 1.3 if cold hosts were taken for warm; the rule allows 2
+    assert summary["hosts"] <= 48  # 58 if the subset were drawn anew at each change
+    assert summary["fitting"] >= 0.95 and summary["failed"] <= 0.01
 
 
 def queue_at_discovery(
--- a/tests/fleet/test_quota.py
+++ b/tests/fleet/test_quota.py
@@ -49,16 +49,16 @@
 
 def play(seed: int) -> dict[str, Counter[str]]:
     """One world through ten schedules, with a counter of 300 calls per second for about as many tries."""
-    lots, told = random.Random(seed), defaultdict[str, Counter[str]](Counter)
+    rng, totals = random.Random(seed), defaultdict[str, Counter[str]](Counter)
     at, states, timeline = BEGIN, list[str](), list[dict[str, Any]]()
     for _ in range(SCHEDULES):
-        state, lasts = lots.choice(list(BEYOND)), lots.randint(1, 3)
+        state, lasts = rng.choice(list(BEYOND)), rng.randint(1, 3)
         if state != "up":
             what = "counter." + ("swap" if state == "swapped" else state)
-            by = lots.uniform(0.05, 0.2) if state == "slow" else 0.0
+            by = rng.uniform(0.05, 0.2) if state == "slow" else 0.0
             timeline.append({"at": at, "what": what, "by": by, "lasts": lasts})
-        if (by := lots.choice((1.0, 1.0, 1.0, 3.5))) > 1:
-            plan = lots.choice(WORLD["plans"])["name"]
+        if (by := rng.choice((1.0, 1.0, 1.0, 3.5))) > 1:
+            plan = rng.choice(WORLD["plans"])["name"]
             timeline.append({"at": at, "what": "load.surge", "by": by, "lasts": lasts, "plans": [plan]})
         states, at = states + [state] * lasts, at + lasts
     made = parse({**WORLD, "seconds": float(at), "timeline": timeline})
@@ -68,31 +68,31 @@
     series = world.left().series
     for second, state in enumerate(states, BEGIN):
         for name in ("taken", "beyond", "tries", "with room"):
-            told[state][name] += round(series[name][second])
-    return told
+            totals[state][name] += round(series[name][second])
+    return totals
 
 
 def played(seeds: range) -> dict[str, Counter[str]]:
     print(f"seeds {seeds}")
-    told = defaultdict[str, Counter[str]](Counter)
+    totals = defaultdict[str, Counter[str]](Counter)
     for seed in seeds:
         for state, counted in play(seed).items():
-            told[state].update(counted)
-    return told
+            totals[state].update(counted)
+    return totals
 
 
 def test_quotas_hold_within_their_bounds_through_counter_outages() -> None:
-    for state, told in played(range(WORLDS)).items():
-        assert told["beyond"] <= BEYOND[state] * told["taken"], state
-        assert told["with room"] <= WITH_ROOM[state] * told["tries"], state
+    for state, totals in played(range(WORLDS)).items():
+        assert totals["beyond"] <= BEYOND[state] * totals["taken"], state
+        assert totals["with room"] <= WITH_ROOM[state] * totals["tries"], state
 
 
 def test_without_the_learned_rate_more_is_admitted_during_a_counter_outage(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(tally, "UNCOUNTED_FACTOR", 1000.0)
-    told = played(range(WORLDS // 3))["down"]
-    assert told["beyond"] > BEYOND["down"] * told["taken"]
+    totals = played(range(WORLDS // 3))["down"]
+    assert totals["beyond"] > BEYOND["down"] * totals["taken"]
 
 
 def made() -> tuple[CounterQuota, Restrictor]:
@@ -119,10 +119,10 @@
 def test_an_overloaded_counter_does_not_lower_the_learned_rate() -> None:
     """Half of the requests are uncounted; those refused for that are as likely to fit as the others."""
     counted, restrictor = made()
-    lots, request, now = random.Random(3), api.Request("r", 0, 0, 7, 150, 2000.0), 1000.0
+    rng, request, now = random.Random(3), api.Request("r", 0, 0, 7, 150, 2000.0), 1000.0
     admitted = 0
     for n in range(1200):  # a minute of two seconds' gaps on average, as clients ask by chance
-        now += lots.expovariate(2.0)
+        now += rng.expovariate(2.0)
         counted.answered_at = now
         if n % 2:
             counted.record_admitted(now, request, restrictor, True)
--- a/tests/test_counter.py
+++ b/tests/test_counter.py
@@ -67,7 +67,7 @@
 @pytest.mark.parametrize("asked", [0.5, 0.9, 3.0])
 def test_forty_gateways_admit_what_one_store_would(asked: float) -> None:
     """Each sees one request in ten seconds. Separate buckets would admit 40 bursts, or refuse with room."""
-    lots, fake, benches = (
+    rng, fake, benches = (
         random.Random(int(asked * 10)),
         FakeCounter(),
         [counting_gateway(seed=n) for n in range(40)],
@@ -75,9 +75,9 @@
     fill, at, sent, beyond, tries = 0.0, 100.0, 0, 0, 0
     alone, fitting = 0.0, 0  # a store that sees every try, and what it would admit
     while at < 100.0 + 3 * EPOCH_S:
-        gap = lots.expovariate(asked * PLAN.rate)
+        gap = rng.expovariate(asked * PLAN.rate)
         fill, at = max(0.0, fill - PLAN.rate * gap), at + gap
-        bench = lots.choice(benches)
+        bench = rng.choice(benches)
         bench.now = at
         name, actions = bench.request(entry_gateways=40)
         sends = [a for a in fake.answer_calls(bench, actions) if isinstance(a, api.Send)]
@@ -252,5 +252,5 @@
     bench = counting_gateway()
     other = api.Plan("new", 4.0, 2.0, price=9.0)
     restrictor = Restrictor(other, 100, bench.now, bench.now)
-    told = api.Request("r", 0, 7, 1, 100, bench.now + 4.0)
-    assert isinstance(bench.gateway.counter.ask(bench.now, told, restrictor), api.Count)
+    request = api.Request("r", 0, 7, 1, 100, bench.now + 4.0)
+    assert isinstance(bench.gateway.counter.ask(bench.now, request, restrictor), api.Count)
