--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -137,7 +137,7 @@
     begun = time.process_time()
     for _ in range(rounds):
         holding = Holding("10.0.7.1")
-        assert holding.take(1.0, 1.0, ShareTable.restored(image))
+        assert holding.apply_answer(1.0, 1.0, ShareTable.restored(image))
     read = time.process_time() - begun
     return {
         "gateways": gateways,
@@ -152,8 +152,8 @@
     refused with nobody to ask; and an ask and its grant as datagrams."""
     owner, other = RateLimiter(Rule(5.0, 0.1, 20.0), "a"), RateLimiter(Rule(5.0, 0.1, 20.0), "b")
     for limiter in (owner, other):
-        limiter.holding.take(0.0, 0.0, even_table(["a"]))
-        limiter.usage.hear(1e9, "a", {})
+        limiter.holding.apply_answer(0.0, 0.0, even_table(["a"]))
+        limiter.usage.record_peer(1e9, "a", {})
     rate = 1e6
     costs: dict[str, float] = {}
     now = 1e6
@@ -167,10 +167,10 @@
             other.request(now, "t", rate, rate, n, 0.1)
             for ask in other.take_actions():
                 if isinstance(ask, AskTokens):
-                    owner.asked(now, "b", ask.number, "t", rate, rate, ask.count)
+                    owner.handle_ask(now, "b", ask.number, "t", rate, rate, ask.count)
             for grant in owner.take_actions():
                 if isinstance(grant, GrantTokens):
-                    other.granted(now, "a", grant.number, "t", grant.count, grant.wait)
+                    other.handle_grant(now, "a", grant.number, "t", grant.count, grant.retry_after)
             other.take_actions()
         costs[f"{name}_us"] = round(1e6 * (time.process_time() - begun) / rounds, 1)
     return costs
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -101,9 +101,9 @@
 
     def request() -> None:
         now[0] += 0.02
-        if now[0] - limiter.stepped >= PERIOD:
+        if now[0] - limiter.stepped_at >= PERIOD:
             limiter.step(now[0])
-            limiter.told(now[0])
+            limiter.usage_report(now[0])
         if home.routes:  # as the shell does, once the head is there
             router.head(now[0], "a.example", "/p3/x")
         job = router.enter(now[0], b"id", "a.example", "/p3/x", "k3", 1.5)
@@ -180,7 +180,7 @@
     use = {f"t{n}": (chance.randrange(1, 9), chance.randrange(3)) for n in range(tenants // 2)}
     others = [f"10.0.{n >> 8}.{n & 255}" for n in range(gateways - 1)]
     for other in others:
-        limiter.usage.hear(0.0, other, use)
+        limiter.usage.record_peer(0.0, other, use)
     for n in range(tenants):
         limiter.request(0.0, f"t{n}", 100.0, 100.0)
     at = [0.0]
@@ -190,7 +190,7 @@
         limiter.step(at[0])
 
     def heard() -> None:
-        limiter.usage.hear(at[0], others[0], use, False)
+        limiter.usage.record_peer(at[0], others[0], use, False)
 
     def word(told: dict[str, tuple[int, int]]) -> int:
         return len(encode(Word(9, 1 << 31, 5, "10.0.0.1", (), pack_use(told), False, [("i-7f3a91c2", 40)])))
--- a/coralvale/cluster/rate_limit/actions.py
+++ b/coralvale/cluster/rate_limit/actions.py
@@ -21,14 +21,14 @@
     """`at`: when the token was taken, to give it back by."""
 
     source: Source
-    at: float = field(default=0.0, eq=False)
+    taken_at: float = field(default=0.0, eq=False)
 
 
 @frozen
 class Refused:
     """`wait`: s after which the client may come back."""
 
-    wait: float
+    retry_after: float
 
 
 @frozen
@@ -65,7 +65,7 @@
     number: int
     tenant: str
     count: int
-    wait: float
+    retry_after: float
 
 
 @frozen
--- a/coralvale/cluster/rate_limit/borrowing.py
+++ b/coralvale/cluster/rate_limit/borrowing.py
@@ -40,7 +40,7 @@
         refuse: Callable[[float, Tenant], Refused],
     ) -> None:
         self.usage, self.number, self.take, self.refuse = usage, first_number, take, refuse
-        self.near: frozenset[str] = frozenset()  # addresses in this zone: asked first
+        self.same_zone: frozenset[str] = frozenset()  # addresses in this zone: asked first
         self.round_trip = FIRST_ROUND_TRIP
         self.asking: dict[str, Tenant] = {}
         self.actions: list[Action] = []
@@ -56,8 +56,8 @@
         return True
 
     def _lender(self, now: float, tenant: Tenant) -> str | None:
-        reachable = [name for name in tenant.lenders if self.usage.in_reach(now, name)]
-        near = [name for name in reachable if name in self.near]
+        reachable = [name for name in tenant.lenders if self.usage.is_reachable(now, name)]
+        near = [name for name in reachable if name in self.same_zone]
         return tenant.lender(now, self.number, near) or tenant.lender(now, self.number, reachable)
 
     def _ask(self, now: float, tenant: Tenant) -> None:
--- a/coralvale/cluster/rate_limit/holding.py
+++ b/coralvale/cluster/rate_limit/holding.py
@@ -25,8 +25,8 @@
     def __init__(self, address: str) -> None:
         self.address = address
         self.table = ShareTable()
-        self.until = -math.inf  # end of the lease
-        self.since = math.inf  # when the newest cells came to be owned here
+        self.lease_until = -math.inf  # end of the lease
+        self.owned_since = math.inf  # when the newest cells came to be owned here
         self.allowed = False  # buckets begin with their allowance
         self.owner_count = 0  # gateways that own something
         self.usable_count = 0  # cells that are owned here and not on the move
@@ -36,11 +36,13 @@
     def version(self) -> int:
         return self.table.version
 
-    def take(self, since: float, asked_at: float, table: ShareTable | None, allowed: bool = False) -> bool:
+    def apply_answer(
+        self, since: float, asked_at: float, table: ShareTable | None, allowed: bool = False
+    ) -> bool:
         """The leader's answer to a claim that was sent at `asked_at`; None: the table is the one known here.
         `since`: since when nobody else has used what is owned by it; `allowed`: buckets may begin with their
         allowance. Whether there is another table now."""
-        self.until = max(self.until, asked_at + LEASE)
+        self.lease_until = max(self.lease_until, asked_at + LEASE)
         if table is None or table.version <= self.table.version:
             return False
         before = self._usable()
@@ -50,7 +52,7 @@
         usable = self._usable()
         self.usable_count = len(usable)
         if usable - before:
-            self.since, self.allowed = since, allowed
+            self.owned_since, self.allowed = since, allowed
         return True
 
     def _usable(self) -> set[int]:
@@ -60,18 +62,18 @@
 
     def own_all(self) -> None:
         """Takes all for owned here since ever: a gateway that is alone, without a log, for laboratories."""
-        self.take(0.0, math.inf, even_table([self.address]))
-        self.since = -math.inf
+        self.apply_answer(0.0, math.inf, even_table([self.address]))
+        self.owned_since = -math.inf
 
-    def give_up(self) -> None:
+    def release_all(self) -> None:
         """This process ends: it uses nothing from now on."""
-        self.until = -math.inf
+        self.lease_until = -math.inf
 
     def is_valid(self, now: float) -> bool:
-        return now < self.until
+        return now < self.lease_until
 
     def share(self, now: float) -> FleetShare:
-        return FleetShare(self.usable_count / CELLS if self.is_valid(now) else 0.0, self.since)
+        return FleetShare(self.usable_count / CELLS if self.is_valid(now) else 0.0, self.owned_since)
 
     def owns_any(self) -> bool:
         return self.address in self.table.owners
--- a/coralvale/cluster/rate_limit/limiter.py
+++ b/coralvale/cluster/rate_limit/limiter.py
@@ -31,7 +31,7 @@
 from coralvale.cluster.rate_limit.holding import Holding
 from coralvale.cluster.rate_limit.quota import CellSizes, Quota, Rule
 from coralvale.cluster.rate_limit.tenant import Tally, Tenant, TenantBucket
-from coralvale.cluster.rate_limit.usage import PERIOD, FleetUsage, Use, Window
+from coralvale.cluster.rate_limit.usage import PERIOD, FleetUsage, TenantUsage, Window
 
 WHOLE_EVERY = 4  # words of which one tells of all tenants; the others of those of whom there is news
 MET = 1.2  # s after a gateway was met, or came back, in which all words are whole: it is ready when it knows all
@@ -52,7 +52,7 @@
         self.usage = FleetUsage(rule.window)
         self.tenants: dict[str, Tenant] = {}
         self.count = 1  # gateways that may be serving, this one too
-        self.stepped = self.rated = -math.inf
+        self.stepped_at = self.rated = -math.inf
         self.words = 0
         # Numbers go on from one of this process's own: an answer to the one before it is nobody's.
         first_number = (chance or random.Random()).getrandbits(24) << 8
@@ -117,7 +117,7 @@
             tenant.tally.given_back += 1
             tenant.bucket.refund(1.0, 1.0)
             if admitted.source is Source.OWN:
-                tenant.escrow.put_back(now, admitted.at, 1)
+                tenant.escrow.put_back(now, admitted.taken_at, 1)
 
     # Terms, and what is owned
 
@@ -148,7 +148,7 @@
 
     def _new_escrow(self, now: float) -> Escrow:
         """For cells that have come to be owned here, or of a tenant that nothing is known of."""
-        return Escrow(now, self.holding.since, self.holding.allowed)
+        return Escrow(now, self.holding.owned_since, self.holding.allowed)
 
     def _change_terms(self, now: float, tenant: Tenant, rate: float, burst: float) -> None:
         bucket, scale = tenant.bucket, rate / tenant.rate
@@ -179,7 +179,7 @@
 
     # What gateways ask of each other
 
-    def asked(
+    def handle_ask(
         self, now: float, sender: str, number: int, name: str, rate: float, burst: float, count: int
     ) -> None:
         """Another gateway asks for tokens out of what is owned here."""
@@ -200,12 +200,12 @@
         answer = GrantTokens(sender, number, name, granted, min(MOST_PAUSE, wait))
         self.borrowing.actions.append(answer)
 
-    def returned(self, now: float, sender: str, number: int, name: str, count: int) -> None:
+    def handle_return(self, now: float, sender: str, number: int, name: str, count: int) -> None:
         """Tokens granted out of what is owned here come back: once for each grant, and no more than it had."""
         if (tenant := self.tenants.get(name)) and (lent := tenant.lent.pop((sender, number), None)):
             tenant.escrow.put_back(now, lent.at, min(count, lent.count))
 
-    def granted(self, now: float, sender: str, number: int, name: str, count: int, wait: float) -> None:
+    def handle_grant(self, now: float, sender: str, number: int, name: str, count: int, wait: float) -> None:
         """The answer to an ask of this gateway."""
         if tenant := self.tenants.get(name):
             self.borrowing.granted(now, tenant, sender, number, count, wait)
@@ -232,27 +232,27 @@
 
     # Words
 
-    def told(self, now: float) -> tuple[Use, bool]:
+    def usage_report(self, now: float) -> tuple[TenantUsage, bool]:
         """What this gateway says of itself, to be told to all; whether it is whole, or only what has
         changed."""
         whole = self.words % WHOLE_EVERY == 0 or now - self.usage.met < MET
         self.words += 1
-        use: Use = {}
+        use: TenantUsage = {}
         for name, tenant in self.tenants.items():
             newest = (tenant.window.total(now), tenant.newest)
-            if newest != tenant.told if not whole else newest != (0, 0):
+            if newest != tenant.last_reported if not whole else newest != (0, 0):
                 use[name] = newest
-            tenant.told = newest
+            tenant.last_reported = newest
         return use, whole
 
     def step(self, now: float) -> None:
         """Before a word is sent: new leak rates."""
-        elapsed = min(LONGEST_STEP, now - self.stepped) if self.stepped > -math.inf else PERIOD
-        self.stepped = now
+        elapsed = min(LONGEST_STEP, now - self.stepped_at) if self.stepped_at > -math.inf else PERIOD
+        self.stepped_at = now
         rates = now - self.rated >= RATED
         self.rated = now if rates else self.rated
-        self.usage.forget_old(now)
-        self.count = self.usage.count(now)
+        self.usage.drop_stale(now)
+        self.count = self.usage.gateway_count(now)
         for name, tenant in list(self.tenants.items()):
             tenant.step(elapsed, self.usage.elsewhere(name).newest)
             if rates:
@@ -264,6 +264,6 @@
     def _rate(self, now: float, tenant: Tenant) -> None:
         """A new leak rate."""
         bucket = tenant.bucket
-        bucket.heard(now, tenant.use / bucket.plan.rate)
-        bucket.own_late = tenant.mine  # as old as the reading is
+        bucket.heard(now, tenant.fleet_rate / bucket.plan.rate)
+        bucket.own_late = tenant.own_rate  # as old as the reading is
         bucket.step(now)
--- a/coralvale/cluster/rate_limit/share_planner.py
+++ b/coralvale/cluster/rate_limit/share_planner.py
@@ -14,7 +14,7 @@
     CELLS,
     NOBODY,
     RELEASE,
-    CellsOf,
+    CellAssignment,
     ShareChange,
     ShareTable,
     deal,
@@ -160,5 +160,5 @@
             heapreplace(poorest, (size + 1, owner))
 
 
-def _packed(cells: dict[str, list[int]]) -> tuple[CellsOf, ...]:
-    return tuple(CellsOf(address, tuple(sorted(found))) for address, found in sorted(cells.items()))
+def _packed(cells: dict[str, list[int]]) -> tuple[CellAssignment, ...]:
+    return tuple(CellAssignment(address, tuple(sorted(found))) for address, found in sorted(cells.items()))
--- a/coralvale/cluster/rate_limit/shares.py
+++ b/coralvale/cluster/rate_limit/shares.py
@@ -33,7 +33,7 @@
 _INDEX = struct.Struct(f"!{CELLS}H")
 
 
-class CellsOf(msgspec.Struct, frozen=True, array_like=True):
+class CellAssignment(msgspec.Struct, frozen=True, array_like=True):
     """Cells that are given to an address."""
 
     address: str
@@ -44,8 +44,8 @@
     """An entry of the log. `base`: the version of the table that it was made for."""
 
     base: int
-    owners: tuple[CellsOf, ...] = ()  # whose cells they are from now on
-    moves: tuple[CellsOf, ...] = ()  # that their owners are to let go, and for whom
+    owners: tuple[CellAssignment, ...] = ()  # whose cells they are from now on
+    moves: tuple[CellAssignment, ...] = ()  # that their owners are to let go, and for whom
     allowance: int = SAME  # what becomes of the allowance for processes that start
 
 
@@ -146,11 +146,11 @@
     return table
 
 
-def deal(addresses: list[str]) -> tuple[CellsOf, ...]:
+def deal(addresses: list[str]) -> tuple[CellAssignment, ...]:
     """All cells over the addresses, so that every evenly spaced choice of cells is spread over them as well:
     by multiples of the golden ratio (D. Knuth, TAOCP 3, 6.4), which no power of two is in step with."""
     found: dict[str, list[int]] = {address: [] for address in addresses}
     for cell in range(CELLS):
         at = (cell * 0x9E3779B1 & 0xFFFFFFFF) * len(addresses) >> 32
         found[addresses[at]].append(cell)
-    return tuple(CellsOf(address, tuple(cells)) for address, cells in found.items() if cells)
+    return tuple(CellAssignment(address, tuple(cells)) for address, cells in found.items() if cells)
--- a/coralvale/cluster/rate_limit/tenant.py
+++ b/coralvale/cluster/rate_limit/tenant.py
@@ -82,10 +82,10 @@
     passed: int = 0  # let through since the last step
     newest: int = 0  # in the period before that
     asked: int = 0  # requests since the last step, refused ones too
-    mine: float = 0.0  # let through a second, smoothed
+    own_rate: float = 0.0  # let through a second, smoothed
     demand: float = 0.0  # requests a second, smoothed
-    use: float = 0.0  # let through by all gateways a second, smoothed
-    told: tuple[int, int] = (0, 0)
+    fleet_rate: float = 0.0  # let through by all gateways a second, smoothed
+    last_reported: tuple[int, int] = (0, 0)
     tally: Tally = field(factory=Tally)
 
     def charge(self, now: float) -> None:
@@ -104,9 +104,9 @@
         """A period is over."""
         self.newest, self.passed = self.passed, 0
         asked, self.asked = self.asked, 0
-        self.mine += SMOOTH * (self.newest / elapsed - self.mine)
+        self.own_rate += SMOOTH * (self.newest / elapsed - self.own_rate)
         self.demand += SMOOTH * (asked / elapsed - self.demand)
-        self.use += SMOOTH * (self.newest / elapsed + newest_elsewhere / PERIOD - self.use)
+        self.fleet_rate += SMOOTH * (self.newest / elapsed + newest_elsewhere / PERIOD - self.fleet_rate)
 
     def lender(self, now: float, turn: int, reachable: list[str]) -> str | None:
         """Whom to ask next: those not known to be empty or silent take turns."""
--- a/coralvale/cluster/rate_limit/usage.py
+++ b/coralvale/cluster/rate_limit/usage.py
@@ -17,17 +17,19 @@
 NOTHING = (0, 0)  # told of a tenant: let through in the window, and since the word before
 LATE = 1.3  # s without a word after which a gateway is taken to be out of reach
 KEPT_FOR = 60.0  # s without a word after which a gateway counts as gone
-MOST = 2400  # gateways known at once, as membership has it; words of further ones are left out
+MAX_GATEWAYS = 2400  # gateways known at once, as membership has it; words of further ones are left out
 
-Use = dict[str, tuple[int, int]]  # by tenant: requests let through in the window, and since the word before
+TenantUsage = dict[
+    str, tuple[int, int]
+]  # by tenant: requests let through in the window, and since the word before
 
 
 @define
 class Other:
     """What another gateway has said. `version`: of the configuration that it has."""
 
-    use: Use = field(factory=dict)
-    heard: float = -math.inf
+    use: TenantUsage = field(factory=dict)
+    heard_at: float = -math.inf
     version: int = 0
     spoke: bool = False
     left: bool = False
@@ -70,60 +72,62 @@
 
     def __init__(self, window: float) -> None:
         self.window = window
-        self.others: dict[str, Other] = {}
+        self.peers: dict[str, Other] = {}
         self.zones: dict[int, Other] = {}  # what the reports of other zones say, each for all its gateways
         self.sums: dict[str, Elsewhere] = {}
         self.met = -math.inf  # when another gateway was met last
 
-    def know(self, now: float, name: str) -> None:
+    def peer_joined(self, now: float, name: str) -> None:
         """Another gateway is there, though it has said nothing of tenants yet."""
         self.met = now
-        if other := self.others.get(name):
+        if other := self.peers.get(name):
             other.left = False  # it is back
-        elif len(self.others) < MOST:
-            self.others[name] = Other(heard=now)
+        elif len(self.peers) < MAX_GATEWAYS:
+            self.peers[name] = Other(heard_at=now)
 
-    def left(self, name: str) -> None:
+    def peer_left(self, name: str) -> None:
         """A gateway has said that it ends."""
-        if other := self.others.get(name):
+        if other := self.peers.get(name):
             other.left = True
 
-    def hear(self, now: float, name: str, use: Use, whole: bool = True, version: int = 0) -> None:
+    def record_peer(
+        self, now: float, name: str, use: TenantUsage, whole: bool = True, version: int = 0
+    ) -> None:
         """Another gateway's word: of all tenants, or of those of whom it has something else to say."""
-        other = self.others.get(name)
+        other = self.peers.get(name)
         if other is None:
-            if len(self.others) >= MOST:
+            if len(self.peers) >= MAX_GATEWAYS:
                 return
-            other = self.others[name] = Other()
+            other = self.peers[name] = Other()
         if whole:
             for tenant in [t for t in other.use if t not in use]:
                 self._take(other, tenant, NOTHING)
             other.spoke = True
         for tenant, told in use.items():
             self._take(other, tenant, told)
-        other.heard, other.left, other.version = now, False, version
+        other.heard_at, other.left, other.version = now, False, version
 
-    def hear_zone(self, now: float, zone: int, use: Use) -> None:
+    def record_zone(self, now: float, zone: int, use: TenantUsage) -> None:
         """What all gateways of another zone let through, in place of what was told of it before."""
         other = self.zones.setdefault(zone, Other())
         for tenant in [t for t in other.use if t not in use]:
             self._take(other, tenant, NOTHING)
         for tenant, told in use.items():
             self._take(other, tenant, told)
-        other.heard = now
+        other.heard_at = now
 
-    def present(self, now: float, names: Iterable[str]) -> None:
+    def mark_present(self, now: float, names: Iterable[str]) -> None:
         """Gateways whose use is in the report of their zone: they are there, and count by it alone. One that has
         said that it ends stays so until membership has it back: a report may be older than its leave."""
         for name in names:
-            other = self.others.get(name)
+            other = self.peers.get(name)
             if other is None:
-                if len(self.others) >= MOST:
+                if len(self.peers) >= MAX_GATEWAYS:
                     return
-                other = self.others[name] = Other()
+                other = self.peers[name] = Other()
             if other.left:
                 continue
-            other.heard, other.spoke = now, True
+            other.heard_at, other.spoke = now, True
             if other.use:
                 self._forget_use(other)
 
@@ -148,26 +152,28 @@
         """What all others let through, as far as they have told it."""
         return self.sums.get(tenant) or Elsewhere()
 
-    def count(self, now: float) -> int:
+    def gateway_count(self, now: float) -> int:
         """Gateways that serve, or may be serving behind a cut, this one as well."""
-        return 1 + sum(not o.left and now - o.heard < KEPT_FOR for o in self.others.values())
+        return 1 + sum(not o.left and now - o.heard_at < KEPT_FOR for o in self.peers.values())
 
-    def in_reach(self, now: float, name: str) -> bool:
+    def is_reachable(self, now: float, name: str) -> bool:
         """Whether another gateway's words come."""
-        other = self.others.get(name)
-        return other is not None and not other.left and now - other.heard < LATE
+        other = self.peers.get(name)
+        return other is not None and not other.left and now - other.heard_at < LATE
 
-    def heard_all(self) -> bool:
+    def has_heard_all(self) -> bool:
         """Whether each gateway that is known of has told its use."""
-        return all(o.spoke or o.left for o in self.others.values())
+        return all(o.spoke or o.left for o in self.peers.values())
 
-    def forget_old(self, now: float) -> None:
+    def drop_stale(self, now: float) -> None:
         """What was told longer ago than the window is in no window any more; who has not been heard of for
         much longer is gone, and makes room for others."""
-        for name in [n for n, other in self.others.items() if now - other.heard > KEPT_FOR and not other.use]:
-            del self.others[name]
-        for other in (*self.others.values(), *self.zones.values()):
-            if other.use and now - other.heard > self.window:
+        for name in [
+            n for n, other in self.peers.items() if now - other.heard_at > KEPT_FOR and not other.use
+        ]:
+            del self.peers[name]
+        for other in (*self.peers.values(), *self.zones.values()):
+            if other.use and now - other.heard_at > self.window:
                 self._forget_use(other)
         for name in [n for n, sums in self.sums.items() if not (sums.window or sums.newest)]:
             del self.sums[name]
--- a/coralvale/cluster/reports/speaker.py
+++ b/coralvale/cluster/reports/speaker.py
@@ -16,10 +16,10 @@
 STANDBYS = 2  # gateways beside the first that hear the zone's reports, and speak in its place
 LONGER = 0.5  # periods that each of them waits longer than the one before it
 EARLIER = 0.7  # periods after which the first takes over again from one that has spoken in its place
-HEARD = 1.2  # s without a word of a gateway, after which the sums are without it
+GATEWAY_TIMEOUT_S = 1.2  # s without a word of a gateway, after which the sums are without it
 
 
-class Speaker:
+class ZoneReporter:
     """One gateway's part in it."""
 
     def __init__(self, address: str) -> None:
@@ -28,13 +28,13 @@
         self.speaks = False  # it was by this gateway
         self.gateways = 0  # that the report of this gateway sums
 
-    def order(self, here: Iterable[str], carriers: Iterable[str]) -> list[str]:
+    def candidates(self, here: Iterable[str], carriers: Iterable[str]) -> list[str]:
         """The first ones that may speak, of the zone's gateways that were heard of; those that carry words have
         the link for it, and go first."""
         first = set(carriers)
         return sorted(here, key=lambda ip: (ip not in first, ip))[: 1 + STANDBYS]
 
-    def heard(self, now: float, gateways: int) -> None:
+    def other_reported(self, now: float, gateways: int) -> None:
         """Another has reported this zone. One that hears much less of it does not speak for it."""
         if 2 * gateways >= self.gateways:
             self.reported, self.speaks = now, False
@@ -48,6 +48,6 @@
         rank = order.index(self.address)
         return self.reported + PERIOD * (1 + LONGER * rank if rank else EARLIER)
 
-    def reports(self, now: float, gateways: int) -> None:
+    def start_report(self, now: float, gateways: int) -> None:
         """This gateway reports now."""
         self.reported, self.gateways, self.speaks = now, gateways, True
--- a/coralvale/cluster/reports/sums.py
+++ b/coralvale/cluster/reports/sums.py
@@ -4,14 +4,14 @@
 
 from collections.abc import Iterable
 
-from coralvale.cluster.rate_limit.usage import Use
+from coralvale.cluster.rate_limit.usage import TenantUsage
 
 Out = Iterable[tuple[int, int]]  # what stands for a copy, and tries that a gateway has out there
 
 
-def sum_use(uses: Iterable[Use]) -> Use:
+def sum_usage(uses: Iterable[TenantUsage]) -> TenantUsage:
     """What several gateways let through of each tenant."""
-    sums: Use = {}
+    sums: TenantUsage = {}
     for use in uses:
         for tenant, (window, newest) in use.items():
             before = sums.get(tenant)
@@ -19,7 +19,7 @@
     return sums
 
 
-def sum_out(outs: Iterable[Out]) -> list[tuple[int, int]]:
+def sum_in_flight(outs: Iterable[Out]) -> list[tuple[int, int]]:
     """What several gateways have out at each copy, the most first."""
     sums: dict[int, int] = {}
     for out in outs:
--- a/coralvale/cluster/reports/zones.py
+++ b/coralvale/cluster/reports/zones.py
@@ -12,7 +12,7 @@
 from attrs import define, field
 
 from coralvale.cluster.rate_limit.usage import PERIOD
-from coralvale.cluster.reports.model import Head
+from coralvale.cluster.reports.model import ReportHead
 
 # s without a report, after which one that sums fewer gateways is followed as well: less than a standby waits,
 # which may no longer hear the speaker in whose place it reports.
@@ -37,20 +37,20 @@
         self.held: dict[int, Held] = {}
         self.zones: dict[str, int] = {}  # by address: the zone whose report sums the gateway
 
-    def takes(self, now: float, head: Head, kind: type) -> bool:
+    def accepts(self, now: float, head: ReportHead, kind: type) -> bool:
         """Whether a report counts; it is to be passed on then, and else to be passed over."""
         held = self.held.setdefault(head.zone, Held())
-        if head.by != held.by:
+        if head.reporter != held.by:
             if head.gateways < held.gateways and now - held.heard < STALE:
                 return False
-            held = self.held[head.zone] = Held(head.by)
+            held = self.held[head.zone] = Held(head.reporter)
         elif held.serials.get(kind) == head.serial:
             return False  # it came by two ways
         held.gateways, held.heard = head.gateways, now
         held.serials[kind] = head.serial
         return True
 
-    def present(self, zone: int, addresses: list[str]) -> None:
+    def set_members(self, zone: int, addresses: list[str]) -> None:
         """A report sums these gateways."""
         for address in [a for a, of in self.zones.items() if of == zone]:
             del self.zones[address]
@@ -62,10 +62,10 @@
         zone = self.zones.get(address)
         return zone is not None and now - self.held[zone].heard < FRESH
 
-    def silent(self, now: float, longest: float) -> list[int]:
+    def drop_silent(self, now: float, longest: float) -> list[int]:
         """Zones without a report for so long; they are forgotten."""
         zones = [zone for zone, held in self.held.items() if now - held.heard > longest]
         for zone in zones:
             del self.held[zone]
-            self.present(zone, [])
+            self.set_members(zone, [])
         return zones
--- a/coralvale/cluster/routing/router.py
+++ b/coralvale/cluster/routing/router.py
@@ -142,7 +142,7 @@
         """What the limiter says of a request, at once or after it waited for a token."""
         job.waits = False
         if isinstance(verdict, Refused):
-            return Problem(Kind.OVER_QUOTA, job.tenant, retry_after=verdict.wait)
+            return Problem(Kind.OVER_QUOTA, job.tenant, retry_after=verdict.retry_after)
         job.admitted = verdict
         return None
 
--- a/coralvale/cluster/server/arrivals.py
+++ b/coralvale/cluster/server/arrivals.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from coralvale.cluster.events import Event, tell
-from coralvale.cluster.rate_limit.usage import MOST, PERIOD
+from coralvale.cluster.rate_limit.usage import MAX_GATEWAYS, PERIOD
 from coralvale.cluster.registry.register import Register, Row, gone
 from coralvale.cluster.server.core import Core
 from coralvale.cluster.server.membership import Membership
@@ -51,7 +51,7 @@
         if digest == self.register.digest and not unknown:
             self.mismatch.pop(ip, None)
             return
-        if len(self.mismatch) > MOST:
+        if len(self.mismatch) > MAX_GATEWAYS:
             self.mismatch.clear()
         # Hosts that have just come are on their way to all: what is missed is what still differs later.
         first, since, before = self.mismatch.get(ip, (now, now, 0))
--- a/coralvale/cluster/server/figures.py
+++ b/coralvale/cluster/server/figures.py
@@ -89,8 +89,8 @@
             "myrtlehatch_tenant_leak", "of its bucket here, requests a second", labels=["tenant"]
         )
         for tenant, metered in o.limiter.tenants.items():
-            used.add_metric([tenant, "here"], float(metered.mine))
-            used.add_metric([tenant, "all"], float(metered.use))
+            used.add_metric([tenant, "here"], float(metered.own_rate))
+            used.add_metric([tenant, "all"], float(metered.fleet_rate))
             leak.add_metric([tenant], float(metered.bucket.rate))
         yield used
         yield leak
--- a/coralvale/cluster/server/gossip.py
+++ b/coralvale/cluster/server/gossip.py
@@ -109,7 +109,7 @@
             self.copies.fade()
             self.tell_health(self.copies.weigh(now))
             view, leader, core = self.core.known()
-            use, whole = self.limiter.told(now)
+            use, whole = self.limiter.usage_report(now)
             if (view, core) != told_core:
                 told_core, told_at = (view, core), now
             carries = self.carries(now)
@@ -315,7 +315,9 @@
         unknown = self.register.beats(now, word.beats)
         if self.reports.zones.covers(now, ip):
             return  # what it does is in the report of its zone, and would count twice
-        self.limiter.usage.hear(now, ip, unpack_use(word.use, self.changes.tenants), word.whole, word.version)
+        self.limiter.usage.record_peer(
+            now, ip, unpack_use(word.use, self.changes.tenants), word.whole, word.version
+        )
         self.tell_health(self.copies.hear_health(now, ip, unpack_health(word.health)))
         if word.out is not None:
             self.copies.hear(now, ip, unpack_out(word.out))
--- a/coralvale/cluster/server/membership.py
+++ b/coralvale/cluster/server/membership.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable
 
 from coralvale.cluster.events import Event, tell
-from coralvale.cluster.rate_limit.usage import MOST, FleetUsage
+from coralvale.cluster.rate_limit.usage import MAX_GATEWAYS, FleetUsage
 from coralvale.cluster.server.messages import Gossip
 from coralvale.cluster.server.peers import SWIM
 from coralvale.cluster.server.runtime import Runtime
@@ -38,7 +38,7 @@
         """What to tell of a gateway whose region is not that of its zone here, when it first says so."""
         if self.regions.get(ip) == region:
             return None
-        if len(self.regions) > MOST:
+        if len(self.regions) > MAX_GATEWAYS:
             self.regions.clear()
         settings = self.runtime.settings
         zones = sorted(settings.Zones)
@@ -54,7 +54,7 @@
 
     def hear(self, now: float, ips: Iterable[str]) -> None:
         """Words of these gateways come, here or in their zone."""
-        if len(self.talks) > MOST:
+        if len(self.talks) > MAX_GATEWAYS:
             self.talks.clear()
         for ip in ips:
             self.talks[ip] = now
@@ -103,9 +103,9 @@
                 if event.before is not state and state is not GatewayState.SUSPECT:
                     tell(Event.MEMBER, name=member.name, state=state.name.lower())
                 if state is GatewayState.LEFT:
-                    self.usage.left(member.address[0])
+                    self.usage.peer_left(member.address[0])
                 elif state is GatewayState.ALIVE:
-                    self.usage.know(now, member.address[0])
+                    self.usage.peer_joined(now, member.address[0])
             elif isinstance(event, Stalled):
                 tell(Event.STALLED, seconds=event.seconds)
 
--- a/coralvale/cluster/server/messages.py
+++ b/coralvale/cluster/server/messages.py
@@ -18,7 +18,7 @@
 from coralvale.cluster.coordination.model import Call as CoordinationRequest
 from coralvale.cluster.host_health.watch import Row as Row_
 from coralvale.cluster.host_health.watch import ZoneRow
-from coralvale.cluster.rate_limit.usage import Use
+from coralvale.cluster.rate_limit.usage import TenantUsage
 from coralvale.cluster.registry.register import Row
 from coralvale.cluster.reports.model import Report
 
@@ -198,13 +198,13 @@
     return b"".join([OUT.pack(number, min(255, count)) for number, count in out[:MOST_OUT]])
 
 
-def pack_use(use: Use) -> bytes:
+def pack_use(use: TenantUsage) -> bytes:
     """Tenants by what stands for their names: seven bytes each."""
     rows = [USE.pack(crc32(n.encode()), min(65535, w), min(255, p)) for n, (w, p) in use.items()]
     return b"".join(rows[:MOST_USE])
 
 
-def unpack_use(data: bytes, names: Mapping[int, str]) -> Use:
+def unpack_use(data: bytes, names: Mapping[int, str]) -> TenantUsage:
     """`names`: of the tenants that are known, by what stands for them. Raises struct.error for no such
     word."""
     return {names[mark]: (w, p) for mark, w, p in USE.iter_unpack(data) if mark in names}
@@ -230,13 +230,13 @@
     return [inet_ntoa(data[at : at + 4]) for at in range(0, len(data), 4)]
 
 
-def pack_use_sum(use: Use) -> bytes:
+def pack_use_sum(use: TenantUsage) -> bytes:
     """A zone's tenants, those that use most first: eight bytes each."""
     rows = sorted(use.items(), key=lambda row: -row[1][0])[:MOST_USE]
     return b"".join([USE_SUM.pack(crc32(n.encode()), min(65535, w), min(65535, p)) for n, (w, p) in rows])
 
 
-def unpack_use_sum(data: bytes, names: Mapping[int, str]) -> Use:
+def unpack_use_sum(data: bytes, names: Mapping[int, str]) -> TenantUsage:
     """As `unpack_use`."""
     return {names[mark]: (w, p) for mark, w, p in USE_SUM.iter_unpack(data) if mark in names}
 
--- a/coralvale/cluster/server/node.py
+++ b/coralvale/cluster/server/node.py
@@ -284,12 +284,12 @@
     def _knows_others(self) -> bool:
         """Whether all gateways that are known of have told of themselves, and the leader who owns what."""
         usage = self.limiter.usage
-        return bool(usage.others) and usage.heard_all() and self.limiter.holding.version > 0
+        return bool(usage.peers) and usage.has_heard_all() and self.limiter.holding.version > 0
 
     def gateways(self) -> int:
         """Gateways that a budget is divided over: those that may be serving, and all that own shares."""
         owners = self.limiter.holding.owner_count
-        return max(self.limiter.usage.count(self.runtime.clock.monotonic()), owners)
+        return max(self.limiter.usage.gateway_count(self.runtime.clock.monotonic()), owners)
 
     # What is due
 
@@ -329,7 +329,7 @@
         if self.home.routes:
             self._tell_home(now)
         self.membership.near = None  # who only talks may have come or gone
-        self.limiter.borrowing.near = frozenset(self.membership.zones()[0])
+        self.limiter.borrowing.same_zone = frozenset(self.membership.zones()[0])
         known = (
             {m.address[0] for m in self.membership.others()}
             | set(self.core.known()[2])
--- a/coralvale/cluster/server/quotas.py
+++ b/coralvale/cluster/server/quotas.py
@@ -42,7 +42,7 @@
                         body = _TOKENS.pack(action.number, _mark(action.tenant), action.count)
                         self.runtime.peers.cast(action.to, RETURN, body)
                     case GrantTokens():
-                        ms = min(MOST_MS, int(action.wait * 1000))
+                        ms = min(MOST_MS, int(action.retry_after * 1000))
                         body = _GRANT.pack(action.number, _mark(action.tenant), action.count, ms)
                         self.runtime.peers.cast(action.to, GRANT, body)
         self._set_timer()
@@ -76,11 +76,11 @@
         if name is None:
             return
         if kind == GRANT:
-            self.limiter.granted(now, ip, number, name, count, ms / 1000)
+            self.limiter.handle_grant(now, ip, number, name, count, ms / 1000)
         elif kind == RETURN:
-            self.limiter.returned(now, ip, number, name, count)
+            self.limiter.handle_return(now, ip, number, name, count)
         elif terms := self.changes.configuration.tenant(name):
-            self.limiter.asked(now, ip, number, name, terms.RatePerS, terms.Burst, count)
+            self.limiter.handle_ask(now, ip, number, name, terms.RatePerS, terms.Burst, count)
         self.carry_out()
 
 
--- a/coralvale/cluster/server/shares.py
+++ b/coralvale/cluster/server/shares.py
@@ -13,7 +13,7 @@
 from coralvale.cluster.server.messages import ClaimShares, Shares
 from coralvale.cluster.server.peers import Frames
 from coralvale.cluster.server.runtime import Runtime
-from coralvale.cluster.share_desk import TAKEN_WITHIN, ShareAnswer
+from coralvale.cluster.share_desk import MAX_ANSWER_AGE_S, ShareAnswer
 
 RENEW = 10.0  # s between claims while all is as it should be
 SOON = 0.15  # s until the next one where the last got no answer, or this gateway owns nothing yet
@@ -45,7 +45,7 @@
 
     async def give_up(self) -> None:
         """This process ends: its parts are nobody's from now on, and may go to others if it stays away."""
-        self.holding.give_up()
+        self.holding.release_all()
         await self._claim(left=True)
 
     async def _claim(self, left: bool) -> bool:
@@ -64,8 +64,8 @@
         now = self.runtime.clock.monotonic()
         since = max(self.runtime.born, now - answer.age)
         # An answer that was read late, by a process that stood still, brings no allowance.
-        allowed = answer.allowed and now - asked_at < TAKEN_WITHIN
-        if self.holding.take(since, asked_at, table, allowed):
+        allowed = answer.allowed and now - asked_at < MAX_ANSWER_AGE_S
+        if self.holding.apply_answer(since, asked_at, table, allowed):
             cells = self.holding.table.owners.count(self.holding.address)
             tell(Event.SHARES, version=self.holding.version, cells=cells)
         return True
--- a/coralvale/cluster/server/status.py
+++ b/coralvale/cluster/server/status.py
@@ -18,7 +18,7 @@
     sent: dict[str, float] = {}
     for copy in o.copies.copies.values():
         sent[copy.life.row.svc] = sent.get(copy.life.row.svc, 0.0) + copy.recent
-    heard = {name: now - other.heard for name, other in usage.others.items()}
+    heard = {name: now - other.heard_at for name, other in usage.peers.items()}
     hosts = []
     for life in o.register.lives.values():
         known = o.copies.copies.get(life.id)
@@ -46,8 +46,8 @@
             {
                 "name": name,
                 "quota": metered.bucket.plan.rate,
-                "here": metered.mine,
-                "all": metered.use,
+                "here": metered.own_rate,
+                "all": metered.fleet_rate,
                 "window": usage.elsewhere(name).window + metered.window.total(now),
                 "share": metered.quota.share(metered.size),
                 "tokens": metered.escrow.available(now),
@@ -76,7 +76,7 @@
         "shares": {
             "version": holding.version,
             "cells": holding.table.owners.count(holding.address),
-            "lease": max(0.0, holding.until - now),
+            "lease": max(0.0, holding.lease_until - now),
         },
         "coordination": o.coordination.figures.status(o.core.coordination, o.core.coordination_desk),
         "gateways": [
--- a/coralvale/cluster/server/zone_reports.py
+++ b/coralvale/cluster/server/zone_reports.py
@@ -10,18 +10,18 @@
 
 from coralvale.cluster.host_health.watch import Change as Verdict
 from coralvale.cluster.rate_limit.limiter import RateLimiter
-from coralvale.cluster.rate_limit.usage import PERIOD, Use
+from coralvale.cluster.rate_limit.usage import PERIOD, TenantUsage
 from coralvale.cluster.reports.model import (
-    Head,
     HealthSum,
-    OutSum,
+    InFlightSum,
     Presence,
     Report,
-    UseSum,
-    by_reports,
+    ReportHead,
+    UsageSum,
+    uses_zone_reports,
 )
-from coralvale.cluster.reports.speaker import HEARD, Speaker
-from coralvale.cluster.reports.sums import sum_out, sum_use
+from coralvale.cluster.reports.speaker import GATEWAY_TIMEOUT_S, ZoneReporter
+from coralvale.cluster.reports.sums import sum_in_flight, sum_usage
 from coralvale.cluster.reports.zones import ZoneReports
 from coralvale.cluster.routing.copies import Copies
 from coralvale.cluster.server import relay
@@ -78,7 +78,7 @@
         self.runtime, self.membership, self.core, self.changes = runtime, membership, core, changes
         self.arrivals, self.limiter, self.shares, self.copies = arrivals, limiter, shares, copies
         self.carriers, self.is_ready = carriers, is_ready
-        self.speaker, self.zones = Speaker(runtime.settings.Ip), ZoneReports()
+        self.speaker, self.zones = ZoneReporter(runtime.settings.Ip), ZoneReports()
         self.may_speak = False  # it is among the first of its zone
         self.serial = runtime.process
         self.present: dict[int, tuple[bytes, list[str]]] = {}  # by zone: its gateways, packed and not
@@ -95,7 +95,7 @@
     def turn(self, now: float) -> float:
         """Reports if that is due here; seconds until the next look."""
         there, before = self.membership.swim.there, self.membership.by_reports
-        self.membership.by_reports = by_reports(there, before)
+        self.membership.by_reports = uses_zone_reports(there, before)
         order = self._order(now) if self.membership.by_reports else []
         self.may_speak = self.speaker.address in order and self.is_ready() and not self.runtime.stopping
         if not self.may_speak:
@@ -114,30 +114,30 @@
 
     def _here(self, now: float) -> list[str]:
         """This zone's gateways whose words come, this one too."""
-        others, (near, _) = self.limiter.usage.others, self.membership.zones()
+        others, (near, _) = self.limiter.usage.peers, self.membership.zones()
         known = [ip for ip in near if ip in others and not others[ip].left]
-        return [*(ip for ip in known if now - others[ip].heard <= HEARD), self.speaker.address]
+        return [*(ip for ip in known if now - others[ip].heard_at <= GATEWAY_TIMEOUT_S), self.speaker.address]
 
     def _order(self, now: float) -> list[str]:
         here = self._here(now)
-        return self.speaker.order(here, self.carriers.of(now, here, relay.NEAR))
+        return self.speaker.candidates(here, self.carriers.of(now, here, relay.NEAR))
 
     def _report(self, now: float, order: list[str]) -> None:
         """All that the other zones are told."""
         here = self._here(now)
-        self.speaker.reports(now, len(here))
+        self.speaker.start_report(now, len(here))
         for presence in self._presences(now, here):
             self._send(order, presence)
-        self._send(order, UseSum(self._head(), pack_use_sum(sum_use(self._uses(here)))))
+        self._send(order, UsageSum(self._head(), pack_use_sum(sum_usage(self._uses(here)))))
         told = self.copies.told
         outs = [[(copy.mark, count) for copy, count in told[ip][1]] for ip in here if ip in told]
-        self._send(order, OutSum(self._head(), pack_out(sum_out([*outs, self.copies.out()]))))
+        self._send(order, InFlightSum(self._head(), pack_out(sum_in_flight([*outs, self.copies.out()]))))
         self._report_health(now, order, again=bool(self.ill))
 
-    def _head(self) -> Head:
+    def _head(self) -> ReportHead:
         self.serial += 1
         zone, speaker = self.membership.swim.me.zone, self.speaker
-        return Head(zone, speaker.address, speaker.gateways, self.serial)
+        return ReportHead(zone, speaker.address, speaker.gateways, self.serial)
 
     def _presences(self, now: float, here: list[str]) -> list[Presence]:
         carriers = self.carriers.of(now, here, relay.NEAR)
@@ -160,9 +160,13 @@
             for at in range(0, max(1, len(beats)), MOST_BEATS)
         ]
 
-    def _uses(self, here: list[str]) -> list[Use]:
-        others = self.limiter.usage.others
-        own = {name: tenant.told for name, tenant in self.limiter.tenants.items() if any(tenant.told)}
+    def _uses(self, here: list[str]) -> list[TenantUsage]:
+        others = self.limiter.usage.peers
+        own = {
+            name: tenant.last_reported
+            for name, tenant in self.limiter.tenants.items()
+            if any(tenant.last_reported)
+        }
         return [own, *(others[ip].use for ip in here if ip in others)]
 
     def _report_health(self, now: float, order: list[str], again: bool = False) -> None:
@@ -193,9 +197,9 @@
         try:
             report = decode_report(body)
             if report.head.zone == self.membership.swim.me.zone:
-                self.speaker.heard(now, report.head.gateways)
+                self.speaker.other_reported(now, report.head.gateways)
                 return []
-            if not self.zones.takes(now, report.head, type(report)):
+            if not self.zones.accepts(now, report.head, type(report)):
                 return []
             if kind == REPORT:
                 self.runtime.peers.pace(self.membership.zones()[0], REPORTED + body)
@@ -208,10 +212,10 @@
         match report:
             case Presence():
                 self._present(now, report)
-            case UseSum():
+            case UsageSum():
                 use = unpack_use_sum(report.rows, self.changes.tenants)
-                self.limiter.usage.hear_zone(now, zone, use)
-            case OutSum():
+                self.limiter.usage.record_zone(now, zone, use)
+            case InFlightSum():
                 self.copies.hear(now, f"zone {zone}", unpack_out(report.rows))
             case HealthSum():
                 return self.copies.hear_zone(now, zone, unpack_health_sum(report.rows))
@@ -222,8 +226,8 @@
         if packed != report.addresses:
             addresses = unpack_addresses(report.addresses)
             self.present[report.head.zone] = report.addresses, addresses
-            self.zones.present(report.head.zone, addresses)
-        self.limiter.usage.present(now, addresses)
+            self.zones.set_members(report.head.zone, addresses)
+        self.limiter.usage.mark_present(now, addresses)
         self.membership.hear(now, addresses)
         for ip in addresses[: report.carriers]:
             self.carriers.hear(now, ip, True)
@@ -234,6 +238,6 @@
         unknown = self.arrivals.register.beats(now, report.beats)
         # Those that speak mend the register between zones, and those near them by their words' digests.
         if self.may_speak:
-            self.arrivals.compare(now, report.head.by, report.digest, unknown)
-        for zone in self.zones.silent(now, LONGEST):
+            self.arrivals.compare(now, report.head.reporter, report.digest, unknown)
+        for zone in self.zones.drop_silent(now, LONGEST):
             self.present.pop(zone, None)
--- a/coralvale/cluster/share_desk.py
+++ b/coralvale/cluster/share_desk.py
@@ -19,7 +19,9 @@
 MOST_WAITING = 4096  # claims
 STARTED = 10.0  # s after its start for which a leader takes it that others have started too
 ALLOWED_FOR = 4.0  # s for which processes that start get their allowance, once it was spent
-TAKEN_WITHIN = 1.0  # s from a claim to when its answer is taken, at most: an older one brings no allowance
+MAX_ANSWER_AGE_S = (
+    1.0  # s from a claim to when its answer is taken, at most: an older one brings no allowance
+)
 RENEWED = 5.0  # s more than these and the rule's window, after which the allowance may be spent again
 
 
@@ -71,7 +73,7 @@
         self.view = 0  # of the planner
         # What is on disk at the start was in force by then; of what comes later is known when it came.
         self.started = self.since = now
-        self.renewed_after = window + ALLOWED_FOR + TAKEN_WITHIN + RENEWED
+        self.renewed_after = window + ALLOWED_FOR + MAX_ANSWER_AGE_S + RENEWED
         self.spent_at = now  # since when, at most, the allowance is known to be spent
         self.allowing = -math.inf  # until when processes that start get theirs, from this leader
         self.allowed: set[str] = set()  # addresses whose processes had it
--- a/coralvale/lab/souring.py
+++ b/coralvale/lab/souring.py
@@ -221,7 +221,7 @@
         self.copies = Copies(self.register, self.zone, chance, world.home(number))
         limiter = RateLimiter(Rule(5.0, 0.1, 20.0), self.name)
         names = [f"gateway-{other}" for other in range(world.day.gateways)]
-        limiter.holding.take(-math.inf, math.inf, even_table(names))
+        limiter.holding.apply_answer(-math.inf, math.inf, even_table(names))
         bounds = Bounds(RetryExtra=64.0)
         self.router = Router(bounds, self.copies, limiter, chance)
         self.router.take_configuration(plot)
--- a/tests/cluster/quota_world.py
+++ b/tests/cluster/quota_world.py
@@ -34,8 +34,8 @@
 from coralvale.cluster.rate_limit.limiter import RateLimiter
 from coralvale.cluster.rate_limit.quota import GRANT_LIFE, Rule
 from coralvale.cluster.rate_limit.shares import ShareTable
-from coralvale.cluster.rate_limit.usage import PERIOD, Use
-from coralvale.cluster.share_desk import TAKEN_WITHIN, ShareAnswer, ShareClaim, ShareDesk
+from coralvale.cluster.rate_limit.usage import PERIOD, TenantUsage
+from coralvale.cluster.share_desk import MAX_ANSWER_AGE_S, ShareAnswer, ShareClaim, ShareDesk
 
 RULE = Rule(window=5.0, excess=0.1, slack=20.0)
 FOUNDED = 4.0  # s until all gateways of a new fleet own their parts
@@ -187,8 +187,8 @@
         limiter = self.limiters[name] = RateLimiter(RULE, name, random.Random(self.chance.random()))
         for other, theirs in self.limiters.items():
             if other != name:
-                limiter.usage.know(self.env.now, other)
-                theirs.usage.know(self.env.now, name)
+                limiter.usage.peer_joined(self.env.now, other)
+                theirs.usage.peer_joined(self.env.now, name)
         self.env.process(self.words(name, limiter))
         self.env.process(self.claims(name, limiter))
 
@@ -232,14 +232,16 @@
         while self.limiters.get(name) is limiter:
             yield from self.alive(name, limiter)
             limiter.step(self.env.now)
-            self.tell(name, *limiter.told(self.env.now))
+            self.tell(name, *limiter.usage_report(self.env.now))
             yield self.env.timeout(PERIOD)
 
-    def tell(self, name: str, use: Use, whole: bool) -> None:
+    def tell(self, name: str, use: TenantUsage, whole: bool) -> None:
         version = self.known.get(name, 0)
         for other in self.limiters:
             if other != name:
-                self.send(name, other, lambda to: to.usage.hear(self.env.now, name, use, whole, version))
+                self.send(
+                    name, other, lambda to: to.usage.record_peer(self.env.now, name, use, whole, version)
+                )
 
     def claims(self, name: str, limiter: RateLimiter) -> Iterator[simpy.Event]:
         yield self.env.timeout(0.2 * self.chance.random())
@@ -268,9 +270,9 @@
             if to is limiter:
                 now = self.env.now
                 since = max(self.born[name], now - answer.age)
-                allowed = answer.allowed and now - asked_at < TAKEN_WITHIN
+                allowed = answer.allowed and now - asked_at < MAX_ANSWER_AGE_S
                 table = ShareTable.restored(answer.table) if answer.table else None
-                to.holding.take(since, asked_at, table, allowed)
+                to.holding.apply_answer(since, asked_at, table, allowed)
 
         self.send("core", name, answered)
 
@@ -328,7 +330,7 @@
                 a = action
 
                 def asked(to: RateLimiter) -> None:
-                    to.asked(self.env.now, name, a.number, a.tenant, *self.terms(a.to), a.count)
+                    to.handle_ask(self.env.now, name, a.number, a.tenant, *self.terms(a.to), a.count)
 
                 self.send(name, a.to, asked)
             case GrantTokens():
@@ -336,11 +338,15 @@
                 self.send(
                     name,
                     g.to,
-                    lambda to: to.granted(self.env.now, name, g.number, g.tenant, g.count, g.wait),
+                    lambda to: to.handle_grant(
+                        self.env.now, name, g.number, g.tenant, g.count, g.retry_after
+                    ),
                 )
             case ReturnTokens():
                 r = action
-                self.send(name, r.to, lambda to: to.returned(self.env.now, name, r.number, r.tenant, r.count))
+                self.send(
+                    name, r.to, lambda to: to.handle_return(self.env.now, name, r.number, r.tenant, r.count)
+                )
             case Decided():
                 self.decided(name, action.ticket, action.verdict)
 
@@ -492,7 +498,7 @@
         yield self.env.timeout(after + GRACE)
         if (limiter := self.limiters.get(name)) is None:
             return
-        limiter.holding.give_up()
+        limiter.holding.release_all()
         self.env.process(self.claim(name, limiter, limiter.holding.version, left=True))
         yield self.env.timeout(LAST_WORDS)
         if self.limiters.get(name) is limiter:
--- a/tests/cluster/test_budget.py
+++ b/tests/cluster/test_budget.py
@@ -11,7 +11,7 @@
 from test_routing import router
 
 from coralvale.cluster.rate_limit.holding import FleetShare, Holding
-from coralvale.cluster.rate_limit.shares import CELLS, CellsOf, ShareChange, even_table, pack_change
+from coralvale.cluster.rate_limit.shares import CELLS, CellAssignment, ShareChange, even_table, pack_change
 from coralvale.cluster.routing import budget as budgets
 from coralvale.cluster.routing.budget import Budget, Reserve
 
@@ -42,7 +42,7 @@
         self.budget = Budget(RATIO, WINDOW, EXTRA)
 
     def owned(self, now: float) -> FleetShare:
-        return FleetShare(self.holding.share(now).share, max(self.born, self.holding.since))
+        return FleetShare(self.holding.share(now).share, max(self.born, self.holding.owned_since))
 
 
 def worst_window(seed: int) -> float:
@@ -55,7 +55,7 @@
     moved = chance.uniform(5, 30)
     holdings = {name: Holding(name) for name in names}
     for holding in holdings.values():
-        holding.take(-math.inf, math.inf, table)
+        holding.apply_answer(-math.inf, math.inf, table)
     processes = {name: Process(-100.0, holdings[name]) for name in names}
     requests: deque[float] = deque()
     tries: deque[float] = deque()
@@ -70,11 +70,13 @@
                 processes[name] = Process(now, holdings[name])
         if now > moved:
             moved = math.inf
-            given = CellsOf(names[-1], tuple(c for c, owner in enumerate(table.owners) if owner == "g0"))
+            given = CellAssignment(
+                names[-1], tuple(c for c, owner in enumerate(table.owners) if owner == "g0")
+            )
             newer = even_table(names[:-1])
             assert newer.deliver(pack_change(ShareChange(newer.version, (given,))))
             for name in ("g0", names[-1]):  # the owner lets go first
-                holdings[name].take(now, math.inf, newer)
+                holdings[name].apply_answer(now, math.inf, newer)
         process = processes[chance.choice(names)]
         process.budget.request(now)
         requests.append(now)
@@ -125,7 +127,7 @@
     assert reserve.tokens == pytest.approx(budgets.USED * budgets.DEPTH_PART * EXTRA * 0.5)
     holding = alone().holding
     assert holding.share(0.0).share == 1 and holding.usable_count == CELLS
-    holding.give_up()
+    holding.release_all()
     assert holding.share(0.0).share == 0
 
 
--- a/tests/cluster/test_edge.py
+++ b/tests/cluster/test_edge.py
@@ -448,8 +448,8 @@
         self.scene, self.grants = s, grants
         self.limiter = s.edge.router.limiter
         self.limiter.holding.table = ShareTable()
-        self.limiter.holding.take(0.0, math.inf, even_table(["far"]))
-        self.limiter.usage.hear(s.edge.clock.monotonic(), "far", {})
+        self.limiter.holding.apply_answer(0.0, math.inf, even_table(["far"]))
+        self.limiter.usage.record_peer(s.edge.clock.monotonic(), "far", {})
         s.edge.carry_out_quotas = self.carry_out
 
     def carry_out(self) -> None:
@@ -458,7 +458,7 @@
             if isinstance(action, Decided):
                 self.scene.edge.decided(action)
             elif isinstance(action, AskTokens) and self.grants >= 0:
-                self.limiter.granted(now, "far", action.number, action.tenant, self.grants, 0.4)
+                self.limiter.handle_grant(now, "far", action.number, action.tenant, self.grants, 0.4)
                 self.scene.edge.loop.call_soon(self.carry_out)
 
 
--- a/tests/cluster/test_grown.py
+++ b/tests/cluster/test_grown.py
@@ -147,10 +147,10 @@
         limiter = RateLimiter(Rule(5.0, 0.1, 20.0), "10.0.0.0")
         limiter.holding.own_all()
         for n in range(gateways):
-            limiter.usage.know(0.0, f"10.0.{n // 250}.{n % 250}")
+            limiter.usage.peer_joined(0.0, f"10.0.{n // 250}.{n % 250}")
         for n in range(tenants):
             assert limiter.request(1.0, f"tenant-{n}", 60.0, 60.0) == Admitted(Source.OWN)
-        use, whole = limiter.told(1.0)
+        use, whole = limiter.usage_report(1.0)
         assert whole
         beats = [(f"i-{n:08x}", n) for n in range(4)]  # those heard here in half a second: not of the fleet
         health = pack_health([(n, 9, 3) for n in range(200)])
--- a/tests/cluster/test_quota_shares.py
+++ b/tests/cluster/test_quota_shares.py
@@ -22,7 +22,7 @@
     CELLS,
     NOBODY,
     RELEASE,
-    CellsOf,
+    CellAssignment,
     ShareChange,
     ShareTable,
     even_table,
@@ -31,7 +31,14 @@
 from coralvale.cluster.rate_limit.tenant import Tally
 from coralvale.cluster.routing.router import Job
 from coralvale.cluster.routing.tries import ENDS
-from coralvale.cluster.share_desk import ALLOWED_FOR, RENEWED, STARTED, TAKEN_WITHIN, ShareAnswer, ShareClaim
+from coralvale.cluster.share_desk import (
+    ALLOWED_FOR,
+    MAX_ANSWER_AGE_S,
+    RENEWED,
+    STARTED,
+    ShareAnswer,
+    ShareClaim,
+)
 from coralvale.interface import Outcome
 
 
@@ -167,7 +174,7 @@
         made.tick(now + step)
     assert sizes(made.table)["last"] > CELLS // 1000
     made.desk.deliver(
-        now + 20, pack_change(ShareChange(made.table.version, (CellsOf("one", tuple(range(CELLS))),)))
+        now + 20, pack_change(ShareChange(made.table.version, (CellAssignment("one", tuple(range(CELLS))),)))
     )
     assert set(made.desk.gained) == {"one"}
 
@@ -175,7 +182,7 @@
 def test_a_change_made_for_another_version_has_no_effect() -> None:
     table = even_table(["a", "b"])
     before = table.image()
-    assert not table.deliver(pack_change(ShareChange(0, (CellsOf("c", (0, 1)),))))
+    assert not table.deliver(pack_change(ShareChange(0, (CellAssignment("c", (0, 1)),))))
     assert table.image() == before
 
 
@@ -328,7 +335,7 @@
     assert not allowed(second, 102.1 + ALLOWED_FOR, "d")
     third = restarted(second, 104.0)  # all are lost once more, within the rule's window
     assert third.table.spent and not allowed(third, 106.0, "a")
-    renewed = RULE.window + ALLOWED_FOR + TAKEN_WITHIN + RENEWED
+    renewed = RULE.window + ALLOWED_FOR + MAX_ANSWER_AGE_S + RENEWED
     third.tick(103.9 + renewed)
     assert third.table.spent
     third.tick(106.0 + renewed)
@@ -401,7 +408,7 @@
     admitted = limiter.request(100.0, "t", 1.0, 1.0)
     assert isinstance(admitted, Admitted)
     limiter.refund(100.0, "t", admitted)
-    limiter.asked(100.0, "other", 1, "t", 1.0, 1.0, 2)
+    limiter.handle_ask(100.0, "other", 1, "t", 1.0, 1.0, 2)
     limiter.tenants["t"].stock.add(101.0, 1)
     while isinstance(limiter.request(100.0, "t", 1.0, 1.0), Admitted):
         pass
--- a/tests/cluster/test_rate_limit.py
+++ b/tests/cluster/test_rate_limit.py
@@ -37,7 +37,7 @@
 )
 from coralvale.cluster.rate_limit.shares import CELLS, LEASE, even_table
 from coralvale.cluster.rate_limit.tenant import MOST_LENT
-from coralvale.cluster.rate_limit.usage import KEPT_FOR, MOST, FleetUsage
+from coralvale.cluster.rate_limit.usage import KEPT_FOR, MAX_GATEWAYS, FleetUsage
 
 OWN = Admitted(Source.OWN)
 CELLS_OF_RULE = CellSizes.of(RULE)
@@ -160,7 +160,7 @@
     def free(self: RateLimiter, now: float, sender: str, number: int, name: str, *terms: float) -> None:
         self.borrowing.actions.append(GrantTokens(sender, number, name, int(terms[-1]), 0.0))
 
-    monkeypatch.setattr(RateLimiter, "asked", free)
+    monkeypatch.setattr(RateLimiter, "handle_ask", free)
     assert any(play(seed, "none", (12, 24)).worst > 1 for seed in range(4))
 
 
@@ -291,8 +291,8 @@
     cells = Quota.of(CELLS_OF_RULE, 60.0, 60.0).cells
     a, b = RateLimiter(RULE, "a"), RateLimiter(RULE, "b")
     for limiter, other in ((a, "b"), (b, "a")):
-        limiter.holding.take(0.0, 0.0, table)
-        limiter.usage.hear(100.0, other, {})
+        limiter.holding.apply_answer(0.0, 0.0, table)
+        limiter.usage.record_peer(100.0, other, {})
     now = 100.0
     while a.request(now, "t", 60.0, 60.0) == OWN:
         pass  # all that it owns
@@ -301,21 +301,21 @@
     assert a.request(now, "t", 60.0, 60.0, "r", 0.1) == Waiting()
     ask = asked_of(a)
     assert ask.to == "b" and ask.count == 1
-    b.asked(now, "a", ask.number, "t", 60.0, 60.0, ask.count)
+    b.handle_ask(now, "a", ask.number, "t", 60.0, 60.0, ask.count)
     (grant,) = b.take_actions()
     assert isinstance(grant, GrantTokens) and grant.count == 1
-    a.granted(now + 0.01, "c", grant.number, "t", 1, 0.0)  # another's answer is passed over
+    a.handle_grant(now + 0.01, "c", grant.number, "t", 1, 0.0)  # another's answer is passed over
     assert a.take_actions() == []
-    a.granted(now + 0.01, "b", grant.number, "t", 1, 0.0)
+    a.handle_grant(now + 0.01, "b", grant.number, "t", 1, 0.0)
     assert a.take_actions() == [Decided("r", Admitted(Source.GRANTED))]
-    a.granted(now + 0.01, "b", grant.number, "t", 1, 0.0)  # it comes twice
+    a.handle_grant(now + 0.01, "b", grant.number, "t", 1, 0.0)  # it comes twice
     assert a.take_actions() == [] and not a.tenants["t"].stock.granted[0].count
 
 
 def test_what_is_granted_too_late_or_not_needed_goes_back_once() -> None:
     a, b = alone(), RateLimiter(RULE, "b")
-    b.holding.take(0.0, 0.0, even_table(["alone"]))
-    b.usage.hear(100.0, "alone", {})
+    b.holding.apply_answer(0.0, 0.0, even_table(["alone"]))
+    b.usage.record_peer(100.0, "alone", {})
     now = 100.0
     assert b.request(now, "t", 60.0, 60.0, "r", 0.02) == Waiting()
     ask = asked_of(b)
@@ -323,30 +323,30 @@
     assert [x for x in b.take_actions() if isinstance(x, Decided)] == [
         Decided("r", Refused(borrowing.SILENT))
     ]
-    a.asked(now, "b", ask.number, "t", 60.0, 60.0, 1)
+    a.handle_ask(now, "b", ask.number, "t", 60.0, 60.0, 1)
     tokens = a.tenants["t"].escrow.tokens
-    b.granted(now + 0.05, "alone", ask.number, "t", 1, 0.0)
+    b.handle_grant(now + 0.05, "alone", ask.number, "t", 1, 0.0)
     assert b.take_actions() == [ReturnTokens("alone", ask.number, "t", 1)]
     for _ in range(2):
-        a.returned(now + 0.06, "b", ask.number, "t", 1)
+        a.handle_return(now + 0.06, "b", ask.number, "t", 1)
     assert a.tenants["t"].escrow.tokens == tokens + 1
-    a.returned(now + 0.06, "b", ask.number + 1, "t", 50)  # what was never granted
+    a.handle_return(now + 0.06, "b", ask.number + 1, "t", 50)  # what was never granted
     assert a.tenants["t"].escrow.tokens == tokens + 1
 
 
 def test_a_lender_that_is_silent_or_empty_is_passed_over() -> None:
     limiter = RateLimiter(RULE, "me")
-    limiter.holding.take(0.0, 0.0, even_table(["x", "y"]))
+    limiter.holding.apply_answer(0.0, 0.0, even_table(["x", "y"]))
     now = 100.0
     assert isinstance(limiter.request(now, "t", 60.0, 60.0, "r", 0.1), Refused)  # no words of any: cut off
     for name in "xy":
-        limiter.usage.hear(now, name, {})
+        limiter.usage.record_peer(now, name, {})
     assert limiter.request(now, "t", 60.0, 60.0, "r", 0.2) == Waiting()
     first = asked_of(limiter)
     limiter.expire(now + limiter.borrowing.timeout())
     second = asked_of(limiter)
     assert {first.to, second.to} == {"x", "y"}
-    limiter.granted(now + 0.1, second.to, second.number, "t", 0, 0.5)
+    limiter.handle_grant(now + 0.1, second.to, second.number, "t", 0, 0.5)
     assert limiter.take_actions() == [Decided("r", Refused(0.5))]
     assert isinstance(limiter.request(now + 0.1, "t", 60.0, 60.0, "r", 0.2), Refused)
     assert not limiter.take_actions()
@@ -382,7 +382,7 @@
 def test_a_process_that_starts_owns_nothing_until_it_is_told_and_begins_empty() -> None:
     limiter = RateLimiter(RULE, "a")
     assert isinstance(limiter.request(100.0, "t", 60.0, 60.0), Refused)
-    limiter.holding.take(100.0, 99.9, even_table(["a"]))
+    limiter.holding.apply_answer(100.0, 99.9, even_table(["a"]))
     assert isinstance(limiter.request(100.0, "t", 60.0, 60.0), Refused)
     assert limiter.request(100.5, "t", 60.0, 60.0) == OWN
     let = sum(limiter.request(100.5, "t", 60.0, 60.0) == OWN for _ in range(100))
@@ -391,14 +391,14 @@
 
 def test_what_is_owned_ends_with_its_lease_and_with_the_process() -> None:
     limiter = RateLimiter(RULE, "a")
-    limiter.holding.take(10.0, 9.0, even_table(["a"]))
+    limiter.holding.apply_answer(10.0, 9.0, even_table(["a"]))
     assert limiter.request(9.0 + LEASE - 0.1, "t", 60.0, 60.0) == OWN
     assert isinstance(limiter.request(9.0 + LEASE, "t", 60.0, 60.0), Refused)
-    limiter.asked(9.0 + LEASE, "b", 1, "t", 60.0, 60.0, 5)
+    limiter.handle_ask(9.0 + LEASE, "b", 1, "t", 60.0, 60.0, 5)
     assert limiter.take_actions() == [GrantTokens("b", 1, "t", 0, limits.BUSY)]
-    limiter.holding.take(9.0 + LEASE, 9.0 + LEASE, None)  # a claim was answered: nothing is new
+    limiter.holding.apply_answer(9.0 + LEASE, 9.0 + LEASE, None)  # a claim was answered: nothing is new
     assert limiter.request(10.0 + LEASE, "t", 60.0, 60.0) == OWN
-    limiter.holding.give_up()
+    limiter.holding.release_all()
     assert isinstance(limiter.request(10.0 + LEASE, "t", 60.0, 60.0), Refused)
 
 
@@ -406,8 +406,8 @@
     limiter = RateLimiter(RULE, "a")
     newer = even_table(["b"])
     newer.version = 7
-    limiter.holding.take(1.0, 1.0, newer)
-    assert not limiter.holding.take(2.0, 2.0, even_table(["a"]))
+    limiter.holding.apply_answer(1.0, 1.0, newer)
+    assert not limiter.holding.apply_answer(2.0, 2.0, even_table(["a"]))
     assert not limiter.holding.owns_any()
 
 
@@ -421,7 +421,7 @@
         owned = 0.0
         for name in names:
             limiter = RateLimiter(RULE, name)
-            limiter.holding.take(0.0, 0.0, table)
+            limiter.holding.apply_answer(0.0, 0.0, table)
             rate = chance.choice(terms)
             limiter.request(100.0, tenant, rate, rate)
             owned += limiter.tenants[tenant].size.capacity(RULE.window)
@@ -456,7 +456,7 @@
     sizes = []
     for name in "abc":
         limiter = RateLimiter(RULE, name)
-        limiter.holding.take(0.0, 0.0, table)
+        limiter.holding.apply_answer(0.0, 0.0, table)
         limiter.request(100.0, "t", 5.0, 5.0)
         limiter.request(101.0, "t", 500.0, 500.0)
         sizes.append(limiter.tenants["t"].size)
@@ -467,8 +467,8 @@
 def test_a_table_that_takes_a_part_away_binds_requests_that_wait() -> None:
     """A part that was let go is another's by the next claim: no request may be served from it."""
     limiter = RateLimiter(RULE, "a")
-    limiter.holding.take(0.0, 0.0, even_table(["a"]))
-    limiter.usage.hear(100.0, "b", {})
+    limiter.holding.apply_answer(0.0, 0.0, even_table(["a"]))
+    limiter.usage.record_peer(100.0, "b", {})
     while limiter.request(100.0, "t", 60.0, 600.0) == OWN:
         pass
     newer = even_table(["b"])
@@ -478,7 +478,7 @@
     tenant.bucket.fill, tenant.lenders = 0.0, ["b"]
     assert limiter.request(100.0, "t", 60.0, 600.0, "r", 1.0) == Waiting()
     limiter.take_actions()
-    limiter.holding.take(100.0, 100.0, newer)
+    limiter.holding.apply_answer(100.0, 100.0, newer)
     limiter.expire(100.9)  # its own tokens have come back meanwhile
     assert not [a for a in limiter.take_actions() if isinstance(a, Decided)]
 
@@ -490,7 +490,7 @@
         f"g{n}" for n in range(40) if f"g{n}" not in {table.owners[cell_at("t", r)] for r in range(4)}
     )
     limiter = RateLimiter(RULE, other)
-    limiter.holding.take(0.0, 0.0, table)
+    limiter.holding.apply_answer(0.0, 0.0, table)
     for rate in (2000.0, 5.0, 2000.0):
         while limiter.request(100.0, "t", rate, rate) == OWN:
             pass
@@ -513,25 +513,25 @@
 
 def test_what_others_can_grow_is_bounded() -> None:
     usage = FleetUsage(5.0)
-    for n in range(MOST + 50):
-        usage.hear(0.0, f"a{n}", {})
-        usage.know(0.0, f"b{n}")
-    assert len(usage.others) == MOST
+    for n in range(MAX_GATEWAYS + 50):
+        usage.record_peer(0.0, f"a{n}", {})
+        usage.peer_joined(0.0, f"b{n}")
+    assert len(usage.peers) == MAX_GATEWAYS
     for n in range(10_000):  # one after another: those that are gone make room
-        usage.hear(100.0 + n, f"c{n}", {"t": (1, 1)})
-        usage.forget_old(100.0 + n)
-    assert usage.in_reach(100.0 + n, f"c{n}") and len(usage.others) <= KEPT_FOR + 1
+        usage.record_peer(100.0 + n, f"c{n}", {"t": (1, 1)})
+        usage.drop_stale(100.0 + n)
+    assert usage.is_reachable(100.0 + n, f"c{n}") and len(usage.peers) <= KEPT_FOR + 1
     limiter = alone()
     for n in range(2 * MOST_LENT):
-        limiter.asked(100.0 + n, "b", n, "t", 60.0, 60.0, 1)
+        limiter.handle_ask(100.0 + n, "b", n, "t", 60.0, 60.0, 1)
     assert len(limiter.tenants["t"].lent) == MOST_LENT
     other = RateLimiter(RULE, "me")
-    other.holding.take(0.0, 0.0, even_table(["x"]))
-    other.usage.hear(100.0, "x", {})
+    other.holding.apply_answer(0.0, 0.0, even_table(["x"]))
+    other.usage.record_peer(100.0, "x", {})
     verdicts = [other.request(100.0, "t", 600.0, 600.0, n, 1.0) for n in range(2 * MOST_WAITING)]
     assert sum(v == Waiting() for v in verdicts) == MOST_WAITING
     for n in range(3 * MOST_LATE):
-        other.usage.hear(101.0 + 3 * n, "x", {})
+        other.usage.record_peer(101.0 + 3 * n, "x", {})
         other.request(101.0 + 3 * n, "t", 600.0, 600.0, n, 0.1)
         other.expire(102.0 + 3 * n)
     assert len(other.tenants["t"].late) <= MOST_LATE and not other.borrowing.asking
@@ -540,45 +540,47 @@
 def test_one_that_is_met_is_told_all_with_the_next_word() -> None:
     limiter = alone()
     assert limiter.request(0.0, "t", 100.0, 100.0) == OWN
-    assert limiter.told(0.1)[1] and not limiter.told(0.6)[1] and not limiter.told(1.1)[1]
-    limiter.usage.know(1.2, "new")
-    assert limiter.told(1.6) == ({"t": (1, 0)}, True)
+    assert (
+        limiter.usage_report(0.1)[1] and not limiter.usage_report(0.6)[1] and not limiter.usage_report(1.1)[1]
+    )
+    limiter.usage.peer_joined(1.2, "new")
+    assert limiter.usage_report(1.6) == ({"t": (1, 0)}, True)
 
 
 def test_a_silent_gateway_counts_until_it_says_that_it_left() -> None:
     usage = FleetUsage(5.0)
-    usage.know(0.0, "a")
-    usage.know(0.0, "b")
-    assert not usage.heard_all()
-    assert usage.count(10.0) == 3 and not usage.in_reach(10.0, "a")
-    usage.left("a")
-    assert usage.count(10.0) == 2
-    assert usage.count(KEPT_FOR) == 1
+    usage.peer_joined(0.0, "a")
+    usage.peer_joined(0.0, "b")
+    assert not usage.has_heard_all()
+    assert usage.gateway_count(10.0) == 3 and not usage.is_reachable(10.0, "a")
+    usage.peer_left("a")
+    assert usage.gateway_count(10.0) == 2
+    assert usage.gateway_count(KEPT_FOR) == 1
 
 
 def test_metered_use_of_others_follows_their_newest_words() -> None:
     usage = FleetUsage(5.0)
-    usage.hear(0.0, "a", {"t": (70, 9)})
-    usage.hear(0.5, "b", {"t": (5, 1)})
-    usage.hear(0.5, "a", {"t": (80, 9)}, False)
+    usage.record_peer(0.0, "a", {"t": (70, 9)})
+    usage.record_peer(0.5, "b", {"t": (5, 1)})
+    usage.record_peer(0.5, "a", {"t": (80, 9)}, False)
     assert (usage.elsewhere("t").window, usage.elsewhere("t").newest) == (85, 10)
-    usage.hear(1.0, "a", {}, True)  # whole: it tells of nobody
+    usage.record_peer(1.0, "a", {}, True)  # whole: it tells of nobody
     assert usage.elsewhere("t").window == 5
-    usage.forget_old(5.6)
+    usage.drop_stale(5.6)
     assert usage.elsewhere("t").window == 0 and not usage.sums
 
 
 def test_the_leak_rate_follows_metered_use_and_rises_by_a_bound() -> None:
     limiter = alone()
     for n in range(3):
-        limiter.usage.know(0.0, f"o{n}")
+        limiter.usage.peer_joined(0.0, f"o{n}")
     limiter.step(0.0)
     rates = []
     for n in range(1, 13):
         for _ in range(20):
             limiter.request(n / 2 - 0.01, "t", 100.0, 100.0)
         for other in range(3):
-            limiter.usage.hear(n / 2 - 0.01, f"o{other}", {"t": (20, 2)})
+            limiter.usage.record_peer(n / 2 - 0.01, f"o{other}", {"t": (20, 2)})
         limiter.step(n / 2)
         rates.append(limiter.tenants["t"].bucket.rate)
     assert rates[0] >= 25.0  # the quota split over four
--- a/tests/cluster/test_zone_reports.py
+++ b/tests/cluster/test_zone_reports.py
@@ -18,9 +18,9 @@
 from coralvale.cluster.rate_limit.usage import PERIOD, FleetUsage
 from coralvale.cluster.registry.register import Row
 from coralvale.cluster.reports import model
-from coralvale.cluster.reports.model import BELOW, FROM, Head, OutSum, UseSum, by_reports
-from coralvale.cluster.reports.speaker import HEARD, Speaker
-from coralvale.cluster.reports.sums import sum_out, sum_use
+from coralvale.cluster.reports.model import BELOW, FROM, InFlightSum, ReportHead, UsageSum, uses_zone_reports
+from coralvale.cluster.reports.speaker import GATEWAY_TIMEOUT_S, ZoneReporter
+from coralvale.cluster.reports.sums import sum_in_flight, sum_usage
 from coralvale.cluster.reports.zones import STALE, ZoneReports
 from coralvale.cluster.routing.copies import mark
 from coralvale.cluster.server.messages import Word, encode, pack_health, pack_out, pack_use
@@ -41,15 +41,15 @@
     def __init__(self, fleet: Fleet, number: int) -> None:
         self.fleet, self.zone, self.address = fleet, number % ZONES, f"10.0.{number % ZONES}.{number}"
         self.up, self.frozen, self.cut = True, False, False
-        self.speaker, self.zones, self.usage = Speaker(self.address), ZoneReports(), FleetUsage(WINDOW)
+        self.speaker, self.zones, self.usage = ZoneReporter(self.address), ZoneReports(), FleetUsage(WINDOW)
         self.serial = 0
         self.reports = 0
         self.heard_at: dict[int, list[float]] = {zone: [] for zone in range(ZONES)}
 
     def here(self) -> list[str]:
-        now, others = self.fleet.env.now, self.usage.others
+        now, others = self.fleet.env.now, self.usage.peers
         near = [ip for ip, one in self.fleet.all.items() if one.zone == self.zone and ip in others]
-        return [*(ip for ip in near if now - others[ip].heard <= HEARD), self.address]
+        return [*(ip for ip in near if now - others[ip].heard_at <= GATEWAY_TIMEOUT_S), self.address]
 
     def words(self) -> Event:
         yield self.fleet.env.timeout(self.fleet.chance.random() * PERIOD)
@@ -61,7 +61,7 @@
             yield self.fleet.env.timeout(PERIOD)
 
     def word(self, address: str) -> None:
-        self.usage.hear(self.fleet.env.now, address, {TENANT: (10, 1)})
+        self.usage.record_peer(self.fleet.env.now, address, {TENANT: (10, 1)})
 
     def speak(self) -> Event:
         yield self.fleet.env.timeout(self.fleet.chance.random() * LOOK)
@@ -72,15 +72,15 @@
 
     def turn(self) -> None:
         now, here = self.fleet.env.now, self.here()
-        self.usage.forget_old(now)
-        order = self.speaker.order(here, ())
+        self.usage.drop_stale(now)
+        order = self.speaker.candidates(here, ())
         if now < self.speaker.due(order):
             return
-        self.speaker.reports(now, len(here))
+        self.speaker.start_report(now, len(here))
         self.serial, self.reports = self.serial + 1, self.reports + 1
-        uses = [self.usage.others[ip].use for ip in here if ip != self.address]
-        use = sum_use([{TENANT: (10, 1)}, *uses])
-        head = Head(self.zone, self.address, len(here), self.serial)
+        uses = [self.usage.peers[ip].use for ip in here if ip != self.address]
+        use = sum_usage([{TENANT: (10, 1)}, *uses])
+        head = ReportHead(self.zone, self.address, len(here), self.serial)
         for zone in range(ZONES):
             if zone != self.zone:
                 at = self.fleet.chance.choice([o for o in self.fleet.all.values() if o.zone == zone and o.up])
@@ -90,21 +90,21 @@
                 other = self.fleet.all[ip]
                 self.fleet.send(self, other, NEAR_DELAY, other.own_zone, head)
 
-    def own_zone(self, head: Head) -> None:
-        self.speaker.heard(self.fleet.env.now, head.gateways)
+    def own_zone(self, head: ReportHead) -> None:
+        self.speaker.other_reported(self.fleet.env.now, head.gateways)
 
-    def take(self, head: Head, use: dict[str, tuple[int, int]], here: list[str], first: bool) -> None:
+    def take(self, head: ReportHead, use: dict[str, tuple[int, int]], here: list[str], first: bool) -> None:
         now = self.fleet.env.now
-        if not self.zones.takes(now, head, UseSum):
+        if not self.zones.accepts(now, head, UsageSum):
             return
         if first:
             for other in self.fleet.all.values():
                 if other.zone == self.zone and other is not self:
                     self.fleet.send(self, other, NEAR_DELAY, other.take, head, use, here, False)
         self.heard_at[head.zone].append(now)
-        self.zones.present(head.zone, here)
-        self.usage.hear_zone(now, head.zone, use)
-        self.usage.present(now, here)
+        self.zones.set_members(head.zone, here)
+        self.usage.record_zone(now, head.zone, use)
+        self.usage.mark_present(now, here)
 
 
 class Fleet:
@@ -214,47 +214,49 @@
 
 def test_a_gateway_in_a_report_is_not_counted_by_its_own_words() -> None:
     usage, zones = FleetUsage(WINDOW), ZoneReports()
-    usage.hear(0.0, "a", {TENANT: (9, 3)})
+    usage.record_peer(0.0, "a", {TENANT: (9, 3)})
     assert usage.elsewhere(TENANT).newest == 3
-    assert zones.takes(0.1, Head(1, "b", 2, 1), UseSum)
-    zones.present(1, ["a", "b"])
-    usage.hear_zone(0.1, 1, {TENANT: (20, 7)})
-    usage.present(0.1, ["a", "b"])
-    assert usage.elsewhere(TENANT).newest == 7 and usage.in_reach(0.2, "a") and usage.heard_all()
+    assert zones.accepts(0.1, ReportHead(1, "b", 2, 1), UsageSum)
+    zones.set_members(1, ["a", "b"])
+    usage.record_zone(0.1, 1, {TENANT: (20, 7)})
+    usage.mark_present(0.1, ["a", "b"])
+    assert usage.elsewhere(TENANT).newest == 7 and usage.is_reachable(0.2, "a") and usage.has_heard_all()
     assert zones.covers(0.2, "a") and not zones.covers(0.2, "c") and not zones.covers(3.0, "a")
-    usage.forget_old(0.2 + WINDOW)
+    usage.drop_stale(0.2 + WINDOW)
     assert usage.elsewhere(TENANT).newest == 0
 
 
 def test_a_report_older_than_a_leave_does_not_bring_it_back_and_membership_does() -> None:
     usage = FleetUsage(WINDOW)
-    usage.present(0.0, ["a"])
-    usage.left("a")
-    usage.present(0.1, ["a"])
-    assert not usage.in_reach(0.2, "a") and usage.count(0.2) == 1 and usage.heard_all()
-    usage.know(1.0, "a")
-    usage.present(1.1, ["a"])
-    assert usage.in_reach(1.2, "a") and usage.count(1.2) == 2
+    usage.mark_present(0.0, ["a"])
+    usage.peer_left("a")
+    usage.mark_present(0.1, ["a"])
+    assert not usage.is_reachable(0.2, "a") and usage.gateway_count(0.2) == 1 and usage.has_heard_all()
+    usage.peer_joined(1.0, "a")
+    usage.mark_present(1.1, ["a"])
+    assert usage.is_reachable(1.2, "a") and usage.gateway_count(1.2) == 2
 
 
 def test_a_report_counts_once_and_the_fuller_one_first() -> None:
     zones = ZoneReports()
-    assert zones.takes(0.0, Head(1, "a", 5, 1), UseSum) and not zones.takes(0.0, Head(1, "a", 5, 1), UseSum)
-    assert zones.takes(0.0, Head(1, "a", 5, 1), OutSum)
-    assert not zones.takes(0.1, Head(1, "b", 4, 1), UseSum)
-    assert zones.takes(0.1, Head(1, "b", 5, 2), UseSum)
-    assert zones.takes(0.1 + STALE, Head(1, "c", 1, 3), UseSum)
-    assert zones.silent(0.1 + STALE, 10.0) == [] and zones.silent(60.0, 10.0) == [1]
+    assert zones.accepts(0.0, ReportHead(1, "a", 5, 1), UsageSum) and not zones.accepts(
+        0.0, ReportHead(1, "a", 5, 1), UsageSum
+    )
+    assert zones.accepts(0.0, ReportHead(1, "a", 5, 1), InFlightSum)
+    assert not zones.accepts(0.1, ReportHead(1, "b", 4, 1), UsageSum)
+    assert zones.accepts(0.1, ReportHead(1, "b", 5, 2), UsageSum)
+    assert zones.accepts(0.1 + STALE, ReportHead(1, "c", 1, 3), UsageSum)
+    assert zones.drop_silent(0.1 + STALE, 10.0) == [] and zones.drop_silent(60.0, 10.0) == [1]
 
 
 def test_zones_report_from_a_size_on_and_not_to_and_fro() -> None:
-    assert not by_reports(FROM - 1, False) and by_reports(FROM, False)
-    assert by_reports(BELOW, True) and not by_reports(BELOW - 1, True)
+    assert not uses_zone_reports(FROM - 1, False) and uses_zone_reports(FROM, False)
+    assert uses_zone_reports(BELOW, True) and not uses_zone_reports(BELOW - 1, True)
 
 
 def test_sums_are_of_what_each_told() -> None:
-    assert sum_use([{"a": (3, 1)}, {"a": (4, 0), "b": (1, 1)}]) == {"a": (7, 1), "b": (1, 1)}
-    assert sum_out([[(1, 2), (2, 1)], [(2, 4)]]) == [(2, 5), (1, 2)]
+    assert sum_usage([{"a": (3, 1)}, {"a": (4, 0), "b": (1, 1)}]) == {"a": (7, 1), "b": (1, 1)}
+    assert sum_in_flight([[(1, 2), (2, 1)], [(2, 4)]]) == [(2, 5), (1, 2)]
 
 
 def test_evidence_by_zones_leads_to_the_verdict_of_the_same_words() -> None:
@@ -312,7 +314,7 @@
         for ip, one in fleet.all.items():
             usage, silent = one.limiter.usage, [at for at in one.membership.talks.values() if at < fleet.now]
             assert len(one.membership.talks) == MANY - 1 and not silent
-            assert usage.heard_all() and usage.in_reach(fleet.now, last if ip != last else first)
+            assert usage.has_heard_all() and usage.is_reachable(fleet.now, last if ip != last else first)
             # Its own zone's others by words; the other zone without what its speaker has let through itself.
             assert usage.elsewhere(TENANT).newest == 2 * near + 2 * near
             copy = one.copies.marks[mark("i-1")]
