--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -1,10 +1,11 @@
-"""Slopes of what a gateway and the leader hold and do, without sockets, each by the real code at two sizes.
+"""How memory and time of a gateway and the leader grow, by the real code at two sizes, without sockets.
 
     python benchmarks/capacity.py [--quick]
 
-A tenant, a host, a route, a change by name, news for a gateway; the table of shares by the number of gateways; a
-request by a token here and by a granted one. The thing to beat stands in the same run: the smaller size, and the
-token here. Ends with one JSON line. How a whole fleet grows is the bench's to say (docs/CAPACITY.md).
+Covers a tenant, a host, a route, a change by name, and an update for a gateway; the share table by the number
+of gateways; a request with a local token and with a granted one. The baselines are in the same run: the
+smaller size, and the local token. Ends with one JSON line. The bench measures how a whole fleet grows
+(docs/CAPACITY.md).
 """
 
 from __future__ import annotations
@@ -51,7 +52,7 @@
 
 
 def traced(make: Callable[[int], object], count: int) -> int:
-    """Bytes that Python allocates for it, in a process of its own."""
+    """Bytes that Python allocates for `count` items; runs in a process of its own."""
     tracemalloc.start()
     made = make(count)
     found = tracemalloc.get_traced_memory()[0]
@@ -60,7 +61,7 @@
 
 
 def slope(make: Callable[[int], object], small: int, large: int) -> float:
-    """Bytes that one more costs."""
+    """Bytes per additional item."""
     with mp.Pool(1, maxtasksperchild=1) as pool:
         few, many = pool.apply(traced, (make, small)), pool.apply(traced, (make, large))
     return float(many - few) / (large - small)
@@ -100,7 +101,7 @@
 
 
 def change_ms(routes: int, rounds: int) -> dict[str, float]:
-    """A change by name, the snapshot, and news, where there are so many routes."""
+    """Cost of a change by name, of the snapshot, and of an update, with so many routes."""
     history = ChangeHistory()
     assert history.deliver(pack(Change(0, True, json.dumps(configuration(routes, 100)).encode())))
     begun = time.process_time()
@@ -124,7 +125,7 @@
 
 
 def shares_of(gateways: int, rounds: int) -> dict[str, float]:
-    """The table of shares in a fleet of so many: its bytes, the leader's look at it, its reading."""
+    """The share table of a fleet of so many gateways: its size, and the time to plan and to read it."""
     table = even_table([f"10.{n // 250}.{n % 250}.1" for n in range(gateways)])
     planner = SharePlanner(table, 0.0)
     for owner in set(table.owners):
@@ -148,8 +149,7 @@
 
 
 def tokens_us(rounds: int) -> dict[str, float]:
-    """A request with a token here, one by a token of another owner (ask, grant and decision at both), one that is
-    refused with nobody to ask; and an ask and its grant as datagrams."""
+    """Microseconds per request with a local token, and with another owner's token (ask, grant, decision)."""
     owner, other = RateLimiter(Rule(5.0, 0.1, 20.0), "a"), RateLimiter(Rule(5.0, 0.1, 20.0), "b")
     for limiter in (owner, other):
         limiter.holding.apply_answer(0.0, 0.0, even_table(["a"]))
@@ -193,9 +193,11 @@
 
 
 def main() -> int:
-    asked = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    asked.add_argument("--quick", action="store_true", help="smaller sizes, fewer rounds")
-    quick = asked.parse_args().quick
+    parser = argparse.ArgumentParser(
+        description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
+    )
+    parser.add_argument("--quick", action="store_true", help="smaller sizes, fewer rounds")
+    quick = parser.parse_args().quick
     shares = [
         shares_of(count, 20 if quick else 100) for count in ((96, 2300) if quick else (12, 96, 300, 2300))
     ]
--- a/benchmarks/large_fleet.py
+++ b/benchmarks/large_fleet.py
@@ -1,11 +1,11 @@
-"""What gateways spend on what they tell each other, by the real code and without sockets.
+"""Measures what gateways spend on gossip between them, with the real code and without sockets.
 
     python benchmarks/large_fleet.py [--quick] [--gateways 96,200,300] [--zones 5]
 
-All gateways of a fleet live in one process; their datagrams are carried by hand, period after period. Each fleet
-is played twice: with words to all (the thing to beat) and with reports of zones. Processor time is what the
-gateways spent in taking datagrams and in sending their own, in milliseconds for a gateway and second. Ends with
-one JSON line.
+All gateways of a fleet run in one process, which delivers their datagrams period by period. Each fleet runs
+twice: with gossip messages to all (the baseline) and with zone reports. Processor time is what the gateways
+spent on receiving datagrams and sending their own, in milliseconds per gateway and second. Ends with one JSON
+line.
 """
 
 from __future__ import annotations
@@ -33,29 +33,35 @@
 from coralvale.standins.cluster import settings
 
 HOSTS, TENANTS = 276, 140
-ACTIVE = 4  # tenants, and copies, that a gateway has to tell of in a word
-OUTS = {False: 4, True: 2}  # words of what is out, a period, by whether zones report
-STEPS = 8  # of a period
+ACTIVE = 4  # tenants, and copies, that a gateway reports in a message
+# Messages about attempts in flight per period, by whether zones report.
+OUT_MESSAGES = {False: 4, True: 2}
+STEPS = 8  # per period
 PERIODS = 6
 
 
 class Fleet:
     def __init__(self, gateways: int, zones: int, reports: bool) -> None:
-        self.now, self.chance, self.zones, self.outs_told = 100.0, random.Random(1), zones, OUTS[reports]
-        self.spent: Counter[str] = Counter()
+        self.now, self.rng, self.zones, self.out_messages = (
+            100.0,
+            random.Random(1),
+            zones,
+            OUT_MESSAGES[reports],
+        )
+        self.cpu_seconds: Counter[str] = Counter()
         self.sent: Counter[str] = Counter()
-        self.got: Counter[str] = Counter()
-        self.abroad = 0
+        self.received: Counter[str] = Counter()
+        self.cross_zone_bytes = 0
         self.waiting: deque[tuple[str, str, bytes]] = deque()
         self.ips = [f"10.0.{n // 250}.{n % 250 + 1}" for n in range(gateways)]
         self.zone = {ip: n % zones for n, ip in enumerate(self.ips)}
-        self.all = {ip: self._made(n, reports) for n, ip in enumerate(self.ips)}
+        self.all = {ip: self._make_gateway(n, reports) for n, ip in enumerate(self.ips)}
         self.carriers = self.ips[:zones]
         for one in self.all.values():
             for ip in self.carriers:
                 one.gossip.carriers.hear(self.now, ip, True)
 
-    def _made(self, number: int, reports: bool) -> GatewayNode:
+    def _make_gateway(self, number: int, reports: bool) -> GatewayNode:
         text = settings(number, self.ips, 3, Path("/nowhere"), False)
         text = text.replace(f'Az: "zone-{number % 2}"', f'Az: "zone-{number % self.zones}"')
         names = ", ".join(f'zone-{n}: "home"' for n in range(self.zones))
@@ -90,8 +96,8 @@
             def sendto(self, data: bytes, at: tuple[str, int]) -> None:
                 size = len(data) + HEADS
                 fleet.sent[ip] += size
-                fleet.got[at[0]] += size
-                fleet.abroad += size * (fleet.zone[ip] != fleet.zone[at[0]])
+                fleet.received[at[0]] += size
+                fleet.cross_zone_bytes += size * (fleet.zone[ip] != fleet.zone[at[0]])
                 fleet.waiting.append((ip, at[0], data))
 
         return Udp()
@@ -99,7 +105,7 @@
     def timed(self, ip: str, work: Any, *arguments: Any) -> None:  # noqa: ANN401
         begun = time.process_time()
         work(*arguments)
-        self.spent[ip] += time.process_time() - begun  # type: ignore[assignment]
+        self.cpu_seconds[ip] += time.process_time() - begun  # type: ignore[assignment]
 
     def deliver(self) -> None:
         while True:
@@ -114,33 +120,30 @@
                 return
 
     def period(self) -> None:
-        """One word and some words of what is out of each, spread over a period, and what follows of them."""
-        order = self.chance.sample(self.ips, len(self.ips))
-        beats = self.chance.sample(range(HOSTS), int(HOSTS * PERIOD / 1.5))
+        """Sends and delivers one gossip message and some in-flight messages of each gateway in a period."""
+        order = self.rng.sample(self.ips, len(self.ips))
+        beats = self.rng.sample(range(HOSTS), int(HOSTS * PERIOD / 1.5))
         for step in range(STEPS):
             self.now += PERIOD / STEPS
             for ip in order[step::STEPS]:
-                self.timed(ip, self.word, ip, beats)
-            every = STEPS // self.outs_told
+                self.timed(ip, self.send_gossip, ip, beats)
+            every = STEPS // self.out_messages
             for ip in order[step % every :: every]:
-                self.timed(ip, self.all[ip].gossip.tell_all, OUT, pack_out(self.outs()))
+                self.timed(ip, self.all[ip].gossip.tell_all, OUT, pack_out(self.in_flight_rows()))
             for ip, one in self.all.items():
                 self.timed(ip, one.gossip.reports.turn, self.now)
             self.deliver()
 
-    def outs(self) -> list[tuple[int, int]]:
+    def in_flight_rows(self) -> list[tuple[int, int]]:
         marks = list(self.all[self.ips[0]].copies.marks) or [1]
-        return [(self.chance.choice(marks), 1) for _ in range(ACTIVE)]
+        return [(self.rng.choice(marks), 1) for _ in range(ACTIVE)]
 
-    def word(self, ip: str, beats: list[int]) -> None:
+    def send_gossip(self, ip: str, beats: list[int]) -> None:
         one, number = self.all[ip], self.ips.index(ip)
-        use = {
-            f"tenant-{self.chance.randrange(TENANTS)}": (self.chance.randrange(1, 9), 1)
-            for _ in range(ACTIVE)
-        }
+        use = {f"tenant-{self.rng.randrange(TENANTS)}": (self.rng.randrange(1, 9), 1) for _ in range(ACTIVE)}
         mine = [(f"i-{n:08x}", int(self.now * 1000)) for n in beats[number :: len(self.ips)]]
         one.gossip.reports.note_beats(mine)
-        out = None if one.membership.by_reports else pack_out(self.outs())
+        out = None if one.membership.by_reports else pack_out(self.in_flight_rows())
         carries = ip in self.carriers
         word = Word(1, one.register.digest, 1, self.ips[0], (), pack_use(use), False, mine, b"", out, carries)
         one.gossip.tell_all(WORD, encode(word))
@@ -148,15 +151,15 @@
 
 def measured(gateways: int, zones: int, reports: bool, periods: int) -> dict[str, float]:
     if reports:
-        model.FROM, model.BELOW = 1, 1
+        model.REPORTS_FROM, model.REPORTS_BELOW = 1, 1
     else:
-        model.FROM = model.BELOW = 1 << 30
+        model.REPORTS_FROM = model.REPORTS_BELOW = 1 << 30
     fleet = Fleet(gateways, zones, reports)
     for _ in range(2):
         fleet.period()
-    for counter in (fleet.spent, fleet.sent, fleet.got):
+    for counter in (fleet.cpu_seconds, fleet.sent, fleet.received):
         counter.clear()
-    fleet.abroad = 0
+    fleet.cross_zone_bytes = 0
     for _ in range(periods):
         fleet.period()
     seconds = periods * PERIOD
@@ -166,12 +169,12 @@
         return sum(of[ip] for ip in ips) / len(ips) / seconds
 
     return {
-        "plain, ms": round(1000 * mean(fleet.spent, plain), 2),
-        "carrier, ms": round(1000 * mean(fleet.spent, fleet.carriers), 2),
-        "plain gets, kB": round(mean(fleet.got, plain) / 1000, 1),
+        "plain, ms": round(1000 * mean(fleet.cpu_seconds, plain), 2),
+        "carrier, ms": round(1000 * mean(fleet.cpu_seconds, fleet.carriers), 2),
+        "plain gets, kB": round(mean(fleet.received, plain) / 1000, 1),
         "plain sends, kB": round(mean(fleet.sent, plain) / 1000, 1),
         "carrier sends, kB": round(mean(fleet.sent, fleet.carriers) / 1000, 1),
-        "between zones, kB": round(fleet.abroad / seconds / 1000, 1),
+        "between zones, kB": round(fleet.cross_zone_bytes / seconds / 1000, 1),
     }
 
 
--- a/coralvale/cluster/rate_limit/__init__.py
+++ b/coralvale/cluster/rate_limit/__init__.py
@@ -1,1 +1,1 @@
-"""The metering of tenants among gateways, and what it feeds to the restrictor."""
+"""Distributed rate limiting of tenants: token shares, usage reports and leak rates."""
--- a/coralvale/cluster/rate_limit/actions.py
+++ b/coralvale/cluster/rate_limit/actions.py
@@ -1,4 +1,4 @@
-"""What the rate limiter says of a request, and what it has to send to other gateways."""
+"""Verdicts of the rate limiter on requests, and messages that it has to send to other gateways."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @unique
 class Source(Enum):
-    """Where the token of a request came from."""
+    """Where the token of an admitted request came from."""
 
     OWN = "own part"
     GRANTED = "granted by another"
@@ -18,7 +18,7 @@
 
 @frozen
 class Admitted:
-    """`at`: when the token was taken, to give it back by."""
+    """The request may proceed. `taken_at`: when the token was taken (s), needed to refund it."""
 
     source: Source
     taken_at: float = field(default=0.0, eq=False)
@@ -26,14 +26,14 @@
 
 @frozen
 class Refused:
-    """`wait`: s after which the client may come back."""
+    """The request is refused. `retry_after`: seconds after which the client may retry."""
 
     retry_after: float
 
 
 @frozen
 class Waiting:
-    """A token is being asked for: a `Decided` follows."""
+    """The request waits for a token from another gateway; a `Decided` action follows."""
 
 
 Verdict = Admitted | Refused | Waiting
@@ -41,7 +41,7 @@
 
 @frozen
 class Decided:
-    """What becomes of a request that waited, by the ticket that it was entered with."""
+    """Verdict on a request that waited. `ticket`: the one that was passed with the request."""
 
     ticket: object
     verdict: Admitted | Refused
@@ -49,7 +49,7 @@
 
 @frozen
 class AskTokens:
-    """To be sent to another owner."""
+    """Ask for tokens, to be sent to another owner of the tenant's quota."""
 
     to: str
     number: int
@@ -59,7 +59,7 @@
 
 @frozen
 class GrantTokens:
-    """The answer to an ask. `wait`: s for which it is of no use to ask again, where fewer are granted."""
+    """Answer to an ask. `retry_after`: s for which asking again is of no use, if fewer were granted."""
 
     to: str
     number: int
@@ -70,7 +70,7 @@
 
 @frozen
 class ReturnTokens:
-    """Granted tokens that were not used and never will be. `number`: of the ask that they were granted for."""
+    """Granted tokens that will not be used. `number`: of the ask that they were granted for."""
 
     to: str
     number: int
--- a/coralvale/cluster/rate_limit/borrowing.py
+++ b/coralvale/cluster/rate_limit/borrowing.py
@@ -1,4 +1,4 @@
-"""Tokens of other owners: requests that wait for them, whom to ask, and how long for an answer."""
+"""Borrowing tokens from other gateways: waiting requests, choice of the lender, and timeouts."""
 
 from __future__ import annotations
 
@@ -13,24 +13,29 @@
     Refused,
     ReturnTokens,
 )
-from coralvale.cluster.rate_limit.quota import GRANT_LIFE
+from coralvale.cluster.rate_limit.quota import GRANT_LIFETIME_S
 from coralvale.cluster.rate_limit.tenant import Ask, Tenant, Waiter
 from coralvale.cluster.rate_limit.usage import FleetUsage
 
-MOST_ASKED = 64  # tokens asked for at once
-MOST_WAITING = 64  # requests of a tenant that wait for tokens
-MOST_LATE = 8  # asks of a tenant that were given up and may still be answered
-AHEAD = 0.1  # s of what is asked for here, that is asked for beside those that wait
-LEAST_TIMEOUT, MOST_TIMEOUT = 0.015, 0.05  # s that a lender has to answer until another is asked as well
-ROUND_TRIPS = 2.0  # usual round trips that it has
-FIRST_ROUND_TRIP = 0.01  # s, taken for usual until there was one
-LEARNING = 0.2  # weight of the newest round trip
-SILENT = 1.0  # s for which a lender that did not answer is not asked
-MOST_PAUSE = 2.0  # s for which one that had too few is not asked, at most
+MAX_TOKENS_PER_ASK = 64
+MAX_WAITING_REQUESTS = 64  # per tenant
+MAX_LATE_ASKS = 8  # per tenant: asks that timed out and may still be answered
+PREFETCH_S = 0.1  # an ask covers the waiting requests and the demand of this time
+# Bounds of the timeout of an ask, after which another lender is asked as well.
+MIN_TIMEOUT_S, MAX_TIMEOUT_S = 0.015, 0.05
+TIMEOUT_ROUND_TRIPS = 2.0  # timeout in smoothed round trips
+INITIAL_ROUND_TRIP_S = 0.01  # estimate before the first answer
+ROUND_TRIP_WEIGHT = 0.2  # weight of the newest round trip in the estimate
+SILENT_BACKOFF_S = 1.0  # a lender that did not answer is not asked for this time
+MAX_BACKOFF_S = 2.0  # upper bound of the time for which a lender that had too few tokens is not asked
 
 
 class Borrowing:
-    """`take` gives a token that is here, if there is one; `refuse` the answer to a request that gets none."""
+    """Asks other gateways for tokens, one ask per tenant at a time, and decides requests that wait for them.
+
+    `take` takes a token that is available locally, if there is one; `refuse` makes the answer to a request
+    that gets none. What is to be sent and decided is appended to `actions`.
+    """
 
     def __init__(
         self,
@@ -40,18 +45,18 @@
         refuse: Callable[[float, Tenant], Refused],
     ) -> None:
         self.usage, self.number, self.take, self.refuse = usage, first_number, take, refuse
-        self.same_zone: frozenset[str] = frozenset()  # addresses in this zone: asked first
-        self.round_trip = FIRST_ROUND_TRIP
-        self.asking: dict[str, Tenant] = {}
+        self.same_zone: frozenset[str] = frozenset()  # gateways in this zone, preferred as lenders
+        self.round_trip = INITIAL_ROUND_TRIP_S
+        self.pending: dict[str, Tenant] = {}
         self.actions: list[Action] = []
 
-    def wait(self, now: float, tenant: Tenant, ticket: object, patience: float) -> bool:
-        """A request waits for a token for up to `patience` s; False where there is nobody to ask."""
-        if patience <= 0 or len(tenant.waiting) >= MOST_WAITING:
+    def wait(self, now: float, tenant: Tenant, ticket: object, max_wait: float) -> bool:
+        """Queues a request for up to `max_wait` s. False if the queue is full or there is no lender."""
+        if max_wait <= 0 or len(tenant.waiting) >= MAX_WAITING_REQUESTS:
             return False
         if tenant.ask is None and self._lender(now, tenant) is None:
             return False
-        tenant.waiting.append(Waiter(ticket, now + patience))
+        tenant.waiting.append(Waiter(ticket, now + max_wait))
         self._ask(now, tenant)
         return True
 
@@ -61,46 +66,46 @@
         return tenant.lender(now, self.number, near) or tenant.lender(now, self.number, reachable)
 
     def _ask(self, now: float, tenant: Tenant) -> None:
-        """Asks the next lender for what the waiting need; where there is none they are refused."""
+        """Asks the next lender for the waiting requests; refuses them all if there is no lender."""
         if tenant.ask is not None or not tenant.waiting:
             return
         lender = self._lender(now, tenant)
         if lender is None:
             while tenant.waiting:
-                self._give_up(now, tenant)
+                self._refuse_oldest(now, tenant)
             return
         self.number = (self.number + 1) & 0xFFFFFFFF
-        count = min(MOST_ASKED, len(tenant.waiting) + int(tenant.demand * AHEAD))
+        count = min(MAX_TOKENS_PER_ASK, len(tenant.waiting) + int(tenant.demand * PREFETCH_S))
         tenant.ask = Ask(self.number, lender, count, now)
-        self.asking[tenant.name] = tenant
+        self.pending[tenant.name] = tenant
         self.actions.append(AskTokens(lender, self.number, tenant.name, count))
 
-    def _give_up(self, now: float, tenant: Tenant) -> None:
-        """Refuses the one that has waited longest."""
+    def _refuse_oldest(self, now: float, tenant: Tenant) -> None:
+        """Refuses the request that has waited longest."""
         ticket = tenant.waiting.popleft().ticket
         self.actions.append(Decided(ticket, self.refuse(now, tenant)))
 
     def granted(self, now: float, tenant: Tenant, sender: str, number: int, count: int, wait: float) -> None:
-        """The answer to an ask. What was not asked for, comes twice, or is from another, is passed over."""
-        ask = tenant.ask if tenant.ask and tenant.ask.number == number else tenant.late.pop(number, None)
+        """Handles the answer to an ask; ignores unknown numbers, duplicates and answers of another sender."""
+        ask = tenant.ask if tenant.ask and tenant.ask.number == number else tenant.late_asks.pop(number, None)
         if ask is None or ask.to != sender:
             return
         if ask is tenant.ask:
             tenant.ask = None
-            self._learn(now, ask)
+            self._update_round_trip(now, ask)
         if count < ask.count:
-            tenant.quiet[sender] = now + min(MOST_PAUSE, max(0.0, wait))
+            tenant.backoff_until[sender] = now + min(MAX_BACKOFF_S, max(0.0, wait))
         else:
-            tenant.quiet.pop(sender, None)
-        if now < ask.sent_at + GRANT_LIFE:
-            self._use(now, tenant, ask, min(count, ask.count))
+            tenant.backoff_until.pop(sender, None)
+        if now < ask.sent_at + GRANT_LIFETIME_S:
+            self._use_grant(now, tenant, ask, min(count, ask.count))
         self._ask(now, tenant)
-        self._rest(tenant)
+        self._forget_if_idle(tenant)
 
-    def _use(self, now: float, tenant: Tenant, ask: Ask, count: int) -> None:
-        """Serves those that wait; of what is left is kept what will be asked for before it ends."""
-        kept = min(count, len(tenant.waiting) + int(tenant.demand * GRANT_LIFE))
-        tenant.stock.add(ask.sent_at + GRANT_LIFE, kept)
+    def _use_grant(self, now: float, tenant: Tenant, ask: Ask, count: int) -> None:
+        """Serves waiting requests, keeps what the demand uses before the grant expires, returns the rest."""
+        kept = min(count, len(tenant.waiting) + int(tenant.demand * GRANT_LIFETIME_S))
+        tenant.grant_pool.add(ask.sent_at + GRANT_LIFETIME_S, kept)
         if count > kept:
             self.actions.append(ReturnTokens(ask.to, ask.number, tenant.name, count - kept))
         self._serve(now, tenant)
@@ -109,23 +114,23 @@
         while tenant.waiting and (admitted := self.take(now, tenant)) is not None:
             self.actions.append(Decided(tenant.waiting.popleft().ticket, admitted))
 
-    def _rest(self, tenant: Tenant) -> None:
+    def _forget_if_idle(self, tenant: Tenant) -> None:
         if tenant.ask is None and not tenant.waiting:
-            self.asking.pop(tenant.name, None)
+            self.pending.pop(tenant.name, None)
 
-    # Time
+    # Timeouts
 
     def timeout(self) -> float:
-        """Seconds that a lender has to answer."""
-        return min(MOST_TIMEOUT, max(LEAST_TIMEOUT, ROUND_TRIPS * self.round_trip))
+        """Seconds after which an unanswered ask times out."""
+        return min(MAX_TIMEOUT_S, max(MIN_TIMEOUT_S, TIMEOUT_ROUND_TRIPS * self.round_trip))
 
-    def _learn(self, now: float, ask: Ask) -> None:
-        self.round_trip += LEARNING * (now - ask.sent_at - self.round_trip)
+    def _update_round_trip(self, now: float, ask: Ask) -> None:
+        self.round_trip += ROUND_TRIP_WEIGHT * (now - ask.sent_at - self.round_trip)
 
     def due(self) -> float:
-        """When `expire` has something to do; inf while nothing is awaited."""
+        """Time of the next timeout, for `expire`; inf if nothing is pending."""
         moments = [math.inf]
-        for tenant in self.asking.values():
+        for tenant in self.pending.values():
             if tenant.ask:
                 moments.append(tenant.ask.sent_at + self.timeout())
             if tenant.waiting:
@@ -133,21 +138,21 @@
         return min(moments)
 
     def expire(self, now: float) -> None:
-        """Lenders that did not answer are passed over, and requests that waited long enough are refused."""
-        for tenant in list(self.asking.values()):
+        """Gives up asks that timed out and refuses requests whose maximum wait is over."""
+        for tenant in list(self.pending.values()):
             if tenant.ask and now >= tenant.ask.sent_at + self.timeout():
-                self._pass_over(now, tenant, tenant.ask)
+                self._abandon_ask(now, tenant, tenant.ask)
             self._serve(now, tenant)
             while tenant.waiting and now >= tenant.waiting[0].until:
-                self._give_up(now, tenant)
+                self._refuse_oldest(now, tenant)
             self._ask(now, tenant)
-            self._rest(tenant)
+            self._forget_if_idle(tenant)
 
-    def _pass_over(self, now: float, tenant: Tenant, ask: Ask) -> None:
-        """It may still answer: what it grants then is of use until it ends."""
+    def _abandon_ask(self, now: float, tenant: Tenant, ask: Ask) -> None:
+        """Gives up an ask that timed out. A late answer is still used until its tokens expire."""
         tenant.ask = None
-        tenant.quiet[ask.to] = now + SILENT
-        self._learn(now, ask)
-        tenant.late[ask.number] = ask
-        while len(tenant.late) > MOST_LATE:
-            del tenant.late[next(iter(tenant.late))]
+        tenant.backoff_until[ask.to] = now + SILENT_BACKOFF_S
+        self._update_round_trip(now, ask)
+        tenant.late_asks[ask.number] = ask
+        while len(tenant.late_asks) > MAX_LATE_ASKS:
+            del tenant.late_asks[next(iter(tenant.late_asks))]
--- a/coralvale/cluster/rate_limit/escrow.py
+++ b/coralvale/cluster/rate_limit/escrow.py
@@ -1,11 +1,12 @@
-"""The part of one tenant's quota that this gateway owns: a token bucket that begins empty.
+"""The share of one tenant's quota that this gateway owns, as a token bucket that starts empty.
 
-Nothing here depends on what other gateways say: whatever is late, lost or cut off, the sum of what all such
-buckets let through stays within the quota's rule (`quota`). A process that starts knows nothing of what the one
-before it let through, so its bucket begins empty, and fills as the one before it did.
+The bucket does not depend on messages from other gateways: when messages are late or lost or the network is
+partitioned, the sum of what all such buckets admit stays within the quota's rule (`quota`). A new process
+does not know what the previous one admitted, so its bucket starts empty and fills at the same rate.
 
-A token that was taken out may be put back for `GRANT_LIFE`. For as long it keeps its place in the bucket, which
-fills up to its depth less those; so a token that comes back is never one more than the depth holds.
+A token that was taken may be put back for `GRANT_LIFETIME_S`. During that time its room in the bucket stays
+reserved: the bucket fills only up to its depth less the reserved room, so that returned tokens never exceed
+the depth.
 """
 
 from __future__ import annotations
@@ -14,103 +15,107 @@
 
 from attrs import define
 
-from coralvale.cluster.rate_limit.quota import GRANT_LIFE, BucketSize
+from coralvale.cluster.rate_limit.quota import GRANT_LIFETIME_S, BucketSize
 
 
 @define
-class Taken:
-    """Tokens taken out at a moment."""
+class Withdrawal:
+    """Tokens taken out at one time; `count` is what has not been put back."""
 
     at: float
     count: int
 
 
 class Escrow:
-    def __init__(self, now: float, since: float, allowed: bool = False) -> None:
-        """`since`: since when what is owned here has been owned here, by this process. `allowed`: it begins with
-        the quota's allowance."""
-        self.at, self.allowed = min(now, since), allowed
-        self.depth = self.fill = self.tokens = 0.0
-        self.recent: deque[Taken] = deque()
-        self.places = 0  # of the recent
-        self.begun = False
-
-    def settle(self, now: float, size: BucketSize) -> None:
-        """The quota, or what of it is owned here, is another from now on. Less of it takes tokens along, more of
-        it brings none."""
-        if self.begun:
+    """Token bucket of the locally owned share of one tenant's quota."""
+
+    def __init__(self, now: float, since: float, with_allowance: bool = False) -> None:
+        """`since`: when this process came to own the share, from which the bucket fills.
+
+        `with_allowance`: the bucket starts with the quota's allowance instead of empty.
+        """
+        self.refilled_at, self.with_allowance = min(now, since), with_allowance
+        self.depth = self.fill_rate = self.tokens = 0.0
+        self.recent_withdrawals: deque[Withdrawal] = deque()
+        self.reserved = 0  # tokens withdrawn recently that may still be put back
+        self.started = False
+
+    def resize(self, now: float, size: BucketSize) -> None:
+        """Applies a new size of the share. A smaller depth scales the tokens down; a larger one adds none."""
+        if self.started:
             self._refill(now)
-        elif self.allowed:
+        elif self.with_allowance:
             self.tokens = size.allowance
-        self.begun = True
+        self.started = True
         if size.depth < self.depth:
             self.tokens *= size.depth / self.depth
-        self.depth, self.fill = size.depth, size.fill
+        self.depth, self.fill_rate = size.depth, size.fill_rate
 
     def _refill(self, now: float) -> None:
-        while self.recent and now - self.recent[0].at > GRANT_LIFE:
-            self.places -= self.recent.popleft().count
-        if now > self.at:
-            most = max(self.tokens, self.depth - self.places)
-            self.tokens = min(most, self.tokens + self.fill * (now - self.at))
-            self.at = now
+        while self.recent_withdrawals and now - self.recent_withdrawals[0].at > GRANT_LIFETIME_S:
+            self.reserved -= self.recent_withdrawals.popleft().count
+        if now > self.refilled_at:
+            most = max(self.tokens, self.depth - self.reserved)
+            self.tokens = min(most, self.tokens + self.fill_rate * (now - self.refilled_at))
+            self.refilled_at = now
 
     def available(self, now: float) -> float:
+        """Tokens in the bucket now, fractions included."""
         self._refill(now)
         return self.tokens
 
     def take(self, now: float, most: int) -> int:
-        """Takes up to `most` whole tokens out, to be used here or granted to another; how many."""
+        """Takes up to `most` whole tokens, for local use or a grant. Returns how many."""
         self._refill(now)
         taken = min(most, int(self.tokens))
         if taken:
             self.tokens -= taken
-            self.places += taken
-            self.recent.append(Taken(now, taken))
+            self.reserved += taken
+            self.recent_withdrawals.append(Withdrawal(now, taken))
         return taken
 
     def put_back(self, now: float, taken_at: float, count: int) -> None:
-        """Tokens that were taken out at a moment and not used; those of too long ago count as used."""
+        """Puts back unused tokens taken at `taken_at`. After `GRANT_LIFETIME_S` they count as used."""
         self._refill(now)
-        for taken in self.recent:
+        for taken in self.recent_withdrawals:
             if taken.at == taken_at:
                 count = min(count, taken.count)
                 taken.count -= count
-                self.places -= count
+                self.reserved -= count
                 self.tokens += count
                 return
 
     def wait(self) -> float:
-        """Seconds until a whole token is there, from the last refill on; inf where none ever is."""
-        if self.depth < 1 or not self.fill:
+        """Seconds from the last refill until a whole token is available; inf if there never will be one."""
+        if self.depth < 1 or not self.fill_rate:
             return float("inf")
-        return max(0.0, (1 - self.tokens) / self.fill)
+        return max(0.0, (1 - self.tokens) / self.fill_rate)
 
 
 @define
-class Granted:
-    """Tokens that another gateway granted, until they end."""
+class Grant:
+    """Tokens that another gateway granted, which expire at `until`."""
 
     until: float
     count: int
 
 
-class Stock:
-    """Granted tokens that nobody has used yet; those that end first go first."""
+class GrantPool:
+    """Unused granted tokens; those that expire first are used first."""
 
     def __init__(self) -> None:
-        self.granted: deque[Granted] = deque()
+        self.grants: deque[Grant] = deque()
 
     def add(self, until: float, count: int) -> None:
         if count > 0:
-            self.granted.append(Granted(until, count))
+            self.grants.append(Grant(until, count))
 
     def take(self, now: float) -> bool:
-        """Uses one; whether there was one."""
-        while self.granted:
-            first = self.granted[0]
+        """Uses one token that has not expired. False if there is none."""
+        while self.grants:
+            first = self.grants[0]
             if first.until <= now or not first.count:
-                self.granted.popleft()
+                self.grants.popleft()
                 continue
             first.count -= 1
             return True
--- a/coralvale/cluster/rate_limit/holding.py
+++ b/coralvale/cluster/rate_limit/holding.py
@@ -1,4 +1,4 @@
-"""What one gateway owns of the tenants' quotas, by the newest table of shares that it was told."""
+"""What one gateway owns of the tenants' quotas, according to the newest share table that it received."""
 
 from __future__ import annotations
 
@@ -7,69 +7,77 @@
 from attrs import frozen
 
 from coralvale.cluster.rate_limit.quota import cell_at
-from coralvale.cluster.rate_limit.shares import CELLS, LEASE, NOBODY, ShareTable, even_table
+from coralvale.cluster.rate_limit.shares import CELLS, LEASE_S, NO_OWNER, ShareTable, even_table
 
 
 @frozen
 class FleetShare:
-    """What a gateway owns of whatever is divided by the table. `share`: of all cells, 0 to 1; `since`: s, since
-    when its process has owned it."""
+    """A gateway's share of anything that is divided by the share table.
+
+    `share`: fraction of all cells, 0 to 1; `since`: time (s) since when its process has owned it.
+    """
 
     share: float
     since: float
 
 
 class Holding:
-    """Owns nothing until the leader has answered a claim, and from `LEASE` after the last answer on."""
+    """The cells owned here: none before the leader answers a claim, nor after the lease has expired.
+
+    The lease ends `LEASE_S` after the last answered claim was sent.
+    """
 
     def __init__(self, address: str) -> None:
         self.address = address
         self.table = ShareTable()
-        self.lease_until = -math.inf  # end of the lease
-        self.owned_since = math.inf  # when the newest cells came to be owned here
-        self.allowed = False  # buckets begin with their allowance
-        self.owner_count = 0  # gateways that own something
-        self.usable_count = 0  # cells that are owned here and not on the move
-        self.changes = 0  # of the table, counted here: what was worked out from another is void
+        self.lease_until = -math.inf  # end of the lease, s
+        self.owned_since = math.inf  # when the newest cells were acquired, s
+        self.with_allowance = False  # new buckets start with their allowance
+        self.owner_count = 0  # gateways that own any cell
+        self.usable_count = 0  # cells owned here that are not being transferred
+        self.table_changes = 0  # counted here; values computed at another count are outdated
 
     @property
     def version(self) -> int:
         return self.table.version
 
     def apply_answer(
-        self, since: float, asked_at: float, table: ShareTable | None, allowed: bool = False
+        self, since: float, asked_at: float, table: ShareTable | None, with_allowance: bool = False
     ) -> bool:
-        """The leader's answer to a claim that was sent at `asked_at`; None: the table is the one known here.
-        `since`: since when nobody else has used what is owned by it; `allowed`: buckets may begin with their
-        allowance. Whether there is another table now."""
-        self.lease_until = max(self.lease_until, asked_at + LEASE)
+        """Applies the leader's answer to a claim sent at `asked_at` (s). Returns whether the table changed.
+
+        `table`: None if the table known here is current. `since`: time (s) since when nobody else has used
+        the cells that it assigns to this gateway. `with_allowance`: buckets may start with their allowance.
+        """
+        self.lease_until = max(self.lease_until, asked_at + LEASE_S)
         if table is None or table.version <= self.table.version:
             return False
         before = self._usable()
         self.table = table
-        self.owner_count = len(set(table.owners) - {NOBODY})
-        self.changes += 1
+        self.owner_count = len(set(table.owners) - {NO_OWNER})
+        self.table_changes += 1
         usable = self._usable()
         self.usable_count = len(usable)
         if usable - before:
-            self.owned_since, self.allowed = since, allowed
+            self.owned_since, self.with_allowance = since, with_allowance
         return True
 
     def _usable(self) -> set[int]:
         return {cell for cell, owner in enumerate(self.table.owners) if owner == self.address} - set(
-            self.table.moves
+            self.table.transfers
         )
 
     def own_all(self) -> None:
-        """Takes all for owned here since ever: a gateway that is alone, without a log, for laboratories."""
+        """Assigns all cells to this gateway, without a log or a lease; for simulations and tests."""
         self.apply_answer(0.0, math.inf, even_table([self.address]))
         self.owned_since = -math.inf
 
     def release_all(self) -> None:
-        """This process ends: it uses nothing from now on."""
+        """Stops using all cells, because this process is shutting down."""
         self.lease_until = -math.inf
 
     def is_valid(self, now: float) -> bool:
+        """Whether the lease has not expired."""
         return now < self.lease_until
 
     def share(self, now: float) -> FleetShare:
@@ -79,10 +87,10 @@
         return self.address in self.table.owners
 
     def owners(self, tenant: str, cells: int) -> dict[str, list[int]]:
-        """By gateway, which ranks it owns of a tenant's quota that has so many cells."""
+        """The ranks that each gateway owns of a tenant's quota with `cells` cells, by address."""
         found: dict[str, list[int]] = {}
         for rank in range(cells):
-            owner = self.table.usable(cell_at(tenant, rank))
-            if owner != NOBODY:
+            owner = self.table.usable_by(cell_at(tenant, rank))
+            if owner != NO_OWNER:
                 found.setdefault(owner, []).append(rank)
         return found
--- a/coralvale/cluster/rate_limit/limiter.py
+++ b/coralvale/cluster/rate_limit/limiter.py
@@ -1,14 +1,15 @@
-"""The limit of tenants at one gateway, without I/O: what is let in, and what gateways ask of each other for it.
-
-The ordinary path is the design's restrictor (NICC ND1621, `coralvale.restrictor`): a bucket for each tenant
-that is charged one a request, refuses past a threshold that no class may fill beyond the burst, and whose leak
-rate becomes, each second, what was let through times the quota over metered use, no lower than the quota split
-over the gateways and rising by a bound at most.
-
-What holds all gateways together within the quota is beside it, and rests on no reading and on no clock but
-each gateway's own: a request needs a token. Tokens come from this gateway's own part of the quota (`escrow`),
-or were granted by another owner out of its part. Parts are divided by a table that the replicated log keeps
-(`shares`). The invariant, and the arithmetic: docs/design/quotas.md.
+"""Rate limiting of tenants at one gateway, without I/O: admission, and token exchange with other gateways.
+
+Two limits apply to each request. The first is the restrictor of the design (NICC ND1621,
+`coralvale.restrictor`): a leaky bucket per tenant that is charged one unit per request and refuses above a
+threshold that no class may fill beyond the burst. Once per second its leak rate is set to what was admitted
+here times the quota over the metered use of all gateways; it is no lower than the quota divided by the number
+of gateways, and its rise per update is bounded.
+
+The second keeps all gateways together within the quota and depends on no usage report and on no clock but
+each gateway's own: a request needs a token. Tokens come from this gateway's own share of the quota (`escrow`)
+or are granted by another owner from its share. A table in the replicated log divides the shares (`shares`).
+The invariant and the arithmetic are in docs/design/quotas.md.
 """
 
 from __future__ import annotations
@@ -26,48 +27,55 @@
     Verdict,
     Waiting,
 )
-from coralvale.cluster.rate_limit.borrowing import MOST_ASKED, MOST_PAUSE, Borrowing
+from coralvale.cluster.rate_limit.borrowing import MAX_BACKOFF_S, MAX_TOKENS_PER_ASK, Borrowing
 from coralvale.cluster.rate_limit.escrow import Escrow
 from coralvale.cluster.rate_limit.holding import Holding
 from coralvale.cluster.rate_limit.quota import CellSizes, Quota, Rule
 from coralvale.cluster.rate_limit.tenant import Tally, Tenant, TenantBucket
 from coralvale.cluster.rate_limit.usage import PERIOD, FleetUsage, TenantUsage, Window
 
-WHOLE_EVERY = 4  # words of which one tells of all tenants; the others of those of whom there is news
-MET = 1.2  # s after a gateway was met, or came back, in which all words are whole: it is ready when it knows all
-IDLE = 60.0  # s without a request after which a tenant's state is forgotten
-RATED = 0.95  # s between new leak rates, less what timers go off early
-LONGEST_STEP = 2.0  # s of a period that rates are worked out from, at most
-EMPTY, BUSY = 0.25, 1.0  # s for which an empty owner is of no use; the same where it needs all for itself
-LEAST_PAUSE = 0.05  # s that a client is told to wait, at least
+FULL_REPORT_EVERY = 4  # one usage report in so many covers all tenants; the others only those that changed
+# Time after a gateway joined or came back in which all usage reports are full: it is ready when it knows all.
+FULL_REPORTS_AFTER_JOIN_S = 1.2
+IDLE_TIMEOUT_S = 60.0  # without a request; then a tenant's state is dropped
+RATE_INTERVAL_S = 0.95  # between leak rate updates: a second, less a margin for timers that fire early
+MAX_STEP_S = 2.0  # upper bound of the period from which rates are computed
+# Backoff from an owner that has no token, and from one that needs all its tokens itself.
+EMPTY_BACKOFF_S, BUSY_BACKOFF_S = 0.25, 1.0
+MIN_RETRY_AFTER_S = 0.05  # lower bound of the retry-after time given to clients
 
 
 class RateLimiter:
-    """All tenants at one gateway. Call `take_actions` after each call that may have led to some, and `expire`
-    no later than `due`."""
+    """Rate limiter for all tenants at one gateway.
 
-    def __init__(self, rule: Rule, address: str = "", chance: random.Random | None = None) -> None:
+    Call `take_actions` after each call that may have produced actions, and `expire` no later than `due`.
+    """
+
+    def __init__(self, rule: Rule, address: str = "", rng: random.Random | None = None) -> None:
         self.rule, self.cells = rule, CellSizes.of(rule)
         self.holding = Holding(address)
         self.usage = FleetUsage(rule.window)
         self.tenants: dict[str, Tenant] = {}
-        self.count = 1  # gateways that may be serving, this one too
-        self.stepped_at = self.rated = -math.inf
-        self.words = 0
-        # Numbers go on from one of this process's own: an answer to the one before it is nobody's.
-        first_number = (chance or random.Random()).getrandbits(24) << 8
-        self.borrowing = Borrowing(self.usage, first_number, self._take, self._refuse_late)
+        self.gateway_count = 1  # gateways that may be serving, including this one
+        self.stepped_at = self.rates_set_at = -math.inf
+        self.report_count = 0
+        # Random start of the ask numbers: answers to asks of the previous process match none of this one's.
+        first_number = (rng or random.Random()).getrandbits(24) << 8
+        self.borrowing = Borrowing(self.usage, first_number, self._take, self._refuse_without_token)
 
-    # The request's path
+    # Requests
 
     def request(
-        self, now: float, name: str, rate: float, burst: float, ticket: object = None, patience: float = 0.0
+        self, now: float, name: str, rate: float, burst: float, ticket: object = None, max_wait: float = 0.0
     ) -> Verdict:
-        """`patience`: s that the request may wait for a token; without it only those that are here count."""
+        """Admits or refuses a request, or queues it for up to `max_wait` s for a token of another gateway.
+
+        `rate`: requests per second, 0 or less for no limit; `burst`: requests; `ticket`: for `Decided`.
+        """
         if rate <= 0:
             return Admitted(Source.NONE)
-        tenant = self._of(now, name, rate, burst)
-        tenant.asked += 1
+        tenant = self._tenant(now, name, rate, burst)
+        tenant.requests_in_step += 1
         bucket = tenant.bucket
         bucket.seen_at = now
         bucket.drain(now)
@@ -76,30 +84,30 @@
             return self._refuse(tenant, wait)
         if admitted := self._take(now, tenant):
             return admitted
-        if self.borrowing.wait(now, tenant, ticket, patience):
+        if self.borrowing.wait(now, tenant, ticket, max_wait):
             return Waiting()
-        return self._refuse_late(now, tenant)
+        return self._refuse_without_token(now, tenant)
 
-    def _refuse_late(self, now: float, tenant: Tenant) -> Refused:
-        """There is no token, here or elsewhere."""
-        return self._refuse(tenant, self._pause(now, tenant))
+    def _refuse_without_token(self, now: float, tenant: Tenant) -> Refused:
+        """Refuses a request for which no token is available, here or from another gateway."""
+        return self._refuse(tenant, self._token_delay(now, tenant))
 
     def _refuse(self, tenant: Tenant, wait: float) -> Refused:
         tenant.tally.refused += 1
-        return Refused(min(MOST_PAUSE, max(LEAST_PAUSE, wait)))
+        return Refused(min(MAX_BACKOFF_S, max(MIN_RETRY_AFTER_S, wait)))
 
-    def _pause(self, now: float, tenant: Tenant) -> float:
-        """Seconds after which a token may be here."""
+    def _token_delay(self, now: float, tenant: Tenant) -> float:
+        """Estimated seconds until a token may be available."""
         if not self.holding.version:
-            return EMPTY
-        quiet = [until - now for until in tenant.quiet.values() if until > now]
-        return min([tenant.escrow.wait(), *quiet])
+            return EMPTY_BACKOFF_S
+        backoffs = [until - now for until in tenant.backoff_until.values() if until > now]
+        return min([tenant.escrow.wait(), *backoffs])
 
     def _take(self, now: float, tenant: Tenant) -> Admitted | None:
-        """Lets a request in by a token that is here: granted ones first, they end soon."""
-        if tenant.table != self.holding.changes:
-            self._follow_table(now, tenant)
-        if tenant.stock.take(now):
+        """Admits a request with a local token: granted ones first, because they expire soon."""
+        if tenant.table_change != self.holding.table_changes:
+            self._apply_table(now, tenant)
+        if tenant.grant_pool.take(now):
             source = Source.GRANTED
             tenant.tally.granted += 1
         elif self.holding.is_valid(now) and tenant.escrow.take(now, 1):
@@ -111,35 +119,38 @@
         return Admitted(source, now)
 
     def refund(self, now: float, name: str, admitted: Admitted) -> None:
-        """A request that was let in was sent to no host: the bucket has it back, the meter keeps to the safe
-        side. A granted token is not given back: its owner counts it as used."""
+        """Refunds an admitted request that was sent to no host.
+
+        The leaky bucket is refunded; the metered use is not reduced, which errs on the safe side. A granted
+        token is not returned: its owner counts it as used.
+        """
         if tenant := self.tenants.get(name):
             tenant.tally.given_back += 1
             tenant.bucket.refund(1.0, 1.0)
             if admitted.source is Source.OWN:
                 tenant.escrow.put_back(now, admitted.taken_at, 1)
 
-    # Terms, and what is owned
+    # Quotas and shares
 
-    def _of(self, now: float, name: str, rate: float, burst: float) -> Tenant:
+    def _tenant(self, now: float, name: str, rate: float, burst: float) -> Tenant:
         tenant = self.tenants.get(name)
         if tenant is None:
-            tenant = self._begin(now, name, rate, burst)
+            tenant = self._add_tenant(now, name, rate, burst)
         elif tenant.rate != rate or tenant.burst != burst:
             self._change_terms(now, tenant, rate, burst)
-        elif tenant.bucket.entries != self.count:
-            tenant.bucket.settle(tenant.bucket.plan, self.count)
-        if tenant.table != self.holding.changes:
-            self._follow_table(now, tenant)
+        elif tenant.bucket.entries != self.gateway_count:
+            tenant.bucket.settle(tenant.bucket.plan, self.gateway_count)
+        if tenant.table_change != self.holding.table_changes:
+            self._apply_table(now, tenant)
         return tenant
 
-    def _begin(self, now: float, name: str, rate: float, burst: float) -> Tenant:
+    def _add_tenant(self, now: float, name: str, rate: float, burst: float) -> Tenant:
         plan = api.Plan(name, rate, max(1.0, burst), excess_cost=1.0)
         tenant = self.tenants[name] = Tenant(
             name,
             rate,
             burst,
-            TenantBucket(plan, self.count, now),
+            TenantBucket(plan, self.gateway_count, now),
             Quota.of(self.cells, rate, burst),
             self._new_escrow(now),
             Window(self.rule.window, self.rule.window / 50),
@@ -147,123 +158,128 @@
         return tenant
 
     def _new_escrow(self, now: float) -> Escrow:
-        """For cells that have come to be owned here, or of a tenant that nothing is known of."""
-        return Escrow(now, self.holding.owned_since, self.holding.allowed)
+        """A bucket for newly acquired cells or for a tenant without state."""
+        return Escrow(now, self.holding.owned_since, self.holding.with_allowance)
 
     def _change_terms(self, now: float, tenant: Tenant, rate: float, burst: float) -> None:
         bucket, scale = tenant.bucket, rate / tenant.rate
         bucket.drain(now)
-        bucket.settle(api.Plan(tenant.name, rate, max(1.0, burst), excess_cost=1.0), self.count)
+        bucket.settle(api.Plan(tenant.name, rate, max(1.0, burst), excess_cost=1.0), self.gateway_count)
         bucket.rate = max(bucket.floor, min(bucket.rate * scale, rate))
         tenant.rate, tenant.burst = rate, burst
         tenant.quota = Quota.of(self.cells, rate, burst)
-        self._settle(now, tenant)
+        self._update_share(now, tenant)
+
+    def _apply_table(self, now: float, tenant: Tenant) -> None:
+        """Applies a new share table; a tenant that had no cells here gets a new bucket if it has some now.
 
-    def _follow_table(self, now: float, tenant: Tenant) -> None:
-        """Another table may have brought cells of a tenant that had none here. What new terms bring instead is
-        in the bucket that there is: under the terms before, this process may have used it."""
+        Cells gained by a change of the quota go into the existing bucket instead, because this process may
+        have used them under the previous quota.
+        """
         had_none = not tenant.size.depth
-        self._settle(now, tenant)
+        self._update_share(now, tenant)
         if had_none and tenant.size.depth:
             tenant.escrow = self._new_escrow(now)
-            tenant.escrow.settle(now, tenant.size)
+            tenant.escrow.resize(now, tenant.size)
 
-    def _settle(self, now: float, tenant: Tenant) -> None:
-        """Works out what is owned here of a tenant's quota."""
+    def _update_share(self, now: float, tenant: Tenant) -> None:
+        """Computes the locally owned share of a tenant's quota and the other owners."""
         owners = self.holding.owners(tenant.name, tenant.quota.cells)
         tenant.size = tenant.quota.bucket(owners.pop(self.holding.address, ()))
         tenant.lenders = sorted(owners)
-        tenant.escrow.settle(now, tenant.size)
-        tenant.quiet.clear()
-        tenant.table = self.holding.changes
+        tenant.escrow.resize(now, tenant.size)
+        tenant.backoff_until.clear()
+        tenant.table_change = self.holding.table_changes
 
-    # What gateways ask of each other
+    # Token exchange with other gateways
 
     def handle_ask(
         self, now: float, sender: str, number: int, name: str, rate: float, burst: float, count: int
     ) -> None:
-        """Another gateway asks for tokens out of what is owned here."""
+        """Answers another gateway's ask with tokens of the local share."""
         if rate <= 0:
             return
-        tenant = self._of(now, name, rate, burst)
+        tenant = self._tenant(now, name, rate, burst)
         tenant.bucket.seen_at = now
-        granted, wait = 0, BUSY
+        granted, wait = 0, BUSY_BACKOFF_S
         if self.holding.is_valid(now):
-            granted = tenant.escrow.take(now, min(count, MOST_ASKED))
+            granted = tenant.escrow.take(now, min(count, MAX_TOKENS_PER_ASK))
             if granted == count:
                 wait = 0.0
-            elif tenant.demand <= tenant.escrow.fill:
-                wait = max(EMPTY, tenant.escrow.wait())
+            elif tenant.demand <= tenant.escrow.fill_rate:
+                wait = max(EMPTY_BACKOFF_S, tenant.escrow.wait())
         if granted:
             tenant.tally.lent += granted
             tenant.lend(sender, number, now, granted)
-        answer = GrantTokens(sender, number, name, granted, min(MOST_PAUSE, wait))
+        answer = GrantTokens(sender, number, name, granted, min(MAX_BACKOFF_S, wait))
         self.borrowing.actions.append(answer)
 
     def handle_return(self, now: float, sender: str, number: int, name: str, count: int) -> None:
-        """Tokens granted out of what is owned here come back: once for each grant, and no more than it had."""
+        """Takes back unused tokens of a grant: once per grant, and no more than were granted."""
         if (tenant := self.tenants.get(name)) and (lent := tenant.lent.pop((sender, number), None)):
             tenant.escrow.put_back(now, lent.at, min(count, lent.count))
 
     def handle_grant(self, now: float, sender: str, number: int, name: str, count: int, wait: float) -> None:
-        """The answer to an ask of this gateway."""
+        """Handles the answer to an ask of this gateway."""
         if tenant := self.tenants.get(name):
             self.borrowing.granted(now, tenant, sender, number, count, wait)
 
     def due(self) -> float:
-        """When `expire` has something to do; inf while nothing is awaited."""
+        """Time of the next timeout, for `expire`; inf if nothing is pending."""
         return self.borrowing.due()
 
     def expire(self, now: float) -> None:
-        """Lenders that did not answer are passed over, and requests that waited long enough are refused."""
+        """Gives up asks that timed out and refuses requests whose maximum wait is over."""
         self.borrowing.expire(now)
 
     def take_actions(self) -> list[Action]:
-        """What is to be done, each once."""
+        """Returns and clears the pending actions."""
         actions, self.borrowing.actions = self.borrowing.actions, []
         return actions
 
     def take_tallies(self) -> dict[str, Tally]:
-        """Of tenants that were refused something since the last call, what became of their requests."""
+        """Returns the tallies of tenants with requests refused since the last call; resets all tallies."""
         found = {name: tenant.tally for name, tenant in self.tenants.items() if tenant.tally.refused}
         for tenant in self.tenants.values():
             tenant.tally = Tally()
         return found
 
-    # Words
+    # Usage reports and leak rates
 
     def usage_report(self, now: float) -> tuple[TenantUsage, bool]:
-        """What this gateway says of itself, to be told to all; whether it is whole, or only what has
-        changed."""
-        whole = self.words % WHOLE_EVERY == 0 or now - self.usage.met < MET
-        self.words += 1
+        """The local usage to report to all gateways, and whether it is full (else only the changes)."""
+        whole = (
+            self.report_count % FULL_REPORT_EVERY == 0
+            or now - self.usage.last_joined_at < FULL_REPORTS_AFTER_JOIN_S
+        )
+        self.report_count += 1
         use: TenantUsage = {}
         for name, tenant in self.tenants.items():
-            newest = (tenant.window.total(now), tenant.newest)
+            newest = (tenant.window.total(now), tenant.admitted_last_step)
             if newest != tenant.last_reported if not whole else newest != (0, 0):
                 use[name] = newest
             tenant.last_reported = newest
         return use, whole
 
     def step(self, now: float) -> None:
-        """Before a word is sent: new leak rates."""
-        elapsed = min(LONGEST_STEP, now - self.stepped_at) if self.stepped_at > -math.inf else PERIOD
+        """Ends a period, before a usage report is sent: updates usage and leak rates, drops idle tenants."""
+        elapsed = min(MAX_STEP_S, now - self.stepped_at) if self.stepped_at > -math.inf else PERIOD
         self.stepped_at = now
-        rates = now - self.rated >= RATED
-        self.rated = now if rates else self.rated
+        rates = now - self.rates_set_at >= RATE_INTERVAL_S
+        self.rates_set_at = now if rates else self.rates_set_at
         self.usage.drop_stale(now)
-        self.count = self.usage.gateway_count(now)
+        self.gateway_count = self.usage.gateway_count(now)
         for name, tenant in list(self.tenants.items()):
             tenant.step(elapsed, self.usage.elsewhere(name).newest)
             if rates:
-                self._rate(now, tenant)
-            idle = now - tenant.bucket.seen_at > IDLE
+                self._update_leak_rate(now, tenant)
+            idle = now - tenant.bucket.seen_at > IDLE_TIMEOUT_S
             if idle and not tenant.waiting and not tenant.window.total(now):
                 del self.tenants[name]
 
-    def _rate(self, now: float, tenant: Tenant) -> None:
-        """A new leak rate."""
+    def _update_leak_rate(self, now: float, tenant: Tenant) -> None:
+        """Sets a tenant's leak rate from the metered use."""
         bucket = tenant.bucket
         bucket.heard(now, tenant.fleet_rate / bucket.plan.rate)
-        bucket.own_late = tenant.own_rate  # as old as the reading is
+        bucket.own_late = tenant.own_rate  # of the same age as the reading
         bucket.step(now)
--- a/coralvale/cluster/rate_limit/tenant.py
+++ b/coralvale/cluster/rate_limit/tenant.py
@@ -1,4 +1,4 @@
-"""One tenant at one gateway: its restrictor, what is owned of its quota, and what is asked of other owners."""
+"""State of one tenant at one gateway: leaky bucket, owned share of the quota, and asks to other owners."""
 
 from __future__ import annotations
 
@@ -8,31 +8,31 @@
 from attrs import define, field, frozen
 
 from coralvale import interface as api
-from coralvale.cluster.rate_limit.escrow import Escrow, Stock, Taken
-from coralvale.cluster.rate_limit.quota import NOTHING, BucketSize, Quota
+from coralvale.cluster.rate_limit.escrow import Escrow, GrantPool, Withdrawal
+from coralvale.cluster.rate_limit.quota import EMPTY_BUCKET, BucketSize, Quota
 from coralvale.cluster.rate_limit.usage import PERIOD, Window
 from coralvale.restrictor import Restrictor
 
-TAIL = 1e-6
-MOST_LENT = 256  # grants that may still come back unused, of those the newest
-SMOOTH = 0.5  # weight of the newest half second in a rate
+MIN_RATE = 1e-6  # requests per second; keeps the divisor above zero
+MAX_LENT_GRANTS = 256  # newest grants per tenant whose unused tokens can be returned
+SMOOTHING_WEIGHT = 0.5  # weight of the newest period (half a second) in a smoothed rate
 
 
 class TenantBucket(Restrictor):
-    """The design's bucket (NICC ND1621), with a threshold that follows what may surely be let through here."""
+    """The leaky bucket of the design (NICC ND1621), with a threshold that follows the local tokens."""
 
     def __init__(self, plan: api.Plan, entries: int, now: float) -> None:
-        self.level = 0.0  # up to where the tokens that are there let the bucket be filled
+        self.level = 0.0  # fill level that the available tokens allow
         super().__init__(plan, entries, now, now)
 
     def threshold(self, units: float) -> float:
-        part = self.plan.burst * min(1.0, self.rate / max(self.plan.rate, TAIL))
+        part = self.plan.burst * min(1.0, self.rate / max(self.plan.rate, MIN_RATE))
         return max(units, part, min(self.plan.burst, self.level))
 
 
 @frozen
 class Waiter:
-    """A request that waits for a granted token, until a moment at the latest."""
+    """A request that waits for a granted token, at most until `until` (s)."""
 
     ticket: object
     until: float
@@ -40,7 +40,7 @@
 
 @frozen
 class Ask:
-    """Tokens asked of another owner."""
+    """An ask for tokens that was sent to another owner."""
 
     number: int
     to: str
@@ -50,65 +50,67 @@
 
 @define
 class Tally:
-    """Requests and tokens of one tenant since the last tally."""
+    """Counts of one tenant's requests and tokens since the last tally."""
 
     refused: int = 0
-    own: int = 0  # let through by this gateway's own part
-    granted: int = 0  # let through by tokens of other owners
-    given_back: int = 0  # let through and sent to no host
-    lent: int = 0  # tokens granted to others
+    own: int = 0  # admitted with tokens of this gateway's own share
+    granted: int = 0  # admitted with tokens granted by other owners
+    given_back: int = 0  # refunded: admitted, but sent to no host
+    lent: int = 0  # tokens granted to other gateways
 
 
 @define(eq=False)
 class Tenant:
+    """Rate limiting state of one tenant at this gateway. `rate`: requests per second; `burst`: requests."""
+
     name: str
     rate: float
     burst: float
     bucket: TenantBucket
     quota: Quota
     escrow: Escrow
-    window: Window  # of what was let through here
-    table: int = -1  # the holding's change that `size` and `lenders` are worked out from
-    size: BucketSize = NOTHING  # of what is owned here
-    lenders: list[str] = field(factory=list)  # other owners
-    stock: Stock = field(factory=Stock)
+    window: Window  # requests admitted here
+    table_change: int = -1  # `Holding.table_changes` that `size` and `lenders` were computed from
+    size: BucketSize = EMPTY_BUCKET  # bucket size of the share owned here
+    lenders: list[str] = field(factory=list)  # addresses of the other owners
+    grant_pool: GrantPool = field(factory=GrantPool)
     waiting: deque[Waiter] = field(factory=deque)
-    ask: Ask | None = None  # the one whose answer is awaited
-    late: dict[int, Ask] = field(factory=dict)  # those that were given up, whose answer may still be of use
-    quiet: dict[str, float] = field(factory=dict)  # until when a lender is not asked
-    lent: dict[tuple[str, int], Taken] = field(
-        factory=dict
-    )  # by to whom tokens were granted, and its ask's number
-    passed: int = 0  # let through since the last step
-    newest: int = 0  # in the period before that
-    asked: int = 0  # requests since the last step, refused ones too
-    own_rate: float = 0.0  # let through a second, smoothed
-    demand: float = 0.0  # requests a second, smoothed
-    fleet_rate: float = 0.0  # let through by all gateways a second, smoothed
+    ask: Ask | None = None  # the outstanding ask
+    late_asks: dict[int, Ask] = field(factory=dict)  # timed out, by number: a late answer may still be useful
+    backoff_until: dict[str, float] = field(factory=dict)  # by lender: not asked before this time, s
+    lent: dict[tuple[str, int], Withdrawal] = field(factory=dict)  # by borrower and the number of its ask
+    admitted_in_step: int = 0  # admitted since the last step
+    admitted_last_step: int = 0  # admitted in the period before the last step
+    requests_in_step: int = 0  # requests since the last step, including refused ones
+    own_rate: float = 0.0  # requests admitted here per second, smoothed
+    demand: float = 0.0  # requests per second, including refused ones, smoothed
+    fleet_rate: float = 0.0  # requests admitted by all gateways per second, smoothed
     last_reported: tuple[int, int] = (0, 0)
     tally: Tally = field(factory=Tally)
 
     def charge(self, now: float) -> None:
-        """A request is let through."""
+        """Counts an admitted request."""
         self.bucket.charge(1.0)
-        self.passed += 1
+        self.admitted_in_step += 1
         self.window.add(now, 1)
 
     def lend(self, to: str, number: int, now: float, count: int) -> None:
-        """Tokens were granted to another gateway."""
-        self.lent[to, number] = Taken(now, count)
-        while len(self.lent) > MOST_LENT:
+        """Records tokens granted to another gateway, so that it can return unused ones."""
+        self.lent[to, number] = Withdrawal(now, count)
+        while len(self.lent) > MAX_LENT_GRANTS:
             del self.lent[next(iter(self.lent))]
 
     def step(self, elapsed: float, newest_elsewhere: int) -> None:
-        """A period is over."""
-        self.newest, self.passed = self.passed, 0
-        asked, self.asked = self.asked, 0
-        self.own_rate += SMOOTH * (self.newest / elapsed - self.own_rate)
-        self.demand += SMOOTH * (asked / elapsed - self.demand)
-        self.fleet_rate += SMOOTH * (self.newest / elapsed + newest_elsewhere / PERIOD - self.fleet_rate)
+        """Updates the smoothed rates at the end of a period of `elapsed` s."""
+        self.admitted_last_step, self.admitted_in_step = self.admitted_in_step, 0
+        asked, self.requests_in_step = self.requests_in_step, 0
+        self.own_rate += SMOOTHING_WEIGHT * (self.admitted_last_step / elapsed - self.own_rate)
+        self.demand += SMOOTHING_WEIGHT * (asked / elapsed - self.demand)
+        self.fleet_rate += SMOOTHING_WEIGHT * (
+            self.admitted_last_step / elapsed + newest_elsewhere / PERIOD - self.fleet_rate
+        )
 
     def lender(self, now: float, turn: int, reachable: list[str]) -> str | None:
-        """Whom to ask next: those not known to be empty or silent take turns."""
-        ready = [name for name in reachable if self.quiet.get(name, -math.inf) <= now]
+        """The next lender to ask: round robin over those that are not backed off; None if there is none."""
+        ready = [name for name in reachable if self.backoff_until.get(name, -math.inf) <= now]
         return ready[turn % len(ready)] if ready else None
--- a/coralvale/cluster/rate_limit/usage.py
+++ b/coralvale/cluster/rate_limit/usage.py
@@ -1,8 +1,8 @@
-"""Metered use of tenants: what this gateway let through, and what the others tell of themselves.
+"""Metered use of tenants by all gateways, from their usage reports.
 
-Each gateway tells all others, every `PERIOD`, what it let through in the rule's window and since the word
-before, so that what is lost or comes twice does no harm. The readings feed the leak rates of the restrictors;
-no limit rests on them.
+Each gateway reports to all others, every `PERIOD` seconds, what it admitted in the rule's window and since
+its previous report, so lost or duplicate reports do no harm. The readings set the leak rates of the
+restrictors; no limit depends on them.
 """
 
 from __future__ import annotations
@@ -13,38 +13,42 @@
 
 from attrs import define, field
 
-PERIOD = 0.5  # s between words of a gateway
-NOTHING = (0, 0)  # told of a tenant: let through in the window, and since the word before
-LATE = 1.3  # s without a word after which a gateway is taken to be out of reach
-KEPT_FOR = 60.0  # s without a word after which a gateway counts as gone
-MAX_GATEWAYS = 2400  # gateways known at once, as membership has it; words of further ones are left out
+PERIOD = 0.5  # s between gossip messages of a gateway, which carry its usage report
+NO_USAGE = (0, 0)  # of a tenant: admitted in the window, and since the previous report
+REACHABLE_FOR_S = 1.3  # since the last message; after it a gateway counts as unreachable
+FORGET_AFTER_S = 60.0  # without a message, after which a gateway counts as gone
+MAX_GATEWAYS = 2400  # known at once, also to membership; reports of further ones are ignored
 
 TenantUsage = dict[
     str, tuple[int, int]
-]  # by tenant: requests let through in the window, and since the word before
+]  # by tenant: requests admitted in the window, and since the previous report
 
 
 @define
-class Other:
-    """What another gateway has said. `version`: of the configuration that it has."""
+class PeerUsage:
+    """State reported by another gateway, or by another zone.
+
+    `heard_at`: time of its newest message, s; `version`: of its configuration; `reported_all`: its full usage is
+    known, also from its zone's report; `left`: it has announced its shutdown.
+    """
 
     use: TenantUsage = field(factory=dict)
     heard_at: float = -math.inf
     version: int = 0
-    spoke: bool = False
+    reported_all: bool = False
     left: bool = False
 
 
 @define
 class Elsewhere:
-    """What all others let through of one tenant: in the window, and in their newest periods."""
+    """Requests of one tenant admitted by all other gateways: in the window, and in their newest periods."""
 
     window: int = 0
     newest: int = 0
 
 
 class Window:
-    """A running sum over the last seconds, in steps."""
+    """A sliding-window count over the last `length` seconds, in steps of `step` seconds."""
 
     def __init__(self, length: float, step: float) -> None:
         self.length, self.step = length, step
@@ -68,108 +72,110 @@
 
 
 class FleetUsage:
-    """What the other gateways tell, and which of them are there."""
+    """Usage reports of the other gateways, and which of them are reachable."""
 
     def __init__(self, window: float) -> None:
         self.window = window
-        self.peers: dict[str, Other] = {}
-        self.zones: dict[int, Other] = {}  # what the reports of other zones say, each for all its gateways
+        self.peers: dict[str, PeerUsage] = {}
+        self.zones: dict[int, PeerUsage] = {}  # by zone: sum reported for all its gateways
         self.sums: dict[str, Elsewhere] = {}
-        self.met = -math.inf  # when another gateway was met last
+        self.last_joined_at = -math.inf  # when a gateway joined or came back last, s
 
     def peer_joined(self, now: float, name: str) -> None:
-        """Another gateway is there, though it has said nothing of tenants yet."""
-        self.met = now
+        """A gateway joined or came back; it has not reported its usage yet."""
+        self.last_joined_at = now
         if other := self.peers.get(name):
-            other.left = False  # it is back
+            other.left = False  # it came back
         elif len(self.peers) < MAX_GATEWAYS:
-            self.peers[name] = Other(heard_at=now)
+            self.peers[name] = PeerUsage(heard_at=now)
 
     def peer_left(self, name: str) -> None:
-        """A gateway has said that it ends."""
+        """A gateway announced its shutdown."""
         if other := self.peers.get(name):
             other.left = True
 
     def record_peer(
         self, now: float, name: str, use: TenantUsage, whole: bool = True, version: int = 0
     ) -> None:
-        """Another gateway's word: of all tenants, or of those of whom it has something else to say."""
+        """Records a gateway's usage report. `whole`: of all its tenants, else only of those that changed."""
         other = self.peers.get(name)
         if other is None:
             if len(self.peers) >= MAX_GATEWAYS:
                 return
-            other = self.peers[name] = Other()
+            other = self.peers[name] = PeerUsage()
         if whole:
             for tenant in [t for t in other.use if t not in use]:
-                self._take(other, tenant, NOTHING)
-            other.spoke = True
-        for tenant, told in use.items():
-            self._take(other, tenant, told)
+                self._update(other, tenant, NO_USAGE)
+            other.reported_all = True
+        for tenant, reported in use.items():
+            self._update(other, tenant, reported)
         other.heard_at, other.left, other.version = now, False, version
 
     def record_zone(self, now: float, zone: int, use: TenantUsage) -> None:
-        """What all gateways of another zone let through, in place of what was told of it before."""
-        other = self.zones.setdefault(zone, Other())
+        """Records the usage of all gateways of another zone, replacing its previous report."""
+        other = self.zones.setdefault(zone, PeerUsage())
         for tenant in [t for t in other.use if t not in use]:
-            self._take(other, tenant, NOTHING)
-        for tenant, told in use.items():
-            self._take(other, tenant, told)
+            self._update(other, tenant, NO_USAGE)
+        for tenant, reported in use.items():
+            self._update(other, tenant, reported)
         other.heard_at = now
 
     def mark_present(self, now: float, names: Iterable[str]) -> None:
-        """Gateways whose use is in the report of their zone: they are there, and count by it alone. One that has
-        said that it ends stays so until membership has it back: a report may be older than its leave."""
+        """Marks gateways as reachable whose use is in their zone's report; their own reports no longer count.
+
+        One that has announced its shutdown stays so until membership reports it back, because a zone's report
+        may be older than the announcement.
+        """
         for name in names:
             other = self.peers.get(name)
             if other is None:
                 if len(self.peers) >= MAX_GATEWAYS:
                     return
-                other = self.peers[name] = Other()
+                other = self.peers[name] = PeerUsage()
             if other.left:
                 continue
-            other.heard_at, other.spoke = now, True
+            other.heard_at, other.reported_all = now, True
             if other.use:
                 self._forget_use(other)
 
-    def _forget_use(self, other: Other) -> None:
+    def _forget_use(self, other: PeerUsage) -> None:
         for tenant in list(other.use):
-            self._take(other, tenant, NOTHING)
+            self._update(other, tenant, NO_USAGE)
 
-    def _take(self, other: Other, tenant: str, told: tuple[int, int]) -> None:
-        before = other.use.get(tenant, NOTHING)
-        if told == before:
+    def _update(self, other: PeerUsage, tenant: str, reported: tuple[int, int]) -> None:
+        before = other.use.get(tenant, NO_USAGE)
+        if reported == before:
             return
         if (sums := self.sums.get(tenant)) is None:
             sums = self.sums[tenant] = Elsewhere()
-        sums.window += told[0] - before[0]
-        sums.newest += told[1] - before[1]
-        if told != NOTHING:
-            other.use[tenant] = told
+        sums.window += reported[0] - before[0]
+        sums.newest += reported[1] - before[1]
+        if reported != NO_USAGE:
+            other.use[tenant] = reported
         else:
             other.use.pop(tenant, None)
 
     def elsewhere(self, tenant: str) -> Elsewhere:
-        """What all others let through, as far as they have told it."""
+        """Requests that all other gateways admitted, as far as they have reported it."""
         return self.sums.get(tenant) or Elsewhere()
 
     def gateway_count(self, now: float) -> int:
-        """Gateways that serve, or may be serving behind a cut, this one as well."""
-        return 1 + sum(not o.left and now - o.heard_at < KEPT_FOR for o in self.peers.values())
+        """Number of gateways that serve or may be serving behind a partition, including this one."""
+        return 1 + sum(not o.left and now - o.heard_at < FORGET_AFTER_S for o in self.peers.values())
 
     def is_reachable(self, now: float, name: str) -> bool:
-        """Whether another gateway's words come."""
+        """Whether messages of another gateway arrive."""
         other = self.peers.get(name)
-        return other is not None and not other.left and now - other.heard_at < LATE
+        return other is not None and not other.left and now - other.heard_at < REACHABLE_FOR_S
 
     def has_heard_all(self) -> bool:
-        """Whether each gateway that is known of has told its use."""
-        return all(o.spoke or o.left for o in self.peers.values())
+        """Whether every known gateway has reported its use."""
+        return all(o.reported_all or o.left for o in self.peers.values())
 
     def drop_stale(self, now: float) -> None:
-        """What was told longer ago than the window is in no window any more; who has not been heard of for
-        much longer is gone, and makes room for others."""
+        """Drops usage reported longer ago than the window, and gateways silent for `FORGET_AFTER_S`."""
         for name in [
-            n for n, other in self.peers.items() if now - other.heard_at > KEPT_FOR and not other.use
+            n for n, other in self.peers.items() if now - other.heard_at > FORGET_AFTER_S and not other.use
         ]:
             del self.peers[name]
         for other in (*self.peers.values(), *self.zones.values()):
--- a/coralvale/cluster/reports/__init__.py
+++ b/coralvale/cluster/reports/__init__.py
@@ -1,1 +1,1 @@
-"""Reports of zones in a large fleet: one sum for each zone in place of a word of each gateway."""
+"""Zone reports in a large fleet: one sum per zone instead of a gossip message from each gateway."""
--- a/coralvale/cluster/reports/model.py
+++ b/coralvale/cluster/reports/model.py
@@ -1,20 +1,24 @@
-"""What a zone's speaker tells the other zones."""
+"""Messages that a zone's reporter sends to the other zones."""
 
 from __future__ import annotations
 
 import msgspec
 
-FROM, BELOW = 120, 100  # gateways from which on zones report, and below which all words go to all again
+# Fleet sizes from which zones report, and below which gossip messages go to all gateways again.
+REPORTS_FROM, REPORTS_BELOW = 120, 100
 
 
 def uses_zone_reports(gateways: int, before: bool) -> bool:
-    """Whether a fleet's zones report; `before`: whether they did until now."""
-    return gateways >= (BELOW if before else FROM)
+    """Whether the zones of a fleet of this size report. `before`: whether they do now."""
+    return gateways >= (REPORTS_BELOW if before else REPORTS_FROM)
 
 
 class ReportHead(msgspec.Struct, frozen=True, array_like=True):
-    """`by`: address of the gateway that speaks for the zone; `gateways`: those whose words the report sums;
-    `serial`: another one in each of the speaker's reports, so that one that comes twice is known."""
+    """Header of a report.
+
+    `reporter`: address of the gateway that reports for the zone; `gateways`: number of gateways that the
+    report sums; `serial`: different in each of the reporter's reports, to detect duplicates.
+    """
 
     zone: int
     reporter: str
@@ -23,13 +27,13 @@
 
 
 class Presence(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """Who is there, and the newest that any of them knows."""
+    """The gateways of the zone, and the newest state that any of them knows."""
 
     head: ReportHead
     addresses: bytes  # of the gateways, packed
-    carriers: int  # how many of them, the first ones, bring words to all in the zone
-    digest: int  # of the speaker's register of hosts
-    shares: int  # version of the table of shares
+    carriers: int  # how many of them (the first ones) relay messages to all in the zone
+    digest: int  # of the reporter's register of hosts
+    shares: int  # version of the share table
     view: int
     leader: str  # its address
     core: tuple[str, ...]
@@ -37,21 +41,21 @@
 
 
 class UsageSum(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """What the zone let through, by tenant, packed. It takes the place of the one before."""
+    """Requests that the zone admitted, by tenant, packed. Replaces the previous report."""
 
     head: ReportHead
     rows: bytes
 
 
 class InFlightSum(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """What the zone has out at copies, packed. It takes the place of the one before."""
+    """Attempts of the zone in flight at each copy, packed. Replaces the previous report."""
 
     head: ReportHead
     rows: bytes
 
 
 class HealthSum(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """What the zone has found of copies, packed. It takes the place of the one before."""
+    """Health evidence of the zone about copies, packed. Replaces the previous report."""
 
     head: ReportHead
     rows: bytes
--- a/coralvale/cluster/reports/speaker.py
+++ b/coralvale/cluster/reports/speaker.py
@@ -1,9 +1,10 @@
-"""Who speaks for a zone, and when.
+"""Selects the gateway that reports for a zone, and when it reports.
 
-Each gateway hears the words of all in its zone, so each could report their sums. The first in an order that all
-of them know alike does, each period; the next ones hear its reports and speak when none has come for longer. A
-speaker that dies, freezes or is cut off is thus replaced within two periods, whatever membership says of it. Two
-that speak at once do no harm: a report takes the place of the one before (`zones`).
+Each gateway receives the gossip messages of all gateways in its zone, so each could report their sums. The
+first in an order that they all compute alike reports each period; the next ones receive its reports and take
+over when none has arrived for longer. A reporter that dies, freezes or is partitioned is thus replaced within
+two periods, whatever membership says of it. Two concurrent reporters do no harm: a report replaces the
+previous one (`zones`).
 """
 
 from __future__ import annotations
@@ -13,41 +14,43 @@
 
 from coralvale.cluster.rate_limit.usage import PERIOD
 
-STANDBYS = 2  # gateways beside the first that hear the zone's reports, and speak in its place
-LONGER = 0.5  # periods that each of them waits longer than the one before it
-EARLIER = 0.7  # periods after which the first takes over again from one that has spoken in its place
-GATEWAY_TIMEOUT_S = 1.2  # s without a word of a gateway, after which the sums are without it
+STANDBY_COUNT = 2  # gateways after the first that receive the zone's reports and take over
+STANDBY_DELAY_PERIODS = 0.5  # additional delay of each standby
+RECLAIM_PERIODS = 0.7  # after which the first takes over again from a standby
+GATEWAY_TIMEOUT_S = 1.2  # without a message, after which a gateway is left out of the sums
 
 
 class ZoneReporter:
-    """One gateway's part in it."""
+    """One gateway's role in reporting for its zone."""
 
     def __init__(self, address: str) -> None:
         self.address = address
-        self.reported = -math.inf  # when the zone was reported last, by anyone
-        self.speaks = False  # it was by this gateway
-        self.gateways = 0  # that the report of this gateway sums
+        self.reported_at = -math.inf  # time of the zone's last report by any gateway, s
+        self.is_reporting = False  # the last report was by this gateway
+        self.gateways = 0  # number that this gateway's last report summed
 
     def candidates(self, here: Iterable[str], carriers: Iterable[str]) -> list[str]:
-        """The first ones that may speak, of the zone's gateways that were heard of; those that carry words have
-        the link for it, and go first."""
+        """The gateways that may report, in order; `here`: the reachable ones of the zone.
+
+        The carriers, which relay messages, have the bandwidth for it and go first.
+        """
         first = set(carriers)
-        return sorted(here, key=lambda ip: (ip not in first, ip))[: 1 + STANDBYS]
+        return sorted(here, key=lambda ip: (ip not in first, ip))[: 1 + STANDBY_COUNT]
 
     def other_reported(self, now: float, gateways: int) -> None:
-        """Another has reported this zone. One that hears much less of it does not speak for it."""
+        """Another gateway has reported this zone. Ignored if it sums less than half as many gateways."""
         if 2 * gateways >= self.gateways:
-            self.reported, self.speaks = now, False
+            self.reported_at, self.is_reporting = now, False
 
     def due(self, order: list[str]) -> float:
-        """When this gateway is to report; inf where others do."""
+        """Time at which this gateway has to report (s); inf if only others do."""
         if self.address not in order:
             return math.inf
-        if self.speaks:
-            return self.reported + PERIOD
+        if self.is_reporting:
+            return self.reported_at + PERIOD
         rank = order.index(self.address)
-        return self.reported + PERIOD * (1 + LONGER * rank if rank else EARLIER)
+        return self.reported_at + PERIOD * (1 + STANDBY_DELAY_PERIODS * rank if rank else RECLAIM_PERIODS)
 
     def start_report(self, now: float, gateways: int) -> None:
-        """This gateway reports now."""
-        self.reported, self.gateways, self.speaks = now, gateways, True
+        """Records that this gateway reports now."""
+        self.reported_at, self.gateways, self.is_reporting = now, gateways, True
--- a/coralvale/cluster/reports/sums.py
+++ b/coralvale/cluster/reports/sums.py
@@ -6,11 +6,11 @@
 
 from coralvale.cluster.rate_limit.usage import TenantUsage
 
-Out = Iterable[tuple[int, int]]  # what stands for a copy, and tries that a gateway has out there
+Out = Iterable[tuple[int, int]]  # mark of a copy, and attempts that a gateway has in flight there
 
 
 def sum_usage(uses: Iterable[TenantUsage]) -> TenantUsage:
-    """What several gateways let through of each tenant."""
+    """Requests that several gateways admitted, by tenant."""
     sums: TenantUsage = {}
     for use in uses:
         for tenant, (window, newest) in use.items():
@@ -20,7 +20,7 @@
 
 
 def sum_in_flight(outs: Iterable[Out]) -> list[tuple[int, int]]:
-    """What several gateways have out at each copy, the most first."""
+    """Attempts that several gateways have in flight at each copy, the largest sum first."""
     sums: dict[int, int] = {}
     for out in outs:
         for number, count in out:
--- a/coralvale/cluster/share_desk.py
+++ b/coralvale/cluster/share_desk.py
@@ -1,7 +1,7 @@
-"""Gateways' claims at the leader, without I/O: who owns which part of the tenants' quotas.
+"""Handles the gateways' claims of quota shares at the leader, without I/O.
 
-A claim is answered with the table behind a read barrier: a leader that was followed by another cannot show a
-table that is older than the claim. The table changes by entries of the log, one on its way at a time.
+A claim is answered with the share table behind a read barrier, so a leader that was replaced cannot answer
+with a table that is older than the claim. Only log entries change the table, one in flight at a time.
 """
 
 from __future__ import annotations
@@ -14,20 +14,24 @@
 from coralvale.cluster.consensus import messages as consensus
 from coralvale.cluster.consensus.replica import Replica
 from coralvale.cluster.rate_limit.share_planner import SharePlanner
-from coralvale.cluster.rate_limit.shares import RENEW, SPEND, ShareChange, ShareTable, pack_change
-
-MOST_WAITING = 4096  # claims
-STARTED = 10.0  # s after its start for which a leader takes it that others have started too
-ALLOWED_FOR = 4.0  # s for which processes that start get their allowance, once it was spent
-MAX_ANSWER_AGE_S = (
-    1.0  # s from a claim to when its answer is taken, at most: an older one brings no allowance
+from coralvale.cluster.rate_limit.shares import (
+    ALLOWANCE_RENEWED,
+    ALLOWANCE_SPENT,
+    ShareChange,
+    ShareTable,
+    pack_change,
 )
-RENEWED = 5.0  # s more than these and the rule's window, after which the allowance may be spent again
+
+MAX_WAITING_CLAIMS = 4096
+STARTUP_S = 10.0  # after its start; in this time a leader assumes that other processes have started too
+ALLOWANCE_GRANT_S = 4.0  # after spending the allowance; processes that start in this time get theirs
+MAX_ANSWER_AGE_S = 1.0  # from a claim to its answer; a later answer brings no allowance
+RENEWAL_MARGIN_S = 5.0  # beyond these and the rule's window, until the allowance may be spent again
 
 
 @frozen
 class ShareClaim:
-    """`version`: of the table that the gateway follows; `left`: its process ends, and uses nothing any more."""
+    """A gateway's claim. `version`: of the table that it follows; `left`: it shuts down and uses no cell."""
 
     token: int
     address: str
@@ -37,9 +41,12 @@
 
 @frozen
 class ShareAnswer:
-    """`settled`: False where this replica cannot answer. `table`: packed; empty where the claim's is current.
-    `age`: s, at least, for which the claimer's address has owned all that it owns now. `allowed`: its process
-    may begin with its allowance."""
+    """Answer to a claim.
+
+    `settled`: False if this replica cannot answer. `table`: snapshot; empty if the claim's version is
+    current. `age`: seconds, at least, for which the claimer's address has owned all that it owns now.
+    `allowed`: its process may start with its allowance.
+    """
 
     token: int
     settled: bool
@@ -52,7 +59,10 @@
 
 
 class ShareDesk:
-    """`settled` is to be called with each `Settled` action of the replica, `tick` now and then."""
+    """Answers share claims and proposes table changes.
+
+    Call `settled` with each `Settled` action of the replica, and `tick` periodically.
+    """
 
     def __init__(
         self,
@@ -62,110 +72,114 @@
         now: float,
         window: float,
     ) -> None:
-        """`window`: of the quotas' rule, s."""
+        """`window`: of the quotas' rule, in seconds."""
         self.replica, self.table, self.next_token = replica, table, next_token
-        self.waiting: list[ShareClaim] = []
-        self.asked: list[ShareClaim] = []  # those that the barrier on its way answers
-        self.barrier = self.proposal = 0  # tokens, 0 for none
+        self.waiting_claims: list[ShareClaim] = []
+        self.claims_in_flight: list[ShareClaim] = []  # claims that the barrier in flight will answer
+        self.barrier = self.proposal = 0  # tokens of those in flight, 0 for none
         self.planner: SharePlanner | None = None
-        self.spending = False  # a proposal to spend the allowance is on its way
-        self.founding: bool | None = None  # there was no table when this replica first led
-        self.view = 0  # of the planner
-        # What is on disk at the start was in force by then; of what comes later is known when it came.
-        self.started = self.since = now
-        self.renewed_after = window + ALLOWED_FOR + MAX_ANSWER_AGE_S + RENEWED
-        self.spent_at = now  # since when, at most, the allowance is known to be spent
-        self.allowing = -math.inf  # until when processes that start get theirs, from this leader
-        self.allowed: set[str] = set()  # addresses whose processes had it
-        self.gained: dict[str, float] = {}  # by address, when it came to own more
+        self.allowance_proposed = False  # a proposal to spend the allowance is in flight
+        self.first_start: bool | None = None  # there was no table when this replica first led; None before
+        self.planner_view = 0  # of the replica when the planner was made
+        # What is on disk at the start was in force by then; for later entries the time of delivery is known.
+        self.started_at = self.restored_at = now
+        self.renewal_delay = window + ALLOWANCE_GRANT_S + MAX_ANSWER_AGE_S + RENEWAL_MARGIN_S
+        self.spent_at = now  # latest time at which the allowance was spent
+        self.allowance_until = -math.inf  # until then processes that start get the allowance
+        self.allowance_addresses: set[str] = set()  # addresses that have received it
+        self.gained_at: dict[str, float] = {}  # by address, when it last gained cells
 
     def deliver(self, now: float, body: bytes) -> None:
-        """An entry of the log."""
+        """Applies a log entry."""
         if change := self.table.deliver(body):
-            if change.allowance == SPEND:
-                self._spent(now)
-            self._note_gains(now, change)
+            if change.allowance == ALLOWANCE_SPENT:
+                self._record_spent(now)
+            self._record_gains(now, change)
 
-    def _note_gains(self, now: float, change: ShareChange) -> None:
-        """Since when owners have owned all that they own; of those that own nothing any more it is forgotten."""
+    def _record_gains(self, now: float, change: ShareChange) -> None:
+        """Records when owners gained cells; drops addresses that own nothing any more."""
         if not change.owners:
             return
         owners = set(self.table.owners)
-        gained = self.gained | {given.address: now for given in change.owners}
-        self.gained = {address: since for address, since in gained.items() if address in owners}
+        gained = self.gained_at | {given.address: now for given in change.owners}
+        self.gained_at = {address: since for address, since in gained.items() if address in owners}
 
-    def _spent(self, now: float) -> None:
-        """By the leader that had it spent: what it gives, it gives for a while, and to each address once."""
-        self.spent_at, self.allowed = now, set()
-        self.allowing = now + ALLOWED_FOR if self.spending else -math.inf
-        self.spending = False
+    def _record_spent(self, now: float) -> None:
+        """Records that the allowance was spent; the leader that proposed it grants it for a limited time."""
+        self.spent_at, self.allowance_addresses = now, set()
+        self.allowance_until = now + ALLOWANCE_GRANT_S if self.allowance_proposed else -math.inf
+        self.allowance_proposed = False
 
     def restore(self, now: float, body: bytes) -> None:
-        """A snapshot takes the place of what was delivered."""
+        """Replaces the delivered state by a snapshot."""
         self.table.replace(ShareTable.restored(body))
-        self.since = self.spent_at = now
-        self.gained = {}
+        self.restored_at = self.spent_at = now
+        self.gained_at = {}
 
     def claim(self, now: float, claim: ShareClaim) -> Result:
-        """A gateway's claim; its answer follows, here or by `settled`."""
-        if not self._may_answer(now) or len(self.waiting) >= MOST_WAITING:
+        """Handles a gateway's claim; the answer is returned here or by `settled`."""
+        if not self._may_answer(now) or len(self.waiting_claims) >= MAX_WAITING_CLAIMS:
             return [ShareAnswer(claim.token, settled=False)]
-        self.waiting.append(claim)
-        return [*self._spend(now), *self._ask(now)]
+        self.waiting_claims.append(claim)
+        return [*self._propose_spend(now), *self._start_barrier(now)]
 
     def _may_answer(self, now: float) -> bool:
         replica = self.replica
         return replica.leading and replica.settled and replica.in_contact(now)
 
-    def _ask(self, now: float) -> Result:
-        """One barrier answers all claims that came before it; none while the allowance is being spent."""
-        if self.barrier or self.spending or not self.waiting:
+    def _start_barrier(self, now: float) -> Result:
+        """Starts one barrier for all waiting claims, but none while the allowance is being spent."""
+        if self.barrier or self.allowance_proposed or not self.waiting_claims:
             return []
-        self.asked, self.waiting = self.waiting, []
+        self.claims_in_flight, self.waiting_claims = self.waiting_claims, []
         self.barrier = self.next_token()
         return [*self.replica.barrier(now, self.barrier)]
 
     def settled(self, now: float, token: int, accepted: bool) -> Result:
-        """The replica has decided on a proposal or a barrier of this desk."""
+        """Handles the replica's decision on a proposal or a barrier."""
         if token == self.proposal:
             self.proposal = 0
-            self.spending = False
-            return self._ask(now)
+            self.allowance_proposed = False
+            return self._start_barrier(now)
         if token != self.barrier:
             return []
         self.barrier = 0
-        claims, self.asked = self.asked, []
+        claims, self.claims_in_flight = self.claims_in_flight, []
         planner = self._current_planner(now) if accepted else None
         answers: Result = [self._answer(now, claim, planner) for claim in claims]
-        return [*answers, *self._ask(now)]
+        return [*answers, *self._start_barrier(now)]
 
     def _answer(self, now: float, claim: ShareClaim, planner: SharePlanner | None) -> ShareAnswer:
         if planner is None:
             return ShareAnswer(claim.token, settled=False)
         planner.claim(now, claim.address, claim.version, claim.left)
         current = claim.version == self.table.version
-        age = now - self.gained.get(claim.address, self.since)
+        age = now - self.gained_at.get(claim.address, self.restored_at)
         image = b"" if current else self.table.image()
-        return ShareAnswer(claim.token, True, image, age, self._allows(now, claim))
-
-    def _allows(self, now: float, claim: ShareClaim) -> bool:
-        """Whether a process may begin with its allowance: one that has just started, and no other at its address
-        since it was spent."""
-        if claim.version or claim.left or now >= self.allowing or claim.address in self.allowed:
+        return ShareAnswer(claim.token, True, image, age, self._may_use_allowance(now, claim))
+
+    def _may_use_allowance(self, now: float, claim: ShareClaim) -> bool:
+        """Whether a process may use its allowance: only a new one, once per address since it was spent."""
+        if (
+            claim.version
+            or claim.left
+            or now >= self.allowance_until
+            or claim.address in self.allowance_addresses
+        ):
             return False
-        self.allowed.add(claim.address)
+        self.allowance_addresses.add(claim.address)
         return True
 
     def _current_planner(self, now: float) -> SharePlanner:
-        if self.planner is None or self.view != self.replica.view:
-            self.planner, self.view = SharePlanner(self.table, now), self.replica.view
+        if self.planner is None or self.planner_view != self.replica.view:
+            self.planner, self.planner_view = SharePlanner(self.table, now), self.replica.view
         return self.planner
 
     def tick(self, now: float) -> Result:
-        """By the leader: the next change of the table, if one is due."""
+        """Proposes the next change of the table if one is due; at the leader."""
         if not self._may_answer(now):
             return []
-        if spending := self._spend(now):
+        if spending := self._propose_spend(now):
             return spending
         return self._propose(now, self._renewal(now) or self._current_planner(now).next_change(now))
 
@@ -175,19 +189,22 @@
         self.proposal = self.next_token()
         return [*self.replica.propose(now, self.proposal, consensus.SHARES, pack_change(change))]
 
-    def _spend(self, now: float) -> Result:
-        """Spends the allowance after a leader's own start, when others have started as well: before the first
-        claim is answered. Not where the system starts for the first time."""
+    def _propose_spend(self, now: float) -> Result:
+        """Proposes to spend the allowance, before the first claim is answered.
+
+        Only for `STARTUP_S` after the leader's own start, when others have started as well, and not when the
+        system starts for the first time.
+        """
         table = self.table
-        if self.founding is None:
-            self.founding = not table.version
-        if self.founding or table.spent or self.proposal or now - self.started >= STARTED:
+        if self.first_start is None:
+            self.first_start = not table.version
+        if self.first_start or table.spent or self.proposal or now - self.started_at >= STARTUP_S:
             return []
-        self.spending = True
-        return self._propose(now, ShareChange(table.version, allowance=SPEND))
+        self.allowance_proposed = True
+        return self._propose(now, ShareChange(table.version, allowance=ALLOWANCE_SPENT))
 
     def _renewal(self, now: float) -> ShareChange | None:
         table = self.table
-        if table.spent and now - self.spent_at > self.renewed_after:
-            return ShareChange(table.version, allowance=RENEW)
+        if table.spent and now - self.spent_at > self.renewal_delay:
+            return ShareChange(table.version, allowance=ALLOWANCE_RENEWED)
         return None
--- a/tests/cluster/test_grown.py
+++ b/tests/cluster/test_grown.py
@@ -1,5 +1,5 @@
-"""The four failures that the users told of when their fleets had grown, each against scripted hosts; and what
-grows with the fleet, held to what it may."""
+"""Four failures that users reported as their fleets grew, each against scripted hosts; and upper bounds for
+what grows with the fleet."""
 
 from __future__ import annotations
 
@@ -24,20 +24,20 @@
 )
 from coralvale.standins.wire import answer
 
-DATAGRAM = 1472  # bytes that go through in one piece
+DATAGRAM = 1472  # bytes that are not fragmented
 
 
-def test_an_answer_from_the_host_that_has_a_retired_ones_address_is_nobodys() -> None:
-    """A lookup got an answer of another service, from an address that a retired host had just given up."""
+def test_answers_from_a_host_that_reuses_a_retired_hosts_address_are_discarded() -> None:
+    """A lookup received another service's answer, from the address of a host that had just been retired."""
 
     async def scene(s: Scene) -> None:
-        # The kept connection's other end, and the address, are another service's now.
+        # The kept connection and the address now belong to another service.
         first = asyncio.create_task(s.ask(READ, "r-1"))
         (await next_of(s)).reply(reply("r-1", b"schedule"))
         assert (await first).body == b"schedule"
         for n, said in enumerate((
-            answer(421, b"", X_Myrtlehatch_Served_By="i-other"),  # as PROTOCOL has it
-            answer(200, b"frames", X_Myrtlehatch_Seal="seal"),  # one that does not know the field
+            answer(421, b"", X_Myrtlehatch_Served_By="i-other"),  # as the protocol specifies
+            answer(200, b"frames", X_Myrtlehatch_Seal="seal"),  # a host that does not know the header field
             reply("r-0", b"frames"),
         )):  # fmt: skip
             asked = asyncio.create_task(s.ask(READ, f"r-2{n}"))
@@ -45,7 +45,7 @@
             assert arrived.message.headers[b"x-myrtlehatch-want-instance"].startswith(b"i-")
             arrived.reply(said)
             arrived.close()
-            other = await next_of(s)  # repeatable: another host is asked
+            other = await next_of(s)  # safe to repeat: retried at another host
             other.reply(reply(f"r-2{n}", b"schedule"))
             found = await asked
             assert (found.status, found.body) == (200, b"schedule")
@@ -53,17 +53,17 @@
             arrived = await next_of(s)
             arrived.reply(said)
             arrived.close()
-            if n:  # may have run, whoever it was: nothing is promised, and nobody else is asked
+            if n:  # may have run: no promise in the answer, no retry
                 assert (await booked).status == 502 and all(p.arrived.empty() for p in s.peers)
-            else:  # turned away: not run, and goes on
+            else:  # rejected without running: retried
                 (await next_of(s)).reply(reply(f"b-2{n}", b"booked"))
                 assert (await booked).body == b"booked"
 
     play(3, scene)
 
 
-def test_a_booking_on_a_connection_that_its_host_forgets_runs_once() -> None:
-    """A booking came back twice. Its host may have read it before the reset, however the reset comes."""
+def test_a_booking_on_a_connection_that_the_host_resets_runs_once() -> None:
+    """A booking ran twice. Its host may have read it before the reset, so it must not be sent again."""
 
     async def scene(s: Scene) -> None:
         first = asyncio.create_task(s.ask(BOOK, "r-1"))
@@ -72,11 +72,11 @@
         assert (await first).status == 200
         second = asyncio.create_task(s.ask(BOOK, "r-2"))
         arrived = await next_of(s)
-        arrived.reset()  # read, and then forgotten
+        arrived.reset()  # after the request was read
         found = await second
         assert found.status == 502 and b"retry-after" not in found.headers
         assert all(peer.arrived.empty() for peer in s.peers)
-        # One that was closed while it was idle was seen to be: the next goes out on a new one, once.
+        # A connection closed while idle is detected: the next request uses a new one, once.
         third = asyncio.create_task(s.ask(BOOK, "r-3"))
         arrived = await next_of(s)
         arrived.reply(reply("r-3"))
@@ -92,13 +92,13 @@
     play(1, scene)
 
 
-def test_a_preview_at_a_host_that_says_nothing_moves_on_in_time() -> None:
-    """A preview froze, while the health page showed every host as fine: what is asked is whether answers come."""
+def test_a_preview_at_a_silent_host_is_retried_elsewhere_in_time() -> None:
+    """A preview hung while the health page showed all hosts as healthy: missing answers must count."""
 
     async def scene(s: Scene) -> None:
         begun = asyncio.get_running_loop().time()
         asked = asyncio.create_task(s.ask(READ, "r-1", left=15_000))
-        frozen = await next_of(s)  # and never answered; its connection stands
+        frozen = await next_of(s)  # never answers; its connection stays open
         other = await next_of(s)
         assert (
             other.message.headers[b"x-myrtlehatch-want-instance"]
@@ -106,21 +106,21 @@
         )
         other.reply(reply("r-1", b"preview"))
         assert (await asked).body == b"preview"
-        assert asyncio.get_running_loop().time() - begun < 10.0  # it had 2.5 s by its route, an aim of 0.4
+        assert asyncio.get_running_loop().time() - begun < 10.0  # timeout of the route 2.5 s, target 0.4 s
 
     play(2, scene)
 
 
-def test_hosts_that_were_just_added_get_less_until_they_say_that_they_are_warm() -> None:
-    """Previews and scenes were pulled from hosts that had just been added."""
-    register, chance = Register(1.5), random.Random(2)
+def test_new_hosts_get_less_traffic_until_they_are_warm() -> None:
+    """Previews and scenes were requested from hosts that had just been added."""
+    register, rng = Register(1.5), random.Random(2)
     for n in range(8):
         warm = 8000.0 if n >= 6 else 0.0
         register.take(0.0, Row(f"i-{n}", "s", "10.0.0.1", 80 + n, "z", "v", 4, 0, warm, 1), direct=True)
-    copies = Copies(register, "z", chance)
+    copies = Copies(register, "z", rng)
 
     def shares(now: float) -> float:
-        """Of the requests that go to the two added, each out for a while."""
+        """Fraction of the requests that go to the two added hosts, each in flight for a while."""
         out: list[tuple[float, object, tuple[str, int]]] = []
         got = 0
         for n in range(2000):
@@ -131,17 +131,17 @@
             chosen = copies.pick(at, "s", 0.02, set())
             assert chosen
             chosen.out[key := (f"r-{n}", 1)] = at
-            out.append((at + 0.02 * chance.uniform(0.5, 1.5), chosen, key))
+            out.append((at + 0.02 * rng.uniform(0.5, 1.5), chosen, key))
             got += chosen.life.id in ("i-6", "i-7")
         for _, copy, key in out:
             copy.out.pop(key)  # type: ignore[attr-defined]
         return got / 2000
 
-    assert shares(1.0) < 0.125 < shares(20.0)  # an even share is a quarter
+    assert shares(1.0) < 0.125 < shares(20.0)  # an even share would be a quarter
 
 
-def test_what_a_word_holds_fits_a_datagram_however_many_gateways_tenants_and_copies() -> None:
-    """What grows with the fleet: words of a fixed size, sent to near ones and to one of each other zone."""
+def test_a_gossip_message_fits_a_datagram_for_any_fleet_size() -> None:
+    """Gossip messages have a fixed maximum size; they go to the own zone and to one gateway of each other."""
     sizes = {}
     for gateways, tenants in ((12, 8), (96, 88), (500, 160)):
         limiter = RateLimiter(Rule(5.0, 0.1, 20.0), "10.0.0.0")
@@ -152,7 +152,9 @@
             assert limiter.request(1.0, f"tenant-{n}", 60.0, 60.0) == Admitted(Source.OWN)
         use, whole = limiter.usage_report(1.0)
         assert whole
-        beats = [(f"i-{n:08x}", n) for n in range(4)]  # those heard here in half a second: not of the fleet
+        beats = [
+            (f"i-{n:08x}", n) for n in range(4)
+        ]  # those received here in half a second, not the whole fleet's
         health = pack_health([(n, 9, 3) for n in range(200)])
         word = Word(
             7,
