--- a/coralvale/cluster/rate_limit/holding.py
+++ b/coralvale/cluster/rate_limit/holding.py
@@ -39,6 +39,7 @@
 
     @property
     def version(self) -> int:
+        """Version of the table; 0 before the first one."""
         return self.table.version
 
     def apply_answer(
@@ -81,9 +82,11 @@
         return now < self.lease_until
 
     def share(self, now: float) -> FleetShare:
+        """The usable share; 0 if the lease has expired."""
         return FleetShare(self.usable_count / CELLS if self.is_valid(now) else 0.0, self.owned_since)
 
     def owns_any(self) -> bool:
+        """Whether the table assigns any cell to this gateway, whatever the lease."""
         return self.address in self.table.owners
 
     def owners(self, tenant: str, cells: int) -> dict[str, list[int]]:
--- a/coralvale/cluster/rate_limit/quota.py
+++ b/coralvale/cluster/rate_limit/quota.py
@@ -90,9 +90,8 @@
     rule: Rule
     slack: float  # tokens, divided over the cells that all quotas have
     base: int  # number of cells that all quotas have
-    full: float = CELL_DEPTH / (
-        (1 - ALLOWANCE_FRACTION) * (1 - FILL_FRACTION)
-    )  # capacity of a full cell without the slack
+    # Capacity of a full cell without the slack.
+    full: float = CELL_DEPTH / ((1 - ALLOWANCE_FRACTION) * (1 - FILL_FRACTION))
 
     @staticmethod
     def of(rule: Rule) -> CellSizes:
--- a/coralvale/cluster/rate_limit/share_planner.py
+++ b/coralvale/cluster/rate_limit/share_planner.py
@@ -20,8 +20,8 @@
     distribute,
 )
 
-NEWCOMER_DELAY_S = 1.0  # from a newcomer's first claim until newcomers get cells: a fleet starts all at once
-DEPARTED_RELEASE_S = 20.0  # until cells of an owner that is shutting down go to others: it may restart
+NEWCOMER_DELAY_S = 1.0  # from the first newcomer's claim until cells are assigned: a fleet starts all at once
+DEPARTED_RELEASE_S = 20.0  # from an owner's shutdown until its cells go to others: it may restart
 CLAIM_TIMEOUT_S = 30.0  # since its newest claim, after which a gateway is considered dead
 MAX_CLAIMS = CELLS  # gateways known at once; further ones own nothing
 PRUNE_INTERVAL_S = 1.0  # between removals of claims that are no longer needed
--- a/coralvale/cluster/rate_limit/usage.py
+++ b/coralvale/cluster/rate_limit/usage.py
@@ -13,15 +13,14 @@
 
 from attrs import define, field
 
-PERIOD = 0.5  # s between gossip messages of a gateway, which carry its usage report
+PERIOD = 0.5  # s between the gossip messages of a gateway, which carry its usage report
 NO_USAGE = (0, 0)  # of a tenant: admitted in the window, and since the previous report
 REACHABLE_FOR_S = 1.3  # since the last message; after it a gateway counts as unreachable
 FORGET_AFTER_S = 60.0  # without a message, after which a gateway counts as gone
 MAX_GATEWAYS = 2400  # known at once, also to membership; reports of further ones are ignored
 
-TenantUsage = dict[
-    str, tuple[int, int]
-]  # by tenant: requests admitted in the window, and since the previous report
+# By tenant: requests admitted in the window, and since the previous report.
+TenantUsage = dict[str, tuple[int, int]]
 
 
 @define
