--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -67,10 +67,10 @@
 
 
 def register_of(count: int) -> Register:
-    registry.MOST = max(registry.MOST, count + 1)
+    registry.MAX_ENTRIES = max(registry.MAX_ENTRIES, count + 1)
     made = Register(1.5)
     for n in range(count):
-        made.take(
+        made.merge(
             0.0, Row(f"i-{n:08x}", f"s{n % 20}", f"10.0.{n % 250}.1", n % 60000 + 1, "z", "v1", 4, 0, 0.0, 1)
         )
     return made
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -35,8 +35,8 @@
 from coralvale.cluster.rate_limit.quota import Rule
 from coralvale.cluster.rate_limit.usage import PERIOD
 from coralvale.cluster.registry.register import Register, Row
-from coralvale.cluster.routing.copies import Copies, Copy
-from coralvale.cluster.routing.home import Home
+from coralvale.cluster.routing.copies import Instance, InstancePool
+from coralvale.cluster.routing.home import HomeRegion
 from coralvale.cluster.routing.router import Job, Router
 from coralvale.cluster.server.gossip import (
     CARRIED_OUT_BYTES,
@@ -85,13 +85,13 @@
     """`bound`: every route is bound to this gateway's region."""
     register = Register(1.5)
     for n in range(HOSTS):
-        register.take(0.0, Row(f"i-{n}", "s", "10.0.0.1", n + 1, "z", "v", 4, 0, 0.0, 1))
+        register.merge(0.0, Row(f"i-{n}", "s", "10.0.0.1", n + 1, "z", "v", 4, 0, 0.0, 1))
     chance = random.Random(1)
     limiter = RateLimiter(RULE, "alone")
     limiter.holding.own_all()
-    home = Home("home", {"z": "home"})
-    home.heard = 1e18
-    router = Router(Bounds(RetryExtra=64), Copies(register, "z", chance, home), limiter, chance)
+    home = HomeRegion("home", {"z": "home"})
+    home.core_heard_at = 1e18
+    router = Router(Bounds(RetryExtra=64), InstancePool(register, "z", chance, home), limiter, chance)
     text = config(12)
     if bound:
         text["Svcs"]["s"]["Region"] = "home"
@@ -105,12 +105,12 @@
             limiter.step(now[0])
             limiter.told(now[0])
         if home.routes:  # as the shell does, once the head is there
-            router.head(now[0], "a.example", "/p3/x")
-        job = router.enter(now[0], b"id", "a.example", "/p3/x", "k3", 1.5)
+            router.check_head(now[0], "a.example", "/p3/x")
+        job = router.admit(now[0], b"id", "a.example", "/p3/x", "k3", 1.5)
         assert isinstance(job, Job)
-        copy = router.pick(now[0], job)
-        assert isinstance(copy, Copy)
-        router.ended(now[0] + 0.1, job, copy, 1, api.Outcome.OK, 200, 0.1)
+        instance = router.pick(now[0], job)
+        assert isinstance(instance, Instance)
+        router.try_ended(now[0] + 0.1, job, instance, 1, api.Outcome.OK, 200, 0.1)
 
     return request
 
--- a/benchmarks/large_fleet.py
+++ b/benchmarks/large_fleet.py
@@ -76,7 +76,7 @@
         one.changes.tenants = {n: f"tenant-{n}" for n in range(TENANTS)}
         for n in range(HOSTS):
             row = Row(f"i-{n:08x}", "a", "10.1.0.1", n, "zone-0", "v1", 2, 0, 0.0, 1)
-            one.register.take(self.now, row)
+            one.register.merge(self.now, row)
         fake.runtime.peers.udp = self._udp(self.ips[number])
         return one
 
@@ -129,7 +129,7 @@
             self.deliver()
 
     def outs(self) -> list[tuple[int, int]]:
-        marks = list(self.all[self.ips[0]].copies.marks) or [1]
+        marks = list(self.all[self.ips[0]].instances.by_hash) or [1]
         return [(self.chance.choice(marks), 1) for _ in range(ACTIVE)]
 
     def word(self, ip: str, beats: list[int]) -> None:
--- a/coralvale/cluster/commands/configuration.py
+++ b/coralvale/cluster/commands/configuration.py
@@ -34,11 +34,11 @@
     if base < 0:
         base = _in_force(at)
     found = sending.send(change, base, at, patience, lambda line: print(line, file=sys.stderr, flush=True))
-    row = {"status": found.status, "at": found.at, "reason": found.reason, "tries": found.tries}
+    row = {"status": found.status, "at": found.gateway, "reason": found.reason, "tries": found.tries}
     if as_json:
         print(json.dumps({"version": change["Ver"], "base": base, **row}))
     elif found.status == 200:
-        print(f"version {change['Ver']} on {base} taken by {found.at}")
+        print(f"version {change['Ver']} on {base} taken by {found.gateway}")
     else:
         print(f"{file}: {found.status or 'no clear answer'}: {found.reason}", file=sys.stderr)
     return 0 if found.status == 200 else 1 if found.status else 2
--- a/coralvale/cluster/host_health/watch.py
+++ b/coralvale/cluster/host_health/watch.py
@@ -32,23 +32,26 @@
 
 from attrs import define, field, frozen
 
-WINDOW = 5.0  # s that an answer counts
-BEFORE = 0.5  # s before the first ill answer of which anyone tells, from when on answers count
-HEARD = 2.5  # s that another gateway's word counts without a newer one
-EACH = 4  # ill answers of one reporter that count at most
-LEAST = 3  # ill answers, capped as above, below which nothing is concluded
-SUSPECT, SOUR = 0.06, 0.25  # lower bounds of the ill share from which on
-BLIND = 0.5  # of the lives that a reporter speaks of
-SOME = 4  # lives of which it has to speak, to be found blind
-FLOOR = 0.5  # of a service's copies that are used whatever is known of them
-BUSY = 0.75  # of the slots that remain, that what is there may use
-HOLD, HOLD_MOST = 4.0, 16.0  # s that a verdict stands after the last ill answer, doubled each time, at most
-PROBATION = 4.0  # s in which a copy is used less after that
-Z = 1.64
-
-Row = tuple[int, int, int]  # what stands for a life; well, ill
+WINDOW_S = 5.0  # s that an answer counts
+WINDOW_LEAD_S = 0.5  # s before the first ill answer of which anyone tells, from when on answers count
+REPORT_TTL_S = 2.5  # s that another gateway's word counts without a newer one
+MAX_ILL_PER_REPORTER = 4  # ill answers of one reporter that count at most
+MIN_ILL = 3  # ill answers, capped as above, below which nothing is concluded
+SUSPECT_BOUND, SOUR_BOUND = 0.06, 0.25  # lower bounds of the ill share from which on
+BLIND_FRACTION = 0.5  # of the lives that a reporter speaks of
+MIN_BLIND_COUNT = 4  # lives of which it has to speak, to be found blind
+MIN_IN_USE_FRACTION = 0.5  # of a service's copies that are used whatever is known of them
+MAX_REMAINING_LOAD = 0.75  # of the slots that remain, that what is there may use
+HOLD_S, MAX_HOLD_S = (
+    4.0,
+    16.0,
+)  # s that a verdict stands after the last ill answer, doubled each time, at most
+PROBATION_S = 4.0  # s in which a copy is used less after that
+WILSON_Z = 1.64
+
+HealthRow = tuple[int, int, int]  # what stands for a life; well, ill
 Evidence = tuple[int, int, int, int]  # well, ill; the ill ones that count, of how many reporters
-ZoneRow = tuple[int, int, int, int, int]  # what stands for a life; the evidence of a zone's gateways
+ZoneHealthRow = tuple[int, int, int, int, int]  # what stands for a life; the evidence of a zone's gateways
 
 
 class Verdict(IntEnum):
@@ -58,12 +61,12 @@
     SOUR = 3
 
 
-ONCE = 4.0  # times that for what may run once
-WEIGHT = {Verdict.WELL: 1.0, Verdict.PROBATION: 2.0, Verdict.SUSPECT: 3.0, Verdict.SOUR: 12.0}
+RUN_ONCE_WEIGHT = 4.0  # times that for what may run once
+VERDICT_WEIGHTS = {Verdict.WELL: 1.0, Verdict.PROBATION: 2.0, Verdict.SUSPECT: 3.0, Verdict.SOUR: 12.0}
 
 
 @define
-class Answers:
+class ResultWindow:
     """What came of one life here."""
 
     times: deque[tuple[float, bool]] = field(factory=lambda: deque(maxlen=256))
@@ -83,10 +86,10 @@
         self.ill -= not well
 
     def forget(self, now: float) -> None:
-        while self.times and now - self.times[0][0] > WINDOW:
+        while self.times and now - self.times[0][0] > WINDOW_S:
             self._drop()
 
-    def from_(self, begun: float) -> tuple[int, int]:
+    def counts_since(self, begun: float) -> tuple[int, int]:
         """Well and ill ones since then."""
         if not self.times or self.times[0][0] >= begun:
             return self.well, self.ill
@@ -95,7 +98,7 @@
 
 
 @define
-class Case:
+class HealthRecord:
     """What is held against a life."""
 
     verdict: Verdict = Verdict.WELL
@@ -107,10 +110,10 @@
 
 
 @frozen
-class Change:
+class VerdictChange:
     """A verdict that is another now, with the evidence that decided."""
 
-    mark: int
+    id_hash: int
     before: Verdict
     after: Verdict
     well: int
@@ -122,9 +125,9 @@
     """Of the true ill share, by Wilson."""
     if not all_:
         return 0.0
-    p, z2 = ill / all_, Z * Z
+    p, z2 = ill / all_, WILSON_Z * WILSON_Z
     middle = p + z2 / (2 * all_)
-    return (middle - Z * math.sqrt(p * (1 - p) / all_ + z2 / (4 * all_ * all_))) / (1 + z2 / all_)
+    return (middle - WILSON_Z * math.sqrt(p * (1 - p) / all_ + z2 / (4 * all_ * all_))) / (1 + z2 / all_)
 
 
 def _sum(told: Iterable[Evidence]) -> Evidence:
@@ -137,163 +140,185 @@
     return well, ill, counted, reporters
 
 
-class Watch:
+class HealthTracker:
     def __init__(self) -> None:
-        self.own: dict[int, Answers] = {}
-        self.words: dict[str, tuple[float, dict[int, tuple[int, int]]]] = {}
-        self.zones: dict[
+        self.own_results: dict[int, ResultWindow] = {}
+        self.reports: dict[str, tuple[float, dict[int, tuple[int, int]]]] = {}
+        self.zone_reports: dict[
             int, tuple[float, dict[int, Evidence]]
         ] = {}  # of other zones, each all its reporters'
-        self.cases: dict[int, Case] = {}
-        self.begun: dict[int, float] = {}  # from when on answers of a life count that anyone has found ill
-        self.news = False  # something ill came here, and was told to nobody yet
+        self.records: dict[int, HealthRecord] = {}
+        self.counted_from: dict[
+            int, float
+        ] = {}  # from when on answers of a life count that anyone has found ill
+        self.report_due = False  # something ill came here, and was told to nobody yet
 
-    def note(self, now: float, mark: int, well: bool) -> None:
+    def note(self, now: float, id_hash: int, well: bool) -> None:
         """An answer of a life, or its failure."""
-        answers = self.own.get(mark)
+        answers = self.own_results.get(id_hash)
         if answers is None:
-            answers = self.own[mark] = Answers()
+            answers = self.own_results[id_hash] = ResultWindow()
         answers.note(now, well)
         if not well:
-            self.news = True
-            self.begun.setdefault(mark, now - BEFORE)
+            self.report_due = True
+            self.counted_from.setdefault(id_hash, now - WINDOW_LEAD_S)
 
-    def say(self, now: float) -> list[Row]:
+    def own_report(self, now: float) -> list[HealthRow]:
         """What this gateway tells others: of lives of which something ill came lately, here or elsewhere.
 
         Who has seen a copy well tells it only once another has seen it ill: on a calm day nothing is told.
         """
-        self.news = False
-        return self._mine(now)
-
-    def _mine(self, now: float) -> list[Row]:
-        asked = {mark for _, told in self.words.values() for mark, (_, ill) in told.items() if ill}
-        asked |= {mark for _, rows in self.zones.values() for mark, row in rows.items() if row[1]}
-        for mark, answers in list(self.own.items()):
+        self.report_due = False
+        return self._own_rows(now)
+
+    def _own_rows(self, now: float) -> list[HealthRow]:
+        asked = {id_hash for _, told in self.reports.values() for id_hash, (_, ill) in told.items() if ill}
+        asked |= {
+            id_hash for _, rows in self.zone_reports.values() for id_hash, row in rows.items() if row[1]
+        }
+        for id_hash, answers in list(self.own_results.items()):
             answers.forget(now)
             if not answers.times:
-                del self.own[mark]
-        ill = asked | {mark for mark, answers in self.own.items() if answers.ill}
-        self.begun = {mark: self.begun.get(mark, now - BEFORE) for mark in ill}
+                del self.own_results[id_hash]
+        ill = asked | {id_hash for id_hash, answers in self.own_results.items() if answers.ill}
+        self.counted_from = {id_hash: self.counted_from.get(id_hash, now - WINDOW_LEAD_S) for id_hash in ill}
         return [
-            (mark, *self.own[mark].from_(begun)) for mark, begun in self.begun.items() if mark in self.own
+            (id_hash, *self.own_results[id_hash].counts_since(begun))
+            for id_hash, begun in self.counted_from.items()
+            if id_hash in self.own_results
         ]
 
-    def hear(self, now: float, reporter: str, rows: Iterable[Row]) -> None:
-        told = {mark: (well, ill) for mark, well, ill in rows}
+    def update_report(self, now: float, reporter: str, rows: Iterable[HealthRow]) -> None:
+        told = {id_hash: (well, ill) for id_hash, well, ill in rows}
         if told:
-            self.words[reporter] = (now, told)
+            self.reports[reporter] = (now, told)
         else:
-            self.words.pop(reporter, None)
+            self.reports.pop(reporter, None)
 
-    def hear_zone(self, now: float, zone: int, rows: Iterable[ZoneRow]) -> None:
+    def update_zone(self, now: float, zone: int, rows: Iterable[ZoneHealthRow]) -> None:
         """What all gateways of another zone tell, in place of what was told of it before."""
-        if told := {mark: (well, ill, counted, of) for mark, well, ill, counted, of in rows}:
-            self.zones[zone] = (now, told)
+        if told := {id_hash: (well, ill, counted, of) for id_hash, well, ill, counted, of in rows}:
+            self.zone_reports[zone] = (now, told)
         else:
-            self.zones.pop(zone, None)
+            self.zone_reports.pop(zone, None)
 
-    def sum_here(self, now: float, lives: Mapping[str, set[int]]) -> list[ZoneRow]:
+    def zone_evidence(self, now: float, lives: Mapping[str, set[int]]) -> list[ZoneHealthRow]:
         """What this gateway and those whose words come have found together: the evidence of their zone, the most
         ill first. `lives`: those that may serve, by service."""
-        rows = [(mark, *_sum(told)) for mark, told in self._found_here(now, lives).items()]
+        rows = [(id_hash, *_sum(told)) for id_hash, told in self._reporter_evidence(now, lives).items()]
         return sorted(rows, key=lambda row: -row[2])
 
-    def _found_here(self, now: float, lives: Mapping[str, set[int]]) -> dict[int, list[Evidence]]:
+    def _reporter_evidence(self, now: float, lives: Mapping[str, set[int]]) -> dict[int, list[Evidence]]:
         """By life, what each reporter of words, and this gateway, has found of it."""
-        self.words = {r: w for r, w in self.words.items() if now - w[0] <= HEARD}
-        mine = {mark: (well, ill) for mark, well, ill in self._mine(now)}
+        self.reports = {r: w for r, w in self.reports.items() if now - w[0] <= REPORT_TTL_S}
+        mine = {id_hash: (well, ill) for id_hash, well, ill in self._own_rows(now)}
         seen: dict[int, list[Evidence]] = {}
-        for told in (*(told for _, told in self.words.values()), mine):
-            for marks in lives.values():
-                here = [mark for mark in told if mark in marks]
-                ill = sum(2 * told[mark][1] > told[mark][0] + told[mark][1] for mark in here)
-                if ill >= SOME and ill > BLIND * len(marks):
+        for told in (*(told for _, told in self.reports.values()), mine):
+            for id_hashes in lives.values():
+                here = [id_hash for id_hash in told if id_hash in id_hashes]
+                ill = sum(2 * told[id_hash][1] > told[id_hash][0] + told[id_hash][1] for id_hash in here)
+                if ill >= MIN_BLIND_COUNT and ill > BLIND_FRACTION * len(id_hashes):
                     continue  # for whom most are ill, is ill
-                for mark in here:
-                    well, ill_here = told[mark]
-                    seen.setdefault(mark, []).append((well, ill_here, min(EACH, ill_here), 1))
+                for id_hash in here:
+                    well, ill_here = told[id_hash]
+                    seen.setdefault(id_hash, []).append(
+                        (well, ill_here, min(MAX_ILL_PER_REPORTER, ill_here), 1)
+                    )
         return seen
 
-    def weigh(self, now: float, lives: Mapping[str, set[int]]) -> list[Change]:
+    def update_verdicts(self, now: float, lives: Mapping[str, set[int]]) -> list[VerdictChange]:
         """New verdicts; `lives`: those that may serve, by service."""
-        seen = self._found_here(now, lives)
-        self.zones = {zone: told for zone, told in self.zones.items() if now - told[0] <= HEARD}
-        known = {mark for marks in lives.values() for mark in marks}
-        for _, rows in self.zones.values():
-            for mark in rows.keys() & known:
-                seen.setdefault(mark, []).append(rows[mark])
+        seen = self._reporter_evidence(now, lives)
+        self.zone_reports = {
+            zone: told for zone, told in self.zone_reports.items() if now - told[0] <= REPORT_TTL_S
+        }
+        known = {id_hash for id_hashes in lives.values() for id_hash in id_hashes}
+        for _, rows in self.zone_reports.values():
+            for id_hash in rows.keys() & known:
+                seen.setdefault(id_hash, []).append(rows[id_hash])
         changes = []
-        for mark in {*seen, *self.cases}:
-            change = self._judge(now, mark, seen.get(mark, []))
+        for id_hash in {*seen, *self.records}:
+            change = self._update_verdict(now, id_hash, seen.get(id_hash, []))
             if change:
                 changes.append(change)
-        for mark in [m for m, c in self.cases.items() if m not in known or self._over(now, c)]:
-            del self.cases[mark]
+        for id_hash in [m for m, c in self.records.items() if m not in known or self._is_closed(now, c)]:
+            del self.records[id_hash]
         return changes
 
-    def _over(self, now: float, case: Case) -> bool:
-        return case.verdict is Verdict.WELL and now - case.since > HOLD_MOST
+    def _is_closed(self, now: float, case: HealthRecord) -> bool:
+        return case.verdict is Verdict.WELL and now - case.since > MAX_HOLD_S
 
-    def _judge(self, now: float, mark: int, told: list[Evidence]) -> Change | None:
+    def _update_verdict(self, now: float, id_hash: int, told: list[Evidence]) -> VerdictChange | None:
         well, ill, counted, reporters = _sum(told)
-        bound = lower_bound(ill, well + ill) if counted >= LEAST else 0.0
-        case = self.cases.setdefault(mark, Case(since=now))
+        bound = lower_bound(ill, well + ill) if counted >= MIN_ILL else 0.0
+        case = self.records.setdefault(id_hash, HealthRecord(since=now))
         before = case.verdict
         case.share, case.reporters = bound, reporters
-        found = Verdict.SOUR if bound >= SOUR else Verdict.SUSPECT if bound >= SUSPECT else Verdict.WELL
+        found = (
+            Verdict.SOUR
+            if bound >= SOUR_BOUND
+            else Verdict.SUSPECT
+            if bound >= SUSPECT_BOUND
+            else Verdict.WELL
+        )
         if found is Verdict.SOUR and before is not Verdict.SOUR:
             case.times += 1
         if found >= Verdict.SUSPECT:
             if found >= before or now >= case.until:
                 case.verdict = found
-            case.until = now + min(HOLD_MOST, HOLD * 2 ** max(0, case.times - 1))
+            case.until = now + min(MAX_HOLD_S, HOLD_S * 2 ** max(0, case.times - 1))
         elif before >= Verdict.SUSPECT and now >= case.until:
-            case.verdict, case.until = Verdict.PROBATION, now + PROBATION
+            case.verdict, case.until = Verdict.PROBATION, now + PROBATION_S
         elif before is Verdict.PROBATION and now >= case.until:
             case.verdict = Verdict.WELL
         if case.verdict is before:
             return None
         case.since = now
-        return Change(mark, before, case.verdict, well, ill, reporters)
+        return VerdictChange(id_hash, before, case.verdict, well, ill, reporters)
 
     def any_sour(self) -> bool:
         """Whether a copy may have to be passed over."""
-        return any(case.verdict is Verdict.SOUR for case in self.cases.values())
+        return any(case.verdict is Verdict.SOUR for case in self.records.values())
 
-    def verdict(self, mark: int) -> Verdict:
-        case = self.cases.get(mark)
+    def verdict(self, id_hash: int) -> Verdict:
+        case = self.records.get(id_hash)
         return case.verdict if case else Verdict.WELL
 
-    def against(self, mark: int) -> tuple[float, float, list[str]]:
+    def details(self, id_hash: int) -> tuple[float, float, list[str]]:
         """What is held against a life: since when, the lower bound of its ill share, and who tells ill of it
         (other gateways; what this one found itself is not among them)."""
-        case = self.cases.get(mark)
-        by = sorted(who for who, (_, told) in self.words.items() if told.get(mark, (0, 0))[1])
-        by += [f"zone {zone}" for zone, (_, rows) in sorted(self.zones.items()) if rows.get(mark, (0, 0))[1]]
+        case = self.records.get(id_hash)
+        by = sorted(who for who, (_, told) in self.reports.items() if told.get(id_hash, (0, 0))[1])
+        by += [
+            f"zone {zone}"
+            for zone, (_, rows) in sorted(self.zone_reports.items())
+            if rows.get(id_hash, (0, 0))[1]
+        ]
         return (case.since, case.share, by) if case else (0.0, 0.0, by)
 
-    def weight(self, mark: int, once: bool = False) -> float:
+    def weight(self, id_hash: int, once: bool = False) -> float:
         """How many times longer an answer of a life is to be expected, for what is held against it; `once`: of
         what may run once."""
-        if mark not in self.cases:
+        if id_hash not in self.records:
             return 1.0
-        return WEIGHT[self.verdict(mark)] * (ONCE if once and self.verdict(mark) else 1.0)
+        return VERDICT_WEIGHTS[self.verdict(id_hash)] * (
+            RUN_ONCE_WEIGHT if once and self.verdict(id_hash) else 1.0
+        )
 
-    def passed_over(self, lives: Mapping[int, tuple[int, float]]) -> set[int]:
+    def to_eject(self, lives: Mapping[int, tuple[int, float]]) -> set[int]:
         """Of a service's lives (their slots, and requests that are there), those that get nothing new.
 
         The sour ones, the worst first, as long as at least `FLOOR` of the copies remain and the slots that
         remain are used up to `BUSY` at most: the rest must not be pushed over by what comes to them.
         """
-        sour = [mark for mark in lives if self.verdict(mark) is Verdict.SOUR]
-        sour.sort(key=lambda mark: -self.cases[mark].share)
+        sour = [id_hash for id_hash in lives if self.verdict(id_hash) is Verdict.SOUR]
+        sour.sort(key=lambda id_hash: -self.records[id_hash].share)
         slots = sum(of for of, _ in lives.values())
         there = sum(requests for _, requests in lives.values())
         over: set[int] = set()
-        for mark in sour[: int(len(lives) * (1 - FLOOR))]:
-            slots -= lives[mark][0]
-            if there > BUSY * slots:
+        for id_hash in sour[: int(len(lives) * (1 - MIN_IN_USE_FRACTION))]:
+            slots -= lives[id_hash][0]
+            if there > MAX_REMAINING_LOAD * slots:
                 break
-            over.add(mark)
+            over.add(id_hash)
         return over
--- a/coralvale/cluster/regions.py
+++ b/coralvale/cluster/regions.py
@@ -15,14 +15,14 @@
 import yaml
 from attrs import field, frozen
 
-from coralvale.cluster.routing.home import LEASE
+from coralvale.cluster.routing.home import LEASE_S
 from coralvale.cluster.settings import Loader, SettingsError
 
 
 @frozen
 class Regions:
     Bindings: dict[str, str] = field(factory=dict)
-    Lease: float = LEASE
+    Lease: float = LEASE_S
 
 
 _converter = cattrs.Converter(forbid_extra_keys=True)
--- a/coralvale/cluster/routing/budget.py
+++ b/coralvale/cluster/routing/budget.py
@@ -21,77 +21,80 @@
 
 from coralvale.cluster.rate_limit.holding import FleetShare
 
-USED = 0.8  # of the budget that is used: the windows of the rule slide
-DEPTH_PART = 0.6  # of the extra that a bucket holds; the rest is what it fills by in a window
+USABLE_FRACTION = 0.8  # of the budget that is used: the windows of the rule slide
+DEPTH_FRACTION = 0.6  # of the extra that a bucket holds; the rest is what it fills by in a window
 
 
-class Reserve:
+class RetryTokenBucket:
     """This gateway's share of the extra."""
 
     def __init__(self, window: float, extra: float) -> None:
-        self.window, self.extra = window, USED * extra
+        self.window, self.extra = window, USABLE_FRACTION * extra
         self.share = self.tokens = 0.0
-        self.at = math.inf  # of the newest refill
+        self.refilled_at = math.inf  # of the newest refill
 
-    def refill(self, now: float, owned: FleetShare) -> None:
+    def refill(self, now: float, fleet_share: FleetShare) -> None:
         """Less of a share takes tokens along, more of it brings none."""
-        if owned.share != self.share:
-            self._grow(now)
-            if owned.share < self.share:
-                self.tokens *= owned.share / self.share
-            self.share, self.at = owned.share, now if self.at < math.inf else min(now, owned.since)
-        self._grow(now)
-
-    def _grow(self, now: float) -> None:
-        if now > self.at:
-            depth = DEPTH_PART * self.extra * self.share
-            fill = (1 - DEPTH_PART) * self.extra * self.share / self.window
-            self.tokens = min(depth, self.tokens + fill * min(now - self.at, self._full_after()))
-            self.at = now
-
-    def _full_after(self) -> float:
+        if fleet_share.share != self.share:
+            self._add_tokens(now)
+            if fleet_share.share < self.share:
+                self.tokens *= fleet_share.share / self.share
+            self.share, self.refilled_at = (
+                fleet_share.share,
+                now if self.refilled_at < math.inf else min(now, fleet_share.since),
+            )
+        self._add_tokens(now)
+
+    def _add_tokens(self, now: float) -> None:
+        if now > self.refilled_at:
+            depth = DEPTH_FRACTION * self.extra * self.share
+            fill = (1 - DEPTH_FRACTION) * self.extra * self.share / self.window
+            self.tokens = min(depth, self.tokens + fill * min(now - self.refilled_at, self._fill_time()))
+            self.refilled_at = now
+
+    def _fill_time(self) -> float:
         """Seconds in which an empty one fills."""
-        return self.window * DEPTH_PART / (1 - DEPTH_PART)
+        return self.window * DEPTH_FRACTION / (1 - DEPTH_FRACTION)
 
     def is_idle(self, now: float) -> bool:
         """Whether one that is made anew would be the same."""
-        return self.at == math.inf or now - self.at > self._full_after()
+        return self.refilled_at == math.inf or now - self.refilled_at > self._fill_time()
 
 
-class Budget:
+class RetryBudget:
     """One service's, at one gateway."""
 
     def __init__(self, ratio: float, window: float, extra: float) -> None:
         self.ratio, self.window = ratio, window
-        self.reserve = Reserve(window, extra)
-        self.requests: deque[float] = deque()
+        self.reserve = RetryTokenBucket(window, extra)
+        self.request_times: deque[float] = deque()
         self.spent: deque[tuple[float, float]] = deque()  # when, and how much of what requests earned
         self.spent_sum = 0.0
 
-    def request(self, now: float) -> None:
-        self.requests.append(now)
-        self._forget(now)
+    def record_request(self, now: float) -> None:
+        self.request_times.append(now)
+        self._expire(now)
 
-    def _forget(self, now: float) -> None:
-        while self.requests and now - self.requests[0] > self.window:
-            self.requests.popleft()
+    def _expire(self, now: float) -> None:
+        while self.request_times and now - self.request_times[0] > self.window:
+            self.request_times.popleft()
         while self.spent and now - self.spent[0][0] > self.window:
             self.spent_sum -= self.spent.popleft()[1]
         if not self.spent:
             self.spent_sum = 0.0  # no rounding is kept
 
     def _earned(self) -> float:
-        return max(0.0, USED * self.ratio * len(self.requests) - self.spent_sum)
+        return max(0.0, USABLE_FRACTION * self.ratio * len(self.request_times) - self.spent_sum)
 
     def is_idle(self, now: float) -> bool:
         """Whether nothing of it would be missed."""
-        self._forget(now)
-        return not self.requests and not self.spent and self.reserve.is_idle(now)
+        self._expire(now)
+        return not self.request_times and not self.spent and self.reserve.is_idle(now)
 
-    def allows(self, now: float, owned: FleetShare) -> bool:
+    def allows(self, now: float, fleet_share: FleetShare) -> bool:
         """Whether one more try is within it."""
-        self._forget(now)
-        self.reserve.refill(now, owned)
+        self._expire(now)
+        self.reserve.refill(now, fleet_share)
         return self._earned() + self.reserve.tokens >= 1
 
     def charge(self, now: float) -> None:
--- a/coralvale/cluster/routing/home.py
+++ b/coralvale/cluster/routing/home.py
@@ -21,11 +21,11 @@
 from coralvale.cluster.configuration.model import Configuration, Route
 from coralvale.cluster.errors import Kind, Problem
 
-LEASE = 10.0  # s without a word of the core, after which nothing bound is begun
-AGAIN = 0.5  # s after which a client may come back to one that has lost touch with the core
+LEASE_S = 10.0  # s without a word of the core, after which nothing bound is begun
+RETRY_AFTER_S = 0.5  # s after which a client may come back to one that has lost touch with the core
 
 
-class Home:
+class HomeRegion:
     """Of one gateway."""
 
     def __init__(
@@ -33,19 +33,19 @@
         region: str,
         zones: Mapping[str, str],
         rules: Mapping[str, str] | None = None,
-        lease: float = LEASE,
+        lease: float = LEASE_S,
     ) -> None:
         """`zones`: their regions; `rules`: regions by patterns of services' names, the first that fits counts."""
         self.rules, self.lease = dict(rules or {}), lease
-        self.move(region, zones)
-        self.heard = -1e18  # when a word of the core last came
+        self.set_regions(region, zones)
+        self.core_heard_at = -1e18  # when a word of the core last came
         self.configuration = Configuration()
         self.services: dict[str, str] = {}  # those that are bound
         self.routes: dict[str, str] = {}
         self.refused: dict[str, int] = {}  # abroad, by service's region
         self.first_refused = 0.0
 
-    def move(self, region: str, zones: Mapping[str, str]) -> None:
+    def set_regions(self, region: str, zones: Mapping[str, str]) -> None:
         """This gateway's region, and those of the zones, as the settings have them now."""
         self.region, self.zones = region, dict(zones)
 
@@ -54,21 +54,21 @@
         self.services = {
             name: region
             for name, (_, service) in configuration.services().items()
-            if (region := self._rule(name, service.Region))
+            if (region := self._service_region(name, service.Region))
         }
         self.routes = {}
         if not self.services and not self.rules and not configuration.narrowed:
             return  # as long as nothing is bound, routes need not be gone through
         for name, (_, route) in configuration.items.get("Routes", {}).items():
-            if region := self._route(route):
+            if region := self._route_region(route):
                 self.routes[name] = region
 
-    def _rule(self, name: str, own: str) -> str:
+    def _service_region(self, name: str, own: str) -> str:
         return own or next(
             (region for pattern, region in self.rules.items() if fnmatchcase(name, pattern)), ""
         )
 
-    def _route(self, route: Route) -> str:
+    def _route_region(self, route: Route) -> str:
         """The region that a route is bound to: one of which a part is bound is bound whole."""
         if route.Region:
             return route.Region
@@ -76,20 +76,20 @@
 
     # Decisions
 
-    def fresh(self, now: float) -> bool:
+    def lease_valid(self, now: float) -> bool:
         """Whether the binding that is known here is, within the lease, the one in force."""
-        return now - self.heard <= self.lease
+        return now - self.core_heard_at <= self.lease
 
-    def refuses(self, now: float, route: str) -> Problem | None:
+    def refusal(self, now: float, route: str) -> Problem | None:
         """Why nothing of a route may be begun here, by its name; None if it may."""
         region = self.routes.get(route)
         if region is None:
             return None
         if region != self.region:
             return Problem(Kind.FOREIGN)
-        return None if self.fresh(now) else Problem(Kind.BINDING_UNSURE, retry_after=AGAIN)
+        return None if self.lease_valid(now) else Problem(Kind.BINDING_UNSURE, retry_after=RETRY_AFTER_S)
 
-    def count(self, now: float, route: str) -> None:
+    def count_refused(self, now: float, route: str) -> None:
         """A request was refused abroad; of it only that is kept."""
         region = self.routes.get(route, "")
         if not self.refused:
--- a/coralvale/cluster/sending.py
+++ b/coralvale/cluster/sending.py
@@ -12,9 +12,9 @@
 
 from attrs import frozen
 
-PATIENCE = 3.0  # s for one answer
-PAUSES = (0.1, 0.2, 0.4, 0.8, 1.5)  # s until the next gateway is asked
-CLEAR = {200, 400, 401, 403, 404, 409, 412, 413, 422}
+ANSWER_TIMEOUT_S = 3.0  # s for one answer
+RETRY_DELAYS_S = (0.1, 0.2, 0.4, 0.8, 1.5)  # s until the next gateway is asked
+DEFINITE_STATUSES = {200, 400, 401, 403, 404, 409, 412, 413, 422}
 
 
 @frozen
@@ -22,28 +22,28 @@
     """`status` 0: no clear answer."""
 
     status: int
-    at: str
+    gateway: str
     reason: str
     tries: int
 
 
-def post(at: str, path: str, body: bytes, **headers: str) -> tuple[int, bytes]:
+def post(gateway: str, path: str, body: bytes, **headers: str) -> tuple[int, bytes]:
     """One call of a gateway. Raises OSError where none answers."""
-    request = urllib.request.Request(f"http://{at}{path}", data=body, method="POST")
+    request = urllib.request.Request(f"http://{gateway}{path}", data=body, method="POST")
     request.add_header("Content-Type", "application/json")
     for name, value in headers.items():
         request.add_header(name.replace("_", "-"), value)
-    return _answer(request, PATIENCE)
+    return _answer(request, ANSWER_TIMEOUT_S)
 
 
-def get(at: str, path: str, patience: float) -> tuple[int, bytes]:
-    """One question to a gateway, which answers within `patience` s. Raises OSError where none answers."""
-    return _answer(urllib.request.Request(f"http://{at}{path}"), patience)
+def get(gateway: str, path: str, timeout: float) -> tuple[int, bytes]:
+    """One question to a gateway, which answers within `timeout` s. Raises OSError where none answers."""
+    return _answer(urllib.request.Request(f"http://{gateway}{path}"), timeout)
 
 
-def _answer(request: urllib.request.Request, patience: float) -> tuple[int, bytes]:
+def _answer(request: urllib.request.Request, timeout: float) -> tuple[int, bytes]:
     try:
-        with urllib.request.urlopen(request, timeout=patience) as answer:
+        with urllib.request.urlopen(request, timeout=timeout) as answer:
             return int(answer.status), answer.read()
     except urllib.error.HTTPError as error:
         with error:
@@ -67,27 +67,27 @@
     change: dict[str, Any],
     base: int,
     gateways: Sequence[str],
-    patience: float,
-    told: Callable[[str], object],
+    timeout: float,
+    on_unclear: Callable[[str], object],
     ask: Callable[..., tuple[int, bytes]] = post,
     clock: Callable[[], float] = time.monotonic,
     sleep: Callable[[float], object] = time.sleep,
 ) -> Sent:
-    """Sends a change until it is taken or refused, for `patience` s; `told` hears of each unclear try."""
+    """Sends a change until it is taken or refused, for `timeout` s; `told` hears of each unclear try."""
     path, body = f"/rpc?call={call_of(change)}", json.dumps(change).encode()
-    ends, tries, status, reason, at = clock() + patience, 0, 0, "", ""
+    ends, tries, status, reason, gateway = clock() + timeout, 0, 0, "", ""
     while True:
-        at = gateways[tries % len(gateways)]
+        gateway = gateways[tries % len(gateways)]
         tries += 1
         try:
-            status, answer = ask(at, path, body, X_Myrtlehatch_Base_Version=str(base))
+            status, answer = ask(gateway, path, body, X_Myrtlehatch_Base_Version=str(base))
             reason = answer.decode(errors="replace").strip()
         except OSError as error:
             status, reason = 0, str(error)
-        if status in CLEAR:
-            return Sent(status, at, reason, tries)
-        told(f"{at}: {status or 'no answer'} {reason}")
-        pause = PAUSES[min(tries, len(PAUSES)) - 1]
+        if status in DEFINITE_STATUSES:
+            return Sent(status, gateway, reason, tries)
+        on_unclear(f"{gateway}: {status or 'no answer'} {reason}")
+        pause = RETRY_DELAYS_S[min(tries, len(RETRY_DELAYS_S)) - 1]
         if clock() + pause >= ends:
-            return Sent(0, at, reason, tries)
+            return Sent(0, gateway, reason, tries)
         sleep(pause)
--- a/coralvale/cluster/server/arrivals.py
+++ b/coralvale/cluster/server/arrivals.py
@@ -10,7 +10,7 @@
 
 from coralvale.cluster.events import Event, tell
 from coralvale.cluster.rate_limit.usage import MOST, PERIOD
-from coralvale.cluster.registry.register import Register, Row, gone
+from coralvale.cluster.registry.register import Register, Row, gone_row
 from coralvale.cluster.server.core import Core
 from coralvale.cluster.server.membership import Membership
 from coralvale.cluster.server.messages import Pull, Rows, encode
@@ -40,7 +40,7 @@
         """Takes lives that another gateway tells of; how many were news."""
         now, news = self.runtime.clock.monotonic(), 0
         for row in rows:
-            if self.register.take(now, row):
+            if self.register.merge(now, row):
                 news += 1
                 if row.state:
                     self.retire(row)
@@ -67,7 +67,7 @@
         try:
             link = self.runtime.peers.link(ip)
             number = self.runtime.peers.next()
-            parts = tuple(self.register.parts) if self.register.lives else ()
+            parts = tuple(self.register.parts) if self.register.entries else ()
             answer = await link.request(number, Pull(number, parts), patience)
             if isinstance(answer, Rows):
                 if news := self.note(answer.rows):
@@ -87,7 +87,7 @@
         while not self.pulled:
             if seeds:
                 answered = await self.pull(seeds.pop(), SEED_PATIENCE)
-                self.pulled = answered and bool(self.register.lives)
+                self.pulled = answered and bool(self.register.entries)
             others = [member.address[0] for member in self.membership.others()]
             if others and not self.pulled:
                 seeds = []
@@ -98,9 +98,9 @@
     async def beat(self, row: Row) -> bool:
         """A host's beat; whether it may be acknowledged."""
         now = self.runtime.clock.monotonic()
-        news = self.register.take(now, row, direct=True)
+        news = self.register.merge(now, row, direct=True)
         if not news:
-            life = self.register.lives.get(row.id)
+            life = self.register.entries.get(row.id)
             if not row.state:
                 return True
             # One that says again that it leaves was not told that it is known: it is told to all again, and if
@@ -115,9 +115,9 @@
 
     async def leave(self, name: str) -> bool:
         """A host says that it ends. One that is not known here may be to others, who take it for gone."""
-        row = self.register.leave(self.runtime.clock.monotonic(), name)
+        row = self.register.mark_gone(self.runtime.clock.monotonic(), name)
         if row is None:
-            return await self.spread(gone(name))
+            return await self.spread(gone_row(name))
         self.retire(row)
         return await self.spread(row)
 
@@ -166,7 +166,7 @@
         now = self.runtime.clock.monotonic()
         for row in rows:
             if not row.state:
-                self.register.take(now, msgspec.structs.replace(row, age=REMEMBERED * self.register.beat))
+                self.register.merge(now, msgspec.structs.replace(row, age=REMEMBERED * self.register.beat))
         self.hosts_put = self.register.version
 
     async def keep_hosts(self) -> None:
--- a/coralvale/cluster/server/changes.py
+++ b/coralvale/cluster/server/changes.py
@@ -98,7 +98,7 @@
                 at = self.runtime.chance.choice(others) if others else at
                 await asyncio.sleep(0.05)
             elif answer.sure:
-                self.home.heard = self.runtime.clock.monotonic()
+                self.home.core_heard_at = self.runtime.clock.monotonic()
             if isinstance(answer, Told) and not answer.lost and answer.news:
                 configuration = follow(self.configuration, answer.news)
                 if isinstance(configuration, Problem):
--- a/coralvale/cluster/server/edge.py
+++ b/coralvale/cluster/server/edge.py
@@ -11,7 +11,7 @@
 from coralvale.cluster.errors import Problem
 from coralvale.cluster.events import Event, Told, tell
 from coralvale.cluster.rate_limit.actions import Decided
-from coralvale.cluster.routing.copies import Copy
+from coralvale.cluster.routing.copies import Instance
 from coralvale.cluster.routing.router import Job, Router
 from coralvale.cluster.server.hosts import HostAnswer, HostAttempt, Hosts
 from coralvale.interface import Outcome
@@ -50,7 +50,7 @@
     def __init__(self, exchange: Exchange, job: Job, headers: list[tuple[bytes, bytes]]) -> None:
         self.exchange, self.job, self.headers = exchange, job, headers
         self.attempt: HostAttempt | None = None
-        self.copy: Copy | None = None
+        self.copy: Instance | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.patience: asyncio.TimerHandle | None = None
         self.number = 0
@@ -71,7 +71,7 @@
             return 0
         host = exchange.fields.get(b"host", b"").decode("latin-1").partition(":")[0].lower()
         path = exchange.target.partition(b"?")[0].decode("latin-1")
-        problem = router.head(self.edge.clock.monotonic(), host, path)
+        problem = router.check_head(self.edge.clock.monotonic(), host, path)
         return problem.status if problem else 0
 
     def request(self, exchange: Exchange) -> None:
@@ -135,7 +135,7 @@
             return exchange.refuse(400, b"a request id, a host and the time left are needed\n")
         key = BEARER.fullmatch(fields.get(AUTH, b""))
         path = exchange.target.partition(b"?")[0].decode("latin-1")
-        job = self.router.enter(
+        job = self.router.admit(
             now,
             id_,
             host.decode("latin-1").partition(":")[0].lower(),
@@ -156,8 +156,8 @@
             tell(Event.TAKEN, id=id_.decode(), route=job.route_name, tenant=job.tenant or "nobody")
         request = exchange.held = Request(exchange, job, headers)
         self.open.add(request)
-        request.timer = self.loop.call_later(job.ends - now, self._time_up, request)
-        if job.waits:
+        request.timer = self.loop.call_later(job.deadline - now, self._time_up, request)
+        if job.waits_for_token:
             self.waiting[job] = request
             self.carry_out_quotas()
         else:
@@ -169,9 +169,9 @@
         job = decision.ticket
         assert isinstance(job, Job)
         request = self.waiting.pop(job, None)
-        problem = self.router.decided(job, decision.verdict)
+        problem = self.router.apply_verdict(job, decision.verdict)
         if request is None or request.done:
-            self.router.abandon(self.clock.monotonic(), job)
+            self.router.refund(self.clock.monotonic(), job)
         elif problem:
             self._end(request, problem)
         else:
@@ -189,7 +189,7 @@
         copy = self.router.pick(now, job)
         if isinstance(copy, Problem):
             return self._end(request, copy)
-        row = copy.life.row
+        row = copy.entry.row
         request.copy, request.number, request.sent_at = copy, job.tries, now
         if Told.requests:
             tell(Event.TRY, id=job.id.decode(), number=job.tries, host=row.id)
@@ -205,38 +205,38 @@
         if request.patience:
             request.patience.cancel()
             request.patience = None
-        if wait := self.router.patience(now, job):
+        if wait := self.router.silence_timeout(now, job):
             request.patience = self.loop.call_later(wait, self._impatient, request, attempt)
         self.hosts.send(attempt)
         return None
 
-    def _payload(self, request: Request, copy: Copy) -> Outgoing | None:
+    def _payload(self, request: Request, copy: Instance) -> Outgoing | None:
         """Asked just before the write: the client may have left, or the host begun to leave."""
         now, job, exchange = self.clock.monotonic(), request.job, request.exchange
-        if request.done or request.left or now >= job.ends:
+        if request.done or request.left or now >= job.deadline:
             return None
-        if not self.router.copies.register.may_serve(copy.life.id):
+        if not self.router.instances.register.may_serve(copy.entry.id):
             return None
-        if self.router.home.routes and self.router.home.refuses(now, job.route_name):
+        if self.router.home.routes and self.router.home.refusal(now, job.route_name):
             return None  # what binds it changed while it waited for a connection
-        left = int((job.ends - now) * 1000)
+        left = int((job.deadline - now) * 1000)
         headers = [
             *request.headers,
             (b"X-Myrtlehatch-Time-Left", b"%d" % max(1, left)),
-            (b"X-Myrtlehatch-Want-Instance", copy.life.id.encode()),
+            (b"X-Myrtlehatch-Want-Instance", copy.entry.id.encode()),
         ]
         return Outgoing(exchange.method, exchange.target, headers, exchange.parts)
 
     def _impatient(self, request: Request, attempt: HostAttempt) -> None:
         if attempt.ended or request.attempt is not attempt or attempt.sink or not request.copy:
             return
-        if self.router.silent(self.clock.monotonic(), request.copy, request.sent_at):
+        if self.router.is_silent(self.clock.monotonic(), request.copy, request.sent_at):
             self.hosts.give_up(attempt, Outcome.TIMEOUT)
 
     def _ended(
         self,
         request: Request,
-        copy: Copy,
+        copy: Instance,
         number: int,
         attempt: Attempt,
         outcome: Outcome,
@@ -245,15 +245,21 @@
         now, job = self.clock.monotonic(), request.job
         status = answer.status if answer else 0
         if isinstance(answer, HostAnswer) and answer.load:
-            copy.told(now, *answer.load)
+            copy.update_load(now, *answer.load)
         if Told.requests:
             ms = (now - request.sent_at) * 1000
             name, told = job.id.decode(), outcome.value
             tell(
-                Event.TRY_ENDED, id=name, number=number, host=copy.life.id, outcome=told, status=status, ms=ms
+                Event.TRY_ENDED,
+                id=name,
+                number=number,
+                host=copy.entry.id,
+                outcome=told,
+                status=status,
+                ms=ms,
             )
         streaming = attempt.sink is not None
-        problem = self.router.ended(now, job, copy, number, outcome, status, now - request.sent_at)
+        problem = self.router.try_ended(now, job, copy, number, outcome, status, now - request.sent_at)
         if request.done:
             if streaming:
                 self._finish(request)
@@ -275,7 +281,13 @@
             self.answers[status] = self.answers.get(status, 0) + 1
             self._record(job, status)
             if Told.requests:
-                tell(Event.ANSWERED, id=job.id.decode(), status=status, ms=(now - job.arrived) * 1000, why="")
+                tell(
+                    Event.ANSWERED,
+                    id=job.id.decode(),
+                    status=status,
+                    ms=(now - job.arrived_at) * 1000,
+                    why="",
+                )
             request.exchange.reply(status, answer.body, answer.headers)
         elif outcome is Outcome.CANCELLED or request.left:
             self._finish(request)
@@ -293,7 +305,7 @@
         if request.timer:
             request.timer.cancel()
             request.timer = self.loop.call_later(
-                max(0.0, request.job.ends - self.clock.monotonic()), self._cut, request
+                max(0.0, request.job.deadline - self.clock.monotonic()), self._cut, request
             )
         self._record(request.job, answer.status)
         request.exchange.begin(answer.headers, length, source)
@@ -317,12 +329,12 @@
         request.done = True
         if request.attempt and not request.attempt.ended:
             self.hosts.give_up(request.attempt, Outcome.TIMEOUT)
-        self._end(request, self.router.give_up(self.clock.monotonic(), request.job))
+        self._end(request, self.router.time_out(self.clock.monotonic(), request.job))
 
     def _end(self, request: Request, problem: Problem) -> None:
         self._finish(request)
         if Told.requests:
-            ms = (self.clock.monotonic() - request.job.arrived) * 1000
+            ms = (self.clock.monotonic() - request.job.arrived_at) * 1000
             why = f": {problem.kind.value}" + (f" ({problem.reason})" if problem.reason else "")
             tell(Event.ANSWERED, id=request.job.id.decode(), status=problem.status, ms=ms, why=why)
         self._say(request.exchange, problem)
--- a/coralvale/cluster/server/figures.py
+++ b/coralvale/cluster/server/figures.py
@@ -74,8 +74,8 @@
             verdicts = {verdict: 0 for verdict in Verdict}
             for life in lives.values():
                 states[life.state.name.lower()] = states.get(life.state.name.lower(), 0) + 1
-                if copy := o.copies.copies.get(life.id):
-                    verdicts[o.copies.watch.verdict(copy.mark)] += 1
+                if copy := o.instances.by_id.get(life.id):
+                    verdicts[o.instances.health.verdict(copy.id_hash)] += 1
             for state, count in states.items():
                 hosts.add_metric([service, state], float(count))
             for verdict, count in verdicts.items():
--- a/coralvale/cluster/server/gossip.py
+++ b/coralvale/cluster/server/gossip.py
@@ -10,10 +10,10 @@
 import msgspec
 
 from coralvale.cluster.events import Event, tell
-from coralvale.cluster.host_health.watch import Change as Verdict
+from coralvale.cluster.host_health.watch import VerdictChange as Verdict
 from coralvale.cluster.rate_limit.limiter import RateLimiter
 from coralvale.cluster.rate_limit.usage import PERIOD
-from coralvale.cluster.routing.copies import SOON, Copies
+from coralvale.cluster.routing.copies import VERDICT_GAP_S, InstancePool
 from coralvale.cluster.server import quotas, relay
 from coralvale.cluster.server.arrivals import Arrivals
 from coralvale.cluster.server.changes import Changes
@@ -77,11 +77,11 @@
         arrivals: Arrivals,
         limiter: RateLimiter,
         shares: ShareClaims,
-        copies: Copies,
+        instances: InstancePool,
         is_ready: Callable[[], bool],
     ) -> None:
         self.runtime, self.membership, self.core, self.changes = runtime, membership, core, changes
-        self.arrivals, self.limiter, self.copies, self.is_ready = arrivals, limiter, copies, is_ready
+        self.arrivals, self.limiter, self.instances, self.is_ready = arrivals, limiter, instances, is_ready
         self.shares, self.quotas = shares, QuotaExchange(runtime, changes, limiter)
         self.register = arrivals.register
         self.out_in_words = False
@@ -94,7 +94,7 @@
             arrivals,
             limiter,
             shares,
-            copies,
+            instances,
             self.carriers,
             is_ready,
         )
@@ -106,15 +106,15 @@
         while True:
             now = self.runtime.clock.monotonic()
             self.limiter.step(now)
-            self.copies.fade()
-            self.tell_health(self.copies.weigh(now))
+            self.instances.decay_sent()
+            self.tell_health(self.instances.update_verdicts(now))
             view, leader, core = self.core.known()
             use, whole = self.limiter.told(now)
             if (view, core) != told_core:
                 told_core, told_at = (view, core), now
             carries = self.carries(now)
             self.carriers.hear(now, self.runtime.settings.Ip, carries)
-            beats = self.register.told()
+            beats = self.register.take_fresh_beats()
             self.reports.note_beats(beats)
             word = Word(
                 self.changes.configuration.version,
@@ -125,8 +125,8 @@
                 pack_use(use),
                 whole,
                 beats,
-                pack_health(self.copies.watch.say(now)),
-                pack_out(self.copies.out()) if self.out_in_words else None,
+                pack_health(self.instances.health.own_report(now)),
+                pack_out(self.instances.in_flight_counts()) if self.out_in_words else None,
                 carries,
                 self.runtime.settings.Region if whole else "",
                 shares=self.limiter.holding.version,
@@ -155,7 +155,7 @@
             self.out_in_words = large and not self.membership.by_reports
             self.runtime.peers.bytes_a_slice = LINK_SHARE * link * SLICE if large else 0.0
             self.membership.swim.settings = LARGE_FLEET if large else SMALL_FLEET
-            data = pack_out(self.copies.out())
+            data = pack_out(self.instances.in_flight_counts())
             if data != before or (data and now - told_at > PERIOD):
                 before, told_at = data, now
                 if large and not carried:
@@ -164,9 +164,9 @@
                     self.tell_all(OUT, data)
             # What is ill is told at once, not with the next word; without carriers a large fleet's words are
             # no later.
-            if self.copies.watch.news and (carried or not large) and now - ill_at >= SOON:
+            if self.instances.health.report_due and (carried or not large) and now - ill_at >= VERDICT_GAP_S:
                 ill_at = now
-                self.tell_all(HEALTH, pack_health(self.copies.watch.say(now)))
+                self.tell_all(HEALTH, pack_health(self.instances.health.own_report(now)))
             await asyncio.sleep(every)
 
     def onward(self, kind: bytes) -> bool:
@@ -227,10 +227,10 @@
 
     def tell_health(self, changes: list[Verdict]) -> None:
         for change in changes:
-            copy = self.copies.marks.get(change.mark)
+            copy = self.instances.by_hash.get(change.id_hash)
             tell(
                 Event.HEALTH,
-                id=copy.life.id if copy else f"{change.mark:08x}",
+                id=copy.entry.id if copy else f"{change.id_hash:08x}",
                 before=change.before.name.lower(),
                 after=change.after.name.lower(),
                 ill=change.ill,
@@ -277,7 +277,7 @@
         now = self.runtime.clock.monotonic()
         if kind == OUT:
             try:
-                self.copies.hear(now, ip, unpack_out(body))
+                self.instances.update_in_flight(now, ip, unpack_out(body))
             except struct.error:
                 return
         elif kind == LIFE:
@@ -289,7 +289,7 @@
             if self.reports.zones.covers(now, ip):
                 return
             try:
-                self.tell_health(self.copies.hear_health(now, ip, unpack_health(body)))
+                self.tell_health(self.instances.update_health(now, ip, unpack_health(body)))
             except struct.error:
                 return
         elif kind == WORD:
@@ -312,12 +312,12 @@
         self.carriers.hear(now, ip, word.carries)
         self.shares.heard(word.shares)
         hear_view(self.core, word.view, word.leader, word.core)
-        unknown = self.register.beats(now, word.beats)
+        unknown = self.register.merge_beats(now, word.beats)
         if self.reports.zones.covers(now, ip):
             return  # what it does is in the report of its zone, and would count twice
         self.limiter.usage.hear(now, ip, unpack_use(word.use, self.changes.tenants), word.whole, word.version)
-        self.tell_health(self.copies.hear_health(now, ip, unpack_health(word.health)))
+        self.tell_health(self.instances.update_health(now, ip, unpack_health(word.health)))
         if word.out is not None:
-            self.copies.hear(now, ip, unpack_out(word.out))
+            self.instances.update_in_flight(now, ip, unpack_out(word.out))
         self.reports.note_beats(word.beats)
         self.arrivals.compare(now, ip, word.digest, unknown)
--- a/coralvale/cluster/server/messages.py
+++ b/coralvale/cluster/server/messages.py
@@ -16,8 +16,8 @@
 from coralvale.cluster.configuration.history import Change, News
 from coralvale.cluster.consensus.messages import Member, Message
 from coralvale.cluster.coordination.model import Call as CoordinationRequest
-from coralvale.cluster.host_health.watch import Row as Row_
-from coralvale.cluster.host_health.watch import ZoneRow
+from coralvale.cluster.host_health.watch import HealthRow as Row_
+from coralvale.cluster.host_health.watch import ZoneHealthRow
 from coralvale.cluster.rate_limit.usage import Use
 from coralvale.cluster.registry.register import Row
 from coralvale.cluster.reports.model import Report
@@ -241,7 +241,7 @@
     return {names[mark]: (w, p) for mark, w, p in USE_SUM.iter_unpack(data) if mark in names}
 
 
-def pack_health_sum(rows: list[ZoneRow]) -> bytes:
+def pack_health_sum(rows: list[ZoneHealthRow]) -> bytes:
     """Evidence of a zone on lives, the most ill first: twelve bytes each."""
     return b"".join(
         [
@@ -251,7 +251,7 @@
     )
 
 
-def unpack_health_sum(data: bytes) -> list[ZoneRow]:
+def unpack_health_sum(data: bytes) -> list[ZoneHealthRow]:
     """Raises struct.error for what is no such report."""
     return list(HEALTH_SUM.iter_unpack(data))
 
--- a/coralvale/cluster/server/node.py
+++ b/coralvale/cluster/server/node.py
@@ -16,8 +16,8 @@
 from coralvale.cluster.regions import Regions
 from coralvale.cluster.regions import read as read_regions
 from coralvale.cluster.registry.register import Register, Row
-from coralvale.cluster.routing.copies import Copies
-from coralvale.cluster.routing.home import Home
+from coralvale.cluster.routing.copies import InstancePool
+from coralvale.cluster.routing.home import HomeRegion
 from coralvale.cluster.routing.router import Router
 from coralvale.cluster.server.arrivals import Arrivals
 from coralvale.cluster.server.changes import Changes
@@ -82,15 +82,15 @@
             settings, path, clock or Clock(), self._parcel, lambda ip, data: self.gossip.datagram(ip, data)
         )
         rules = regions or Regions()
-        self.home = Home(self._region(settings), settings.Zones, rules.Bindings, rules.Lease)
+        self.home = HomeRegion(self._region(settings), settings.Zones, rules.Bindings, rules.Lease)
         self.abroad_told: dict[str, int] = {}
         self.hosts_abroad: set[str] = set()
         self.unsure_told = False
         self.register = Register(settings.HeartbeatMs / 1000)
-        self.copies = Copies(self.register, settings.Az, runtime.chance, self.home)
+        self.instances = InstancePool(self.register, settings.Az, runtime.chance, self.home)
         rule = Rule(bounds.QuotaWindowS, bounds.QuotaExcess, bounds.QuotaSlack)
         self.limiter = RateLimiter(rule, settings.Ip, runtime.chance)
-        self.router = Router(bounds, self.copies, self.limiter, runtime.chance)
+        self.router = Router(bounds, self.instances, self.limiter, runtime.chance)
         self.membership = Membership(runtime, self.limiter.usage)
         self.changes = Changes(runtime, self.router, self._bound_clients)
         self.arrivals = Arrivals(runtime, self.membership, self.register, self._retire)
@@ -107,7 +107,7 @@
             self.arrivals,
             self.limiter,
             self.shares,
-            self.copies,
+            self.instances,
             self.is_ready,
         )
         self.was_ready = False
@@ -235,8 +235,8 @@
             return
         if fresh != self.runtime.settings:
             self.runtime.settings = fresh
-            self.home.move(self._region(fresh), fresh.Zones)
-            self.copies.lists.clear()
+            self.home.set_regions(self._region(fresh), fresh.Zones)
+            self.instances.candidates.clear()
             self.membership.swim.seeds = [(ip, fresh.peers_port) for ip in fresh.seeds if ip != fresh.Ip]
             tell(Event.SETTINGS_READ, seeds=len(fresh.Seeds))
 
@@ -269,14 +269,14 @@
                 and age < UNSETTLED
             ):
                 return False
-            if age < UNHEARD and not (self.register.lives and self._knows_others()):
+            if age < UNHEARD and not (self.register.entries and self._knows_others()):
                 return False
             self.was_ready = True
             tell(
                 Event.READY,
                 seconds=age,
                 version=self.changes.configuration.version,
-                hosts=len(self.register.lives),
+                hosts=len(self.register.entries),
                 gateways=self.gateways(),
             )
         return True
@@ -299,7 +299,7 @@
         while True:
             now = self.runtime.clock.monotonic()
             if self.core.delivers():
-                self.home.heard = now
+                self.home.core_heard_at = now
             if now >= self.membership.swim.due():
                 self.membership.swim.tick(now)
             self.membership.carry()
@@ -320,9 +320,9 @@
     def _sweep(self, now: float) -> None:
         for name in self.register.sweep(now):
             tell(Event.HOST_LOST, id=name)
-        self.copies.forget_silent(now)
-        for copy in self.copies.sweep():
-            row = copy.life.row
+        self.instances.drop_silent_gateways(now)
+        for copy in self.instances.sweep():
+            row = copy.entry.row
             self._retire(row)
         self._tell_quotas()
         self.coordination.look(now)
@@ -356,9 +356,9 @@
             if news := count - self.abroad_told.get(bound, 0):
                 tell(Event.ABROAD, count=news, bound=bound)
                 self.abroad_told[bound] = count
-        unsure = not self.home.fresh(now)
+        unsure = not self.home.lease_valid(now)
         if unsure and not self.unsure_told:
-            tell(Event.BINDING_UNSURE, seconds=min(now - self.home.heard, now - self.runtime.born))
+            tell(Event.BINDING_UNSURE, seconds=min(now - self.home.core_heard_at, now - self.runtime.born))
         self.unsure_told = unsure
         here = set()
         for service, bound in self.home.services.items():
--- a/coralvale/cluster/server/status.py
+++ b/coralvale/cluster/server/status.py
@@ -16,13 +16,13 @@
     usage, holding = limiter.usage, limiter.holding
     view, leader, core = o.core.known()
     sent: dict[str, float] = {}
-    for copy in o.copies.copies.values():
-        sent[copy.life.row.svc] = sent.get(copy.life.row.svc, 0.0) + copy.recent
+    for copy in o.instances.by_id.values():
+        sent[copy.entry.row.svc] = sent.get(copy.entry.row.svc, 0.0) + copy.recent
     heard = {name: now - other.heard for name, other in usage.others.items()}
     hosts = []
-    for life in o.register.lives.values():
-        known = o.copies.copies.get(life.id)
-        since, ill, by = o.copies.watch.against(known.mark) if known else (now, 0.0, [])
+    for life in o.register.entries.values():
+        known = o.instances.by_id.get(life.id)
+        since, ill, by = o.instances.health.details(known.id_hash) if known else (now, 0.0, [])
         hosts.append(
             {
                 "id": life.id,
@@ -30,10 +30,10 @@
                 "zone": life.row.az,
                 "at": f"{life.row.ip}:{life.row.port}",
                 "state": life.state.name.lower(),
-                "heard": now - life.heard,
+                "heard": now - life.heard_at,
                 "load": known.load if known else 0.0,
                 "slow": float(known.slowness(now)) if known else 1.0,
-                "health": o.copies.watch.verdict(known.mark).name.lower() if known else "well",
+                "health": o.instances.health.verdict(known.id_hash).name.lower() if known else "well",
                 "for": now - since if since else 0.0,
                 "ill": ill,
                 "by": by,
@@ -61,7 +61,7 @@
         "ready": o.is_ready(),
         "bindings": o.home.services,
         "bound_routes": o.home.routes,
-        "binding_sure": o.home.fresh(now),
+        "binding_sure": o.home.lease_valid(now),
         "refused_abroad": o.home.refused,
         "refused_for": now - o.home.first_refused if o.home.refused else 0.0,
         "zones": o.home.zones,
--- a/coralvale/cluster/server/zone_reports.py
+++ b/coralvale/cluster/server/zone_reports.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from coralvale.cluster.host_health.watch import Change as Verdict
+from coralvale.cluster.host_health.watch import VerdictChange as Verdict
 from coralvale.cluster.rate_limit.limiter import RateLimiter
 from coralvale.cluster.rate_limit.usage import PERIOD, Use
 from coralvale.cluster.reports.model import (
@@ -23,7 +23,7 @@
 from coralvale.cluster.reports.speaker import HEARD, Speaker
 from coralvale.cluster.reports.sums import sum_out, sum_use
 from coralvale.cluster.reports.zones import ZoneReports
-from coralvale.cluster.routing.copies import Copies
+from coralvale.cluster.routing.copies import InstancePool
 from coralvale.cluster.server import relay
 from coralvale.cluster.server.arrivals import Arrivals
 from coralvale.cluster.server.changes import Changes
@@ -71,12 +71,12 @@
         arrivals: Arrivals,
         limiter: RateLimiter,
         shares: ShareClaims,
-        copies: Copies,
+        instances: InstancePool,
         carriers: Carriers,
         is_ready: Callable[[], bool],
     ) -> None:
         self.runtime, self.membership, self.core, self.changes = runtime, membership, core, changes
-        self.arrivals, self.limiter, self.shares, self.copies = arrivals, limiter, shares, copies
+        self.arrivals, self.limiter, self.shares, self.instances = arrivals, limiter, shares, instances
         self.carriers, self.is_ready = carriers, is_ready
         self.speaker, self.zones = Speaker(runtime.settings.Ip), ZoneReports()
         self.may_speak = False  # it is among the first of its zone
@@ -129,9 +129,9 @@
         for presence in self._presences(now, here):
             self._send(order, presence)
         self._send(order, UseSum(self._head(), pack_use_sum(sum_use(self._uses(here)))))
-        told = self.copies.told
-        outs = [[(copy.mark, count) for copy, count in told[ip][1]] for ip in here if ip in told]
-        self._send(order, OutSum(self._head(), pack_out(sum_out([*outs, self.copies.out()]))))
+        told = self.instances.in_flight_by_gateway
+        outs = [[(copy.id_hash, count) for copy, count in told[ip][1]] for ip in here if ip in told]
+        self._send(order, OutSum(self._head(), pack_out(sum_out([*outs, self.instances.in_flight_counts()]))))
         self._report_health(now, order, again=bool(self.ill))
 
     def _head(self) -> Head:
@@ -167,7 +167,7 @@
 
     def _report_health(self, now: float, order: list[str], again: bool = False) -> None:
         """What is newly ill is told at once, not with the next report; `again`: though nothing is."""
-        rows = self.copies.sum_health(now)
+        rows = self.instances.zone_health(now)
         ill = {mark: count for mark, _, count, *_ in rows}
         if again or any(count > self.ill.get(mark, 0) for mark, count in ill.items()):
             self.ill, self.health_at = ill, now
@@ -212,9 +212,9 @@
                 use = unpack_use_sum(report.rows, self.changes.tenants)
                 self.limiter.usage.hear_zone(now, zone, use)
             case OutSum():
-                self.copies.hear(now, f"zone {zone}", unpack_out(report.rows))
+                self.instances.update_in_flight(now, f"zone {zone}", unpack_out(report.rows))
             case HealthSum():
-                return self.copies.hear_zone(now, zone, unpack_health_sum(report.rows))
+                return self.instances.update_zone_health(now, zone, unpack_health_sum(report.rows))
         return []
 
     def _present(self, now: float, report: Presence) -> None:
@@ -231,7 +231,7 @@
             self.carriers.hear(now, ip, False)
         self.shares.heard(report.shares)
         hear_view(self.core, report.view, report.leader, report.core)
-        unknown = self.arrivals.register.beats(now, report.beats)
+        unknown = self.arrivals.register.merge_beats(now, report.beats)
         # Those that speak mend the register between zones, and those near them by their words' digests.
         if self.may_speak:
             self.arrivals.compare(now, report.head.by, report.digest, unknown)
--- a/coralvale/lab/abroad.py
+++ b/coralvale/lab/abroad.py
@@ -20,8 +20,8 @@
 from attrs import evolve, frozen
 
 from coralvale.cluster.configuration.model import Configuration, survey
-from coralvale.cluster.routing.copies import Copy
-from coralvale.cluster.routing.home import LEASE, Home
+from coralvale.cluster.routing.copies import Instance
+from coralvale.cluster.routing.home import LEASE_S, HomeRegion
 from coralvale.interface import Outcome
 from coralvale.lab import souring
 from coralvale.lab.model import LabError
@@ -71,7 +71,7 @@
     kinds: tuple[Kind, ...]
     events: tuple[Event, ...] = ()
     stray: float = 0.15  # of the requests come in at a gateway of another region first
-    lease: float = LEASE
+    lease: float = LEASE_S
     way: float = 0.0015
 
     # What `souring` asks of a day.
@@ -116,7 +116,7 @@
 class Abroad(World):
     """A day, from a seed. `free`: the same day with nothing bound, for what binding costs."""
 
-    home_made: type[Home] = Home
+    home_made: type[HomeRegion] = HomeRegion
 
     def __init__(self, day: Day, seed: int, free: bool = False) -> None:
         self.plan, self.free = day, free
@@ -149,10 +149,10 @@
             return self.places[number]
         return list(self.zones)[number % len(self.zones)]
 
-    def home(self, number: int) -> Home:
+    def home(self, number: int) -> HomeRegion:
         zone = self.places[number]
         made = self.home_made(self.zones[zone], self.zones, {}, self.plan.lease)
-        made.heard = self.engine.clock
+        made.core_heard_at = self.engine.clock
         return made
 
     def _configuration(self) -> dict[str, Any]:
@@ -181,9 +181,9 @@
             found.add(self.before[service])
         return set() if "" in found else found
 
-    def sent(self, gateway: Gateway, copy: Copy, request: Request) -> None:
+    def sent(self, gateway: Gateway, copy: Instance, request: Request) -> None:
         allowed = self.allowed(request.kind.service)
-        here, there = self.region_of(gateway), self.zones[copy.life.row.az]
+        here, there = self.region_of(gateway), self.zones[copy.entry.row.az]
         if allowed and (here not in allowed or there != here):
             raise Broken(f"{self.engine.now:.2f}: {request.id} of {here} sent to {there}, bound to {allowed}")
 
@@ -259,14 +259,14 @@
         elif event.what == "back":
             for gateway in [g for g in there if g.number in self.down][: event.count or None]:
                 self.down.discard(gateway.number)
-                gateway.copies.home.heard = -1e18  # it has heard nothing since it began
+                gateway.instances.home.core_heard_at = -1e18  # it has heard nothing since it began
         elif event.what == "lose_zone":
             zone = next(z for z, region in self.zones.items() if region == event.region)
             for gateway in there:
                 if self.places[gateway.number] == zone and gateway.number not in self.down:
                     self._kill(gateway)
             for life, host in self.hosts.items():
-                if self.gateways[0].register.lives[life].row.az == zone:
+                if self.gateways[0].register.entries[life].row.az == zone:
                     host.ail = souring.Sour(host.service.name, 0.0, 1e9, "silent")
                     for gateway in self.gateways:
                         self.engine.later(2.0, self._missed, gateway, life)
@@ -280,12 +280,12 @@
             self._bind(event)
 
     def _missed(self, gateway: Gateway, life: str) -> None:
-        gateway.register.leave(self.engine.clock, life)
+        gateway.register.mark_gone(self.engine.clock, life)
 
     def _kill(self, gateway: Gateway) -> None:
         self.down.add(gateway.number)
         for request in sorted(self.open.pop(gateway.number), key=lambda r: r.id):
-            for copy in gateway.copies.copies.values():
+            for copy in gateway.instances.by_id.values():
                 for key in [k for k in copy.out if k[0] == request.id]:
                     del copy.out[key]
             if request.done:
@@ -312,7 +312,7 @@
 
     def _news(self, gateway: Gateway) -> None:
         if self.region_of(gateway) not in self.cut and gateway.number not in self.down:
-            gateway.copies.home.heard = self.engine.clock
+            gateway.instances.home.core_heard_at = self.engine.clock
             if self.newest is not None:
                 gateway.router.take_configuration(self.newest)
         self.engine.later(NEWS, self._news, gateway)
--- a/coralvale/lab/souring.py
+++ b/coralvale/lab/souring.py
@@ -31,8 +31,8 @@
 from coralvale.cluster.rate_limit.shares import even_table
 from coralvale.cluster.rate_limit.usage import PERIOD
 from coralvale.cluster.registry.register import Register, Row
-from coralvale.cluster.routing.copies import Copies, Copy
-from coralvale.cluster.routing.home import Home
+from coralvale.cluster.routing.copies import Instance, InstancePool
+from coralvale.cluster.routing.home import HomeRegion
 from coralvale.cluster.routing.router import Job, Router
 from coralvale.cluster.server.messages import pack_health, pack_out, unpack_health, unpack_out
 from coralvale.cluster.settings import Bounds
@@ -145,7 +145,7 @@
 @define(eq=False)
 class Try:
     request: Request
-    copy: Copy
+    copy: Instance
     number: int
     sent: float
     ended: bool = False
@@ -218,24 +218,24 @@
         self.name = f"gateway-{number}"
         chance = random.Random(f"{world.seed}/{number}")
         self.register = Register(1e6)
-        self.copies = Copies(self.register, self.zone, chance, world.home(number))
+        self.instances = InstancePool(self.register, self.zone, chance, world.home(number))
         limiter = RateLimiter(Rule(5.0, 0.1, 20.0), self.name)
         names = [f"gateway-{other}" for other in range(world.day.gateways)]
         limiter.holding.take(-math.inf, math.inf, even_table(names))
         bounds = Bounds(RetryExtra=64.0)
-        self.router = Router(bounds, self.copies, limiter, chance)
+        self.router = Router(bounds, self.instances, limiter, chance)
         self.router.take_configuration(plot)
 
     def ask(self, request: Request) -> None:
         now = self.world.engine.clock
         kind = request.kind
-        job = self.router.enter(
+        job = self.router.admit(
             now, request.id.encode(), "day.example", f"/{kind.name}/1", None, kind.deadline
         )
         if isinstance(job, Problem):
             return self.world.answered(request, job.status, job.promises)
         request.job = job
-        self.world.engine.later(job.ends - now, self._time_up, request)
+        self.world.engine.later(job.deadline - now, self._time_up, request)
         self.next(request)
         return None
 
@@ -247,23 +247,23 @@
             return self.world.answered(request, copy.status, copy.promises)
         self.world.sent(self, copy, request)
         one = Try(request, copy, request.job.tries, now)
-        self.world.engine.later(self.world.day.way, self.world.hosts[copy.life.id].arrive, one)
-        if wait := self.router.patience(now, request.job):
+        self.world.engine.later(self.world.day.way, self.world.hosts[copy.entry.id].arrive, one)
+        if wait := self.router.silence_timeout(now, request.job):
             self.world.engine.later(wait, self._impatient, one)
         return None
 
     def _impatient(self, one: Try) -> None:
-        if not one.ended and self.router.silent(self.world.engine.clock, one.copy, one.sent):
+        if not one.ended and self.router.is_silent(self.world.engine.clock, one.copy, one.sent):
             self.ended(one, Outcome.TIMEOUT, 0)
 
     def _time_up(self, request: Request) -> None:
         if request.done:
             return
         assert request.job
-        for copy in self.copies.copies.values():
+        for copy in self.instances.by_id.values():
             for key in [k for k in copy.out if k[0] == request.id]:
                 self.ended(Try(request, copy, key[1], copy.out[key]), Outcome.TIMEOUT, 0, last=True)
-        problem = self.router.give_up(self.world.engine.clock, request.job)
+        problem = self.router.time_out(self.world.engine.clock, request.job)
         self.world.answered(request, problem.status, problem.promises)
 
     def ended(self, one: Try, outcome: Outcome, status: int, last: bool = False) -> None:
@@ -274,7 +274,9 @@
         assert request.job
         if (request.id, one.number) not in one.copy.out:
             return
-        problem = self.router.ended(now, request.job, one.copy, one.number, outcome, status, now - one.sent)
+        problem = self.router.try_ended(
+            now, request.job, one.copy, one.number, outcome, status, now - one.sent
+        )
         if request.done or last:
             return
         if outcome is Outcome.OK and not self.router.may_retry_answer(now, request.job, status):
@@ -306,14 +308,14 @@
                 self.hosts[life] = HostModel(self, life, service, self.chance.uniform(0.8, 1.25))
                 row = Row(life, service.name, "10.0.0.1", 80 + n, self.zone(n), "v", service.slots, 0, 0.0, 1)
                 for gateway in self.gateways:
-                    gateway.register.take(self.engine.clock, row)
+                    gateway.register.merge(self.engine.clock, row)
         self.soured = self._plan()
 
     def zone(self, number: int) -> str:
         """Of a gateway, or a copy, by its number."""
         return f"z{number % self.day.zones}"
 
-    def home(self, number: int) -> Home | None:
+    def home(self, number: int) -> HomeRegion | None:
         """What a gateway knows of regions."""
         return None
 
@@ -349,8 +351,8 @@
         if host.ail:
             self.first_ill.setdefault((host.life, host.ail.at), self.engine.now)
 
-    def sent(self, gateway: Gateway, copy: Copy, request: Request) -> None:
-        self.picks[copy.life.id][gateway.number].append(self.engine.now)
+    def sent(self, gateway: Gateway, copy: Instance, request: Request) -> None:
+        self.picks[copy.entry.id][gateway.number].append(self.engine.now)
 
     def ran(self, request: Request) -> None:
         self.runs[request.id] += 1
@@ -377,7 +379,7 @@
 
     def back(self, one: Try, outcome: Outcome, status: int) -> None:
         gateway = one.request.gateway
-        host = self.hosts[one.copy.life.id]
+        host = self.hosts[one.copy.entry.id]
         load = (host.running, len(host.waiting), host.service.slots)
         self.engine.later(self.day.way, self._back, gateway, one, outcome, status, load)
 
@@ -385,7 +387,7 @@
         self, gateway: Gateway, one: Try, outcome: Outcome, status: int, load: tuple[int, int, int]
     ) -> None:
         if outcome in (Outcome.OK, Outcome.FULL):
-            one.copy.told(self.engine.clock, *load)
+            one.copy.update_load(self.engine.clock, *load)
         gateway.ended(one, outcome, status)
 
     # What goes on
@@ -403,14 +405,14 @@
 
     def _word(self, gateway: Gateway) -> None:
         now = self.engine.clock
-        gateway.copies.fade()
-        for change in gateway.copies.weigh(now):
+        gateway.instances.decay_sent()
+        for change in gateway.instances.update_verdicts(now):
             self.figures[f"verdicts {change.after.name.lower()}"] += 1
         self._tell_health_report(gateway)
         self.engine.later(PERIOD, self._word, gateway)
 
     def _tell_health_report(self, gateway: Gateway) -> None:
-        data = pack_health(gateway.copies.watch.say(self.engine.clock))
+        data = pack_health(gateway.instances.health.own_report(self.engine.clock))
         if self.alone:
             return
         for other in self.gateways:
@@ -420,20 +422,20 @@
                 self.engine.later(late, self._heard, other, gateway.name, data)
 
     def _heard(self, gateway: Gateway, reporter: str, data: bytes) -> None:
-        for change in gateway.copies.hear_health(self.engine.clock, reporter, unpack_health(data)):
+        for change in gateway.instances.update_health(self.engine.clock, reporter, unpack_health(data)):
             self.figures[f"verdicts {change.after.name.lower()}"] += 1
 
     def _out(self, gateway: Gateway) -> None:
-        data = pack_out(gateway.copies.out())
+        data = pack_out(gateway.instances.in_flight_counts())
         for other in self.gateways:
             if other is not gateway and self.chance.random() >= WORD_LOST:
                 self.engine.later(self.day.way, self._heard_out, other, gateway.name, data)
-        if gateway.copies.watch.news:
+        if gateway.instances.health.report_due:
             self._tell_health_report(gateway)
         self.engine.later(OUT_EVERY, self._out, gateway)
 
     def _heard_out(self, gateway: Gateway, reporter: str, data: bytes) -> None:
-        gateway.copies.hear(self.engine.clock, reporter, unpack_out(data))
+        gateway.instances.update_in_flight(self.engine.clock, reporter, unpack_out(data))
 
     def play(self) -> dict[str, Any]:
         for kind in self.day.kinds:
--- a/tests/cluster/soak_mutants.py
+++ b/tests/cluster/soak_mutants.py
@@ -61,15 +61,15 @@
 @mutant
 def resends_what_may_have_run() -> None:
     """A request that may run once is sent to a second host when its first answer is lost."""
-    right: Any = Router.ended
+    right: Any = Router.try_ended
 
-    def ended(
+    def try_ended(
         self: Router, now: float, job: Any, copy: Any, number: int, outcome: Outcome, *rest: Any
     ) -> Any:
         found = right(self, now, job, copy, number, outcome, *rest)
         return None if outcome is not Outcome.OK and job.tries < 2 else found
 
-    Router.ended = ended  # type: ignore[method-assign]
+    Router.try_ended = try_ended  # type: ignore[method-assign]
 
 
 @mutant
@@ -128,14 +128,14 @@
     if not marker.exists():
         marker.touch()
         return
-    right = Register.take
+    right = Register.merge
 
-    def take(self: Register, now: float, row: Row, direct: bool = False) -> bool:
+    def merge(self: Register, now: float, row: Row, direct: bool = False) -> bool:
         if row.state == State.DRAINING:
             row = Row(row.id, row.svc, row.ip, row.port, row.az, row.ver, row.slots, 0, row.warm, row.calls)
         return right(self, now, row, direct)
 
-    Register.take = take  # type: ignore[method-assign]
+    Register.merge = merge  # type: ignore[method-assign]
 
 
 @mutant
--- a/tests/cluster/test_budget.py
+++ b/tests/cluster/test_budget.py
@@ -13,24 +13,24 @@
 from coralvale.cluster.rate_limit.holding import FleetShare, Holding
 from coralvale.cluster.rate_limit.shares import CELLS, CellsOf, ShareChange, even_table, pack_change
 from coralvale.cluster.routing import budget as budgets
-from coralvale.cluster.routing.budget import Budget, Reserve
+from coralvale.cluster.routing.budget import RetryBudget, RetryTokenBucket
 
 RATIO, WINDOW, EXTRA = 0.2, 10.0, 64.0
 
 
 def test_further_tries_stay_within_the_budget_and_use_it() -> None:
-    budget, tries, owned = Budget(RATIO, WINDOW, EXTRA), deque[float](), FleetShare(1 / 12, -math.inf)
+    budget, tries, owned = RetryBudget(RATIO, WINDOW, EXTRA), deque[float](), FleetShare(1 / 12, -math.inf)
     total = 0
     for n in range(2000):
         now = n / 100
-        budget.request(now)
+        budget.record_request(now)
         if budget.allows(now, owned):
             budget.charge(now)
             tries.append(now)
             total += 1
         while now - tries[0] > WINDOW:
             tries.popleft()
-        assert len(tries) <= RATIO * len(budget.requests) + EXTRA / 12
+        assert len(tries) <= RATIO * len(budget.request_times) + EXTRA / 12
     assert total > 250
 
 
@@ -39,7 +39,7 @@
 
     def __init__(self, now: float, holding: Holding) -> None:
         self.born, self.holding = now, holding
-        self.budget = Budget(RATIO, WINDOW, EXTRA)
+        self.budget = RetryBudget(RATIO, WINDOW, EXTRA)
 
     def owned(self, now: float) -> FleetShare:
         return FleetShare(self.holding.share(now).share, max(self.born, self.holding.since))
@@ -76,7 +76,7 @@
             for name in ("g0", names[-1]):  # the owner lets go first
                 holdings[name].take(now, math.inf, newer)
         process = processes[chance.choice(names)]
-        process.budget.request(now)
+        process.budget.record_request(now)
         requests.append(now)
         if process.budget.allows(now, process.owned(now)):
             process.budget.charge(now)
@@ -101,28 +101,28 @@
 
 
 def test_the_schedules_find_a_reserve_that_begins_full(monkeypatch: pytest.MonkeyPatch) -> None:
-    begin = Reserve.refill
+    begin = RetryTokenBucket.refill
 
-    def full(self: Reserve, now: float, owned: FleetShare) -> None:
+    def full(self: RetryTokenBucket, now: float, owned: FleetShare) -> None:
         begin(self, now, FleetShare(owned.share, -math.inf))
 
-    monkeypatch.setattr(Reserve, "refill", full)
+    monkeypatch.setattr(RetryTokenBucket, "refill", full)
     assert sum(worst_window(seed) > 1 for seed in range(24)) >= 3
 
 
 def test_what_is_owned_fills_loses_with_its_share_and_ends_with_the_lease() -> None:
-    reserve = Reserve(WINDOW, EXTRA)
+    reserve = RetryTokenBucket(WINDOW, EXTRA)
     reserve.refill(0.0, FleetShare(0.0, math.inf))
     assert reserve.is_idle(0.0) and not reserve.tokens
     reserve.refill(10.0, FleetShare(0.5, 8.0))
-    filled = budgets.USED * (1 - budgets.DEPTH_PART) * EXTRA * 0.5
+    filled = budgets.USABLE_FRACTION * (1 - budgets.DEPTH_FRACTION) * EXTRA * 0.5
     assert reserve.tokens == pytest.approx(filled * 2 / WINDOW)
     reserve.refill(10.0, FleetShare(0.25, 8.0))
     assert reserve.tokens == pytest.approx(filled / WINDOW)
     reserve.refill(10.0, FleetShare(0.5, 8.0))
     assert reserve.tokens == pytest.approx(filled / WINDOW)  # more of it brings none
     reserve.refill(1000.0, FleetShare(0.5, 8.0))
-    assert reserve.tokens == pytest.approx(budgets.USED * budgets.DEPTH_PART * EXTRA * 0.5)
+    assert reserve.tokens == pytest.approx(budgets.USABLE_FRACTION * budgets.DEPTH_FRACTION * EXTRA * 0.5)
     holding = alone().holding
     assert holding.share(0.0).share == 1 and holding.usable_count == CELLS
     holding.give_up()
@@ -130,9 +130,9 @@
 
 
 def test_a_try_is_paid_for_by_what_was_earned_first_and_by_a_part_of_each() -> None:
-    budget, owned = Budget(RATIO, WINDOW, EXTRA), FleetShare(1.0, -math.inf)
+    budget, owned = RetryBudget(RATIO, WINDOW, EXTRA), FleetShare(1.0, -math.inf)
     for _ in range(4):  # they earn 0.64 of a try
-        budget.request(0.0)
+        budget.record_request(0.0)
     assert budget.allows(0.0, owned)
     reserve = budget.reserve.tokens
     budget.charge(0.0)
@@ -142,7 +142,7 @@
 
 def test_a_service_that_goes_and_comes_back_keeps_what_was_used() -> None:
     made = router()
-    made._budget(0.0, "gone").request(0.0)
+    made._budget(0.0, "gone").record_request(0.0)
     made._budget(1.0, "other")
     assert "gone" in made.budgets
     made._budget(40.0, "third")
--- a/tests/cluster/test_edge.py
+++ b/tests/cluster/test_edge.py
@@ -16,7 +16,7 @@
 from coralvale.cluster.rate_limit.actions import Admitted, AskTokens, Decided, Source
 from coralvale.cluster.rate_limit.shares import ShareTable, even_table
 from coralvale.cluster.registry.register import Register, Row
-from coralvale.cluster.routing.copies import Copies
+from coralvale.cluster.routing.copies import InstancePool
 from coralvale.cluster.routing.router import Router
 from coralvale.cluster.server.edge import Edge, EdgeServer
 from coralvale.cluster.server.hosts import Hosts
@@ -40,10 +40,10 @@
         clock = Clock()
         now = clock.monotonic()
         for n, peer in enumerate(self.peers):
-            self.register.take(now, Row(f"i-{n}", "s", "127.0.0.1", peer.port, "z", "v", 4, 0, 0.0, 1))
+            self.register.merge(now, Row(f"i-{n}", "s", "127.0.0.1", peer.port, "z", "v", 4, 0, 0.0, 1))
         chance = random.Random(1)
         limiter = alone()
-        router = Router(Bounds(RetryExtra=64), Copies(self.register, "z", chance), limiter, chance)
+        router = Router(Bounds(RetryExtra=64), InstancePool(self.register, "z", chance), limiter, chance)
         configuration = survey(config or {**WHOLE, "Limits": {"BodyBytes": 1000}}, Configuration())
         assert isinstance(configuration, Configuration)
         if config != {}:
@@ -219,7 +219,7 @@
 
 def test_a_host_that_leaves_before_the_write_gets_nothing() -> None:
     async def scene(s: Scene) -> None:
-        s.register.take(9e9, Row("i-0", "s", "127.0.0.1", 1, "z", "v", 4, 1, 0.0, 2))
+        s.register.merge(9e9, Row("i-0", "s", "127.0.0.1", 1, "z", "v", 4, 1, 0.0, 2))
         found = await s.ask(BOOK)
         assert found.status == 503 and s.peers[0].connections == 0
 
@@ -428,9 +428,9 @@
 
         server = await asyncio.start_server(early, "127.0.0.1", 0, limit=1 << 10)
         port = server.sockets[0].getsockname()[1]
-        s.register.lives.clear()
+        s.register.entries.clear()
         s.register.by_service.clear()
-        s.register.take(Clock().monotonic(), Row("i-early", "s", "127.0.0.1", port, "z", "v", 4, 0, 0.0, 1))
+        s.register.merge(Clock().monotonic(), Row("i-early", "s", "127.0.0.1", port, "z", "v", 4, 0, 0.0, 1))
         _, writer = await s.connect()
         writer.write(request_bytes(BOOK, "r-1", bytes(900_000)))
         await until(lambda: bool(ended))
--- a/tests/cluster/test_grown.py
+++ b/tests/cluster/test_grown.py
@@ -12,7 +12,7 @@
 from coralvale.cluster.rate_limit.limiter import RateLimiter
 from coralvale.cluster.rate_limit.quota import Rule
 from coralvale.cluster.registry.register import Register, Row
-from coralvale.cluster.routing.copies import Copies
+from coralvale.cluster.routing.copies import InstancePool
 from coralvale.cluster.server.messages import (
     MOST_HEALTH_ROWS,
     MOST_OUT,
@@ -116,8 +116,8 @@
     register, chance = Register(1.5), random.Random(2)
     for n in range(8):
         warm = 8000.0 if n >= 6 else 0.0
-        register.take(0.0, Row(f"i-{n}", "s", "10.0.0.1", 80 + n, "z", "v", 4, 0, warm, 1), direct=True)
-    copies = Copies(register, "z", chance)
+        register.merge(0.0, Row(f"i-{n}", "s", "10.0.0.1", 80 + n, "z", "v", 4, 0, warm, 1), direct=True)
+    copies = InstancePool(register, "z", chance)
 
     def shares(now: float) -> float:
         """Of the requests that go to the two added, each out for a while."""
@@ -132,7 +132,7 @@
             assert chosen
             chosen.out[key := (f"r-{n}", 1)] = at
             out.append((at + 0.02 * chance.uniform(0.5, 1.5), chosen, key))
-            got += chosen.life.id in ("i-6", "i-7")
+            got += chosen.entry.id in ("i-6", "i-7")
         for _, copy, key in out:
             copy.out.pop(key)  # type: ignore[attr-defined]
         return got / 2000
--- a/tests/cluster/test_home.py
+++ b/tests/cluster/test_home.py
@@ -23,8 +23,8 @@
 from coralvale.cluster.errors import ANSWERS, Kind, Problem, Promise
 from coralvale.cluster.regions import parse
 from coralvale.cluster.registry.register import Register, Row
-from coralvale.cluster.routing.copies import Copies
-from coralvale.cluster.routing.home import Home
+from coralvale.cluster.routing.copies import InstancePool
+from coralvale.cluster.routing.home import HomeRegion
 from coralvale.cluster.routing.router import Job, Router
 from coralvale.cluster.settings import Bounds, SettingsError
 
@@ -43,12 +43,12 @@
         self.world, self.zone = world, zone
         register = Register(1e6)
         for n, (at, service) in enumerate((z, s) for z in ZONES for s in ("free", "bound")):
-            register.take(0.0, Row(f"i-{service}-{at}", service, "10.0.0.1", 80 + n, at, "v", 4, 0, 0.0, 1))
+            register.merge(0.0, Row(f"i-{service}-{at}", service, "10.0.0.1", 80 + n, at, "v", 4, 0, 0.0, 1))
         by_zone = ZONES[zone] if ZONES[zone] == region else ""  # as the shell takes it from the settings
         self.home = world.kind(by_zone, ZONES, {}, LEASE)
         chance = random.Random(world.chance.random())
         # Which hosts are nearest is anyone's: it must not be what keeps a request at home.
-        copies = Copies(register, chance.choice(list(ZONES)), chance, self.home)
+        copies = InstancePool(register, chance.choice(list(ZONES)), chance, self.home)
         self.router = Router(Bounds(RetryExtra=64), copies, alone(), chance)
         self.cut = False
         self.late = chance.uniform(0.0, 1.2)  # that news takes to it
@@ -57,14 +57,14 @@
     def follow(self, now: float) -> None:
         if self.cut or now - self.restarted < 0.2:
             return
-        self.home.heard = now - self.late  # what it is told was so a while ago
+        self.home.core_heard_at = now - self.late  # what it is told was so a while ago
         news = [configuration for at, configuration in self.world.history if at <= now - self.late]
         if news:
             self.router.take_configuration(news[-1])
 
 
 class World:
-    def __init__(self, seed: int, kind: type[Home] = Home) -> None:
+    def __init__(self, seed: int, kind: type[HomeRegion] = HomeRegion) -> None:
         self.chance, self.kind, self.now = random.Random(seed), kind, 100.0
         self.history: list[tuple[float, Configuration]] = []
         self.change()
@@ -118,21 +118,21 @@
 
     def ask(self, node: Node) -> None:
         path = self.chance.choice(("/f/1", "/b/1"))
-        job = node.router.enter(self.now, b"r", "a.example", path, None, 1.5)
+        job = node.router.admit(self.now, b"r", "a.example", path, None, 1.5)
         if isinstance(job, Problem):
             return
-        copy = node.router.pick(self.now, job)
-        if isinstance(copy, Problem):
+        instance = node.router.pick(self.now, job)
+        if isinstance(instance, Problem):
             return
         if path == "/b/1":
             allowed = self.bound_to(self.now - (LEASE if node.cut else APPLY) - 1.2)
-            here, there = ZONES[node.zone], ZONES[copy.life.row.az]
+            here, there = ZONES[node.zone], ZONES[instance.entry.row.az]
             if here not in allowed or there not in allowed:
                 raise Broken(f"{self.now:.1f}: {node.zone} sent it to {there}, bound to {allowed}")
             if there != here:
                 raise Broken(f"{self.now:.1f}: {node.zone} sent it abroad, to {there}")
             self.served += 1
-        copy.out.clear()
+        instance.out.clear()
 
     def play(self, steps: int = 60) -> int:
         for _ in range(steps):
@@ -150,29 +150,29 @@
     assert served > 10_000
 
 
-class NoLease(Home):
+class NoLease(HomeRegion):
     """One that is cut off goes on for ever."""
 
-    def fresh(self, now: float) -> bool:
+    def lease_valid(self, now: float) -> bool:
         return True
 
 
-class AnyGateway(Home):
+class AnyGateway(HomeRegion):
     """A gateway abroad takes it."""
 
-    def refuses(self, now: float, route: str) -> Problem | None:
+    def refusal(self, now: float, route: str) -> Problem | None:
         return None
 
 
-class AnyHost(Home):
+class AnyHost(HomeRegion):
     """A host abroad gets it."""
 
-    def move(self, region: str, zones: Mapping[str, str]) -> None:
-        super().move(region, dict.fromkeys(zones, region))
+    def set_regions(self, region: str, zones: Mapping[str, str]) -> None:
+        super().set_regions(region, dict.fromkeys(zones, region))
 
 
 @pytest.mark.parametrize("kind", [NoLease, AnyGateway, AnyHost])
-def test_each_rule_taken_out_is_missed(kind: type[Home]) -> None:
+def test_each_rule_taken_out_is_missed(kind: type[HomeRegion]) -> None:
     for seed in range(1000):
         try:
             World(seed, kind).play()
@@ -206,31 +206,34 @@
 def at(region: str, configuration: Configuration | Problem, heard: float = 1.0, **rules: str) -> Router:
     register, chance = Register(1e6), random.Random(1)
     for n, zone in enumerate(ZONES):
-        register.take(0.0, Row(f"i-{zone}", "s", "10.0.0.1", 80 + n, zone, "v", 4, 0, 0.0, 1))
-    home = Home(region, ZONES, rules)
-    home.heard = heard
-    copies = Copies(register, f"{region}-1", chance, home)
+        register.merge(0.0, Row(f"i-{zone}", "s", "10.0.0.1", 80 + n, zone, "v", 4, 0, 0.0, 1))
+    home = HomeRegion(region, ZONES, rules)
+    home.core_heard_at = heard
+    copies = InstancePool(register, f"{region}-1", chance, home)
     made = Router(Bounds(RetryExtra=64), copies, alone(), chance)
     assert isinstance(configuration, Configuration) and made.take_configuration(configuration)
     return made
 
 
 def entered(made: Router, now: float = 1.0, path: str = "/x/1", key: str = "k1") -> Job | Problem:
-    return made.enter(now, b"id", "a.example", path, key, 1.5)
+    return made.admit(now, b"id", "a.example", path, key, 1.5)
 
 
 def test_abroad_it_is_refused_by_its_head_alone_with_a_promise_and_nothing_of_it_is_kept() -> None:
     configuration = bound(Svcs__s__Region="coast")
     for region in ("delta", ""):
         made = at(region, configuration)
-        for found in (made.head(1.0, "a.example", "/x/secret-slot"), entered(made, path="/x/secret-slot")):
+        for found in (
+            made.check_head(1.0, "a.example", "/x/secret-slot"),
+            entered(made, path="/x/secret-slot"),
+        ):
             assert isinstance(found, Problem) and found.kind is Kind.FOREIGN and not found.reason
             assert ANSWERS[found.kind].promise is Promise.NOT_RUN and found.status == 421
         assert made.home.refused == {"coast": 2} and "secret" not in str(vars(made.home))
-        assert "secret" not in str(made.newest)
+        assert "secret" not in str(made.last_lookup)
         assert not made.limiter.tenants  # its quota is not charged abroad
-    assert at("coast", configuration).head(1.0, "a.example", "/x/1") is None
-    assert at("delta", bound()).head(1.0, "a.example", "/x/1") is None
+    assert at("coast", configuration).check_head(1.0, "a.example", "/x/1") is None
+    assert at("delta", bound()).check_head(1.0, "a.example", "/x/1") is None
 
 
 def test_when_none_is_left_at_home_it_is_refused_and_never_goes_out() -> None:
@@ -238,22 +241,22 @@
     job = entered(made)
     assert isinstance(job, Job)
     seen = set()
-    while not isinstance(copy := made.pick(1.0, job), Problem):
-        seen.add(ZONES[copy.life.row.az])
+    while not isinstance(instance := made.pick(1.0, job), Problem):
+        seen.add(ZONES[instance.entry.row.az])
         job.tries = 0  # as often as it likes
-        made.copies.register.leave(1.0, copy.life.id)
-    assert seen == {"coast"} and copy.promises
+        made.instances.register.mark_gone(1.0, instance.entry.id)
+    assert seen == {"coast"} and instance.promises
 
 
 def test_a_route_that_is_bound_by_itself_goes_to_no_host_abroad() -> None:
     """Its service is bound nowhere, and by other routes goes to hosts abroad where those are the nearer ones."""
     made = at("coast", bound(Routes__r__Region="coast"))
-    made.copies.zone = "delta-1"
+    made.instances.zone = "delta-1"
     for path, region in (("/x/1", "coast"), ("/x/y/1", "delta")):
         job = entered(made, path=path)
         assert isinstance(job, Job)
-        copy = made.pick(1.0, job)
-        assert not isinstance(copy, Problem) and ZONES[copy.life.row.az] == region
+        instance = made.pick(1.0, job)
+        assert not isinstance(instance, Problem) and ZONES[instance.entry.row.az] == region
 
 
 def test_a_binding_that_changes_lets_no_further_try_out_and_its_first_answer_in() -> None:
@@ -262,7 +265,7 @@
     assert isinstance(job, Job) and not isinstance(made.pick(1.0, job), Problem)
     moved = survey(changed(Ver=9, Svcs__s__Region="delta"), made.configuration)
     assert isinstance(moved, Configuration) and made.take_configuration(moved)
-    job.maybe = True
+    job.may_have_run = True
     found = made.pick(1.1, job)
     assert isinstance(found, Problem) and found.kind is Kind.MAYBE_RUN  # it ends where it began, unpromised
     foreign = entered(made)
@@ -274,7 +277,7 @@
     assert isinstance(entered(made, 1.0 + made.home.lease), Job)
     unsure = entered(made, 1.1 + made.home.lease)
     assert isinstance(unsure, Problem) and unsure.kind is Kind.BINDING_UNSURE and unsure.retry_after > 0
-    made.home.heard = 20.0
+    made.home.core_heard_at = 20.0
     assert isinstance(entered(made, 20.1), Job)
 
 
--- a/tests/cluster/test_news.py
+++ b/tests/cluster/test_news.py
@@ -57,4 +57,4 @@
     node, asked = first_news(sure)
     assert set(asked) <= set(IPS[:3]) and node.changes.configuration.version == 3  # it serves by it
     now = node.runtime.clock.monotonic()
-    assert node.home.fresh(now) is sure  # but nothing that is bound until it hears one that is settled
+    assert node.home.lease_valid(now) is sure  # but nothing that is bound until it hears one that is settled
--- a/tests/cluster/test_quota_shares.py
+++ b/tests/cluster/test_quota_shares.py
@@ -366,24 +366,24 @@
     chance, made = random.Random(seed), router()
     refunds: list[Admitted] = []
     monkeypatch.setattr(RateLimiter, "refund", lambda self, now, name, admitted: refunds.append(admitted))
-    job = made.enter(1.0, b"id", "a.example", chance.choice(("/x/1", "/x/y/1")), "k1", 1.5)
+    job = made.admit(1.0, b"id", "a.example", chance.choice(("/x/1", "/x/y/1")), "k1", 1.5)
     assert isinstance(job, Job) and job.admitted
     now, arrived = 1.0, False
     while not isinstance(copy := made.pick(now, job), Problem):
         if chance.random() < 0.1:  # its client's time is over before anything was written
-            made.unsent(job, copy, job.tries)
-            made.give_up(now, job)
+            made.try_unsent(job, copy, job.tries)
+            made.time_out(now, job)
             break
         now += chance.uniform(0.0, 0.3)
         outcome = chance.choice(list(Outcome))
         arrived = arrived or ENDS[outcome].arrived
         status = chance.choice((200, 500)) if outcome is Outcome.OK else 0
-        if made.ended(now, job, copy, job.tries, outcome, status, 0.1):
+        if made.try_ended(now, job, copy, job.tries, outcome, status, 0.1):
             break
         if outcome is Outcome.OK and not made.may_retry_answer(now, job, status):
             break
         if chance.random() < 0.1:
-            made.give_up(now, job)
+            made.time_out(now, job)
             break
     return len(refunds), arrived
 
--- a/tests/cluster/test_registry.py
+++ b/tests/cluster/test_registry.py
@@ -6,7 +6,7 @@
 
 from msgspec.structs import replace
 
-from coralvale.cluster.registry.register import FORGOTTEN, Register, Row, State
+from coralvale.cluster.registry.register import FORGET_AFTER_BEATS, Register, Row, State
 
 BEAT = 1.5
 
@@ -27,7 +27,7 @@
     for _ in range(50):
         register = Register(BEAT)
         for each in first + chance.sample(rows * 2, len(rows) * 2):
-            register.take(1.0, each)
+            register.merge(1.0, each)
         digests.add(register.digest)
         assert [life.id for life in register.usable(1.0, "svc")] == ["i-4", "i-5"]
         assert not register.may_serve("i-0") and not register.may_serve("i-2") and register.may_serve("i-5")
@@ -36,49 +36,51 @@
 
 def test_a_late_beat_does_not_bring_back_what_left() -> None:
     register = Register(BEAT)
-    register.take(0.0, row(calls=7), direct=True)
-    left = register.leave(1.0, "i-1")
+    register.merge(0.0, row(calls=7), direct=True)
+    left = register.mark_gone(1.0, "i-1")
     assert left is not None and left.state == State.GONE
-    assert not register.take(2.0, row(calls=8), direct=True)
+    assert not register.merge(2.0, row(calls=8), direct=True)
     assert not register.may_serve("i-1")
     other = Register(BEAT)
-    other.take(0.0, row(calls=7))
+    other.merge(0.0, row(calls=7))
     for each in register.rows(2.0):
-        other.take(2.0, each)
+        other.merge(2.0, each)
     assert not other.may_serve("i-1")
 
 
 def test_beats_told_by_others_keep_a_life_and_silence_passes_it_over() -> None:
     register = Register(BEAT)
-    register.take(0.0, row("i-1"))
-    register.take(0.0, row("i-2"))
-    register.beats(5.0, [("i-1", 4)])
+    register.merge(0.0, row("i-1"))
+    register.merge(0.0, row("i-2"))
+    register.merge_beats(5.0, [("i-1", 4)])
     assert [life.id for life in register.usable(6.0, "svc")] == ["i-1"]
     assert (
         len(register.usable(60.0, "svc")) == 2
     )  # where all are silent it may be this gateway that hears nothing
-    assert register.beats(6.0, [("unknown", 1)])
+    assert register.merge_beats(6.0, [("unknown", 1)])
 
 
 def test_what_two_gateways_forgot_is_not_kept_alive_by_their_mending() -> None:
     one, two = Register(BEAT), Register(BEAT)
-    one.take(0.0, row())
-    two.take(0.0, row())
-    ends = FORGOTTEN * BEAT
+    one.merge(0.0, row())
+    two.merge(0.0, row())
+    ends = FORGET_AFTER_BEATS * BEAT
     one.sweep(ends + 0.1)
     for each in two.rows(ends + 0.1):
-        one.take(ends + 0.1, each)
+        one.merge(ends + 0.1, each)
     two.sweep(ends + 0.2)
     for each in one.rows(ends + 0.3):
-        two.take(ends + 0.3, each)
+        two.merge(ends + 0.3, each)
     one.sweep(ends + 2.0), two.sweep(ends + 2.0)
-    assert not one.lives and not two.lives and one.digest == two.digest == 0
+    assert not one.entries and not two.entries and one.digest == two.digest == 0
 
 
 def test_what_peers_and_hosts_can_grow_is_bounded() -> None:
     register = Register(BEAT)
     for n in range(6000):
-        register.take(0.0, row(f"i-{n}"))
-    assert len(register.lives) == 4096
-    register.leave(1.0, "i-5")
-    assert register.take(2.0, row("i-new")) and len(register.lives) == 4096 and "i-5" not in register.lives
+        register.merge(0.0, row(f"i-{n}"))
+    assert len(register.entries) == 4096
+    register.mark_gone(1.0, "i-5")
+    assert (
+        register.merge(2.0, row("i-new")) and len(register.entries) == 4096 and "i-5" not in register.entries
+    )
--- a/tests/cluster/test_relay.py
+++ b/tests/cluster/test_relay.py
@@ -226,16 +226,16 @@
 def test_registers_are_compared_by_parts() -> None:
     here, there = Register(1.5), Register(1.5)
     for n in range(200):
-        there.take(0.0, row(n))
+        there.merge(0.0, row(n))
         if n not in (7, 70):
-            here.take(0.0, row(n))
+            here.merge(0.0, row(n))
     told = there.rows(0.0, here.parts)
     assert {"i-7", "i-70"} <= {r.id for r in told} and len({part(r.id) for r in told}) <= 2 < PARTS
     for each in told:
-        here.take(0.0, each)
+        here.merge(0.0, each)
     assert here.digest == there.digest and not there.rows(0.0, here.parts)
     assert len(there.rows(0.0)) == 200  # one that knows nothing gets all
-    there.leave(1.0, "i-9")
+    there.mark_gone(1.0, "i-9")
     assert {r.id: r.state for r in there.rows(1.0, here.parts)}["i-9"] == 2
 
 
@@ -252,7 +252,7 @@
         fake.arrivals.pull, fake.runtime.spawn = pull, lambda work: (work.close(), pulled.append(fleet.now))
         for n in range(40):  # hosts come all the while: not before it has lasted
             fleet.now += PERIOD
-            one.register.take(fleet.now, row(n))
+            one.register.merge(fleet.now, row(n))
             one.gossip.word(fleet.now, other, Word(1, 1000 + n))
             assert bool(pulled) == (n * PERIOD >= DIFFERS)
         one.arrivals.mismatch.clear()
--- a/tests/cluster/test_spread.py
+++ b/tests/cluster/test_spread.py
@@ -11,7 +11,7 @@
 import pytest
 from msgspec.structs import replace
 
-from coralvale.cluster.registry.register import Register, Row, gone
+from coralvale.cluster.registry.register import Register, Row, gone_row
 from coralvale.cluster.server import gossip
 from coralvale.cluster.server.hosts import Hosts
 from coralvale.cluster.server.membership import TALKS
@@ -109,17 +109,17 @@
     assert well and cast == [LIFE] and all(asked[ip] == 1 for ip in IPS[1:])
     assert not play(3, {IPS[1], IPS[2]}, leave)[0]
     known = Register(1.5)
-    known.take(0.0, replace(ROW, state=0))
-    assert known.take(1.0, gone("i-1")) and not known.may_serve("i-1")
-    assert not known.take(1.0, gone("i-2")) and "i-2" not in known.lives
+    known.merge(0.0, replace(ROW, state=0))
+    assert known.merge(1.0, gone_row("i-1")) and not known.may_serve("i-1")
+    assert not known.merge(1.0, gone_row("i-2")) and "i-2" not in known.entries
 
 
 def test_one_that_says_it_drains_where_it_is_known_to_be_gone_is_told_again() -> None:
     async def beat(node: GatewayNode) -> bool:
         node.hosts = Hosts(node.runtime.clock, 0.5, 8.0, 100)
         now = node.runtime.clock.monotonic()
-        node.register.take(now, replace(ROW, state=0))
-        node.register.leave(now, ROW.id)
+        node.register.merge(now, replace(ROW, state=0))
+        node.register.mark_gone(now, ROW.id)
         return await node.arrivals.beat(replace(ROW, calls=9))
 
     well, asked, _, _ = play(3, set(), beat)
--- a/tests/cluster/test_zone_reports.py
+++ b/tests/cluster/test_zone_reports.py
@@ -14,7 +14,7 @@
 from test_relay import Fleet as Relayed
 
 from coralvale.cluster.configuration.model import Configuration
-from coralvale.cluster.host_health.watch import Verdict, Watch
+from coralvale.cluster.host_health.watch import HealthTracker, Verdict
 from coralvale.cluster.rate_limit.usage import PERIOD, FleetUsage
 from coralvale.cluster.registry.register import Row
 from coralvale.cluster.reports import model
@@ -22,7 +22,7 @@
 from coralvale.cluster.reports.speaker import HEARD, Speaker
 from coralvale.cluster.reports.sums import sum_out, sum_use
 from coralvale.cluster.reports.zones import STALE, ZoneReports
-from coralvale.cluster.routing.copies import mark
+from coralvale.cluster.routing.copies import id_hash
 from coralvale.cluster.server.messages import Word, encode, pack_health, pack_out, pack_use
 from coralvale.cluster.server.peers import CARRY, HEALTH, OUT, PASS, REPORT, WORD
 
@@ -259,19 +259,19 @@
 
 def test_evidence_by_zones_leads_to_the_verdict_of_the_same_words() -> None:
     lives = {"s": set(range(20))}
-    one, far, speaker = Watch(), Watch(), Watch()
+    one, far, speaker = HealthTracker(), HealthTracker(), HealthTracker()
     for reporter, rows in {"a": [(7, 1, 9)], "b": [(7, 0, 2)], "c": [(7, 6, 0)]}.items():
-        one.hear(0.0, reporter, rows)
-        speaker.hear(0.0, reporter, rows)
+        one.update_report(0.0, reporter, rows)
+        speaker.update_report(0.0, reporter, rows)
     blind = [(mark, 0, 1) for mark in range(20)]
-    one.hear(0.0, "blind", blind)
-    speaker.hear(0.0, "blind", blind)
-    rows = speaker.sum_here(0.1, lives)
+    one.update_report(0.0, "blind", blind)
+    speaker.update_report(0.0, "blind", blind)
+    rows = speaker.zone_evidence(0.1, lives)
     assert rows == [(7, 7, 11, 6, 3)]
-    far.hear_zone(0.1, 2, rows)
-    changed, changed_far = one.weigh(0.2, lives), far.weigh(0.2, lives)
+    far.update_zone(0.1, 2, rows)
+    changed, changed_far = one.update_verdicts(0.2, lives), far.update_verdicts(0.2, lives)
     assert changed == changed_far and changed[0].after is Verdict.SOUR and changed[0].reporters == 3
-    assert far.against(7)[2] == ["zone 2"] and far.any_sour()
+    assert far.details(7)[2] == ["zone 2"] and far.any_sour()
 
 
 def test_gateways_hear_their_zone_by_words_and_another_by_reports(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -288,8 +288,8 @@
         first, last = fleet.ips[0], fleet.ips[-1]
         row = Row("i-1", "s", "10.1.0.1", 1, "zone-0", "v1", 2, 0, 0.0, 1)
         for one in fleet.all.values():
-            one.register.take(fleet.now, row)
-            one.copies.get(fleet.now, one.register.lives["i-1"])
+            one.register.merge(fleet.now, row)
+            one.instances.get(fleet.now, one.register.entries["i-1"])
         for _ in range(2):
             fleet.kinds.clear()
             fleet.now += PERIOD
@@ -300,8 +300,8 @@
                     1, one.register.digest, 3, first, (first,), use, beats=beats, carries=ip in fleet.carriers
                 )
                 one.gossip.tell_all(WORD, encode(word))
-                one.gossip.tell_all(OUT, pack_out([(mark("i-1"), 1)]))
-                one.gossip.tell_all(HEALTH, pack_health([(mark("i-1"), 0, 3)] if ip == first else []))
+                one.gossip.tell_all(OUT, pack_out([(id_hash("i-1"), 1)]))
+                one.gossip.tell_all(HEALTH, pack_health([(id_hash("i-1"), 0, 3)] if ip == first else []))
             fleet.deliver()
             for one in fleet.all.values():
                 one.gossip.reports.turn(fleet.now)
@@ -315,9 +315,9 @@
             assert usage.heard_all() and usage.in_reach(fleet.now, last if ip != last else first)
             # Its own zone's others by words; the other zone without what its speaker has let through itself.
             assert usage.elsewhere(TENANT).newest == 2 * near + 2 * near
-            copy = one.copies.marks[mark("i-1")]
-            assert copy.elsewhere == near + near and copy.life.row.calls == int(fleet.now * 10)
+            copy = one.instances.by_hash[id_hash("i-1")]
+            assert copy.in_flight_elsewhere == near + near and copy.entry.row.calls == int(fleet.now * 10)
             assert one.core.heard == (3, first, (first,))
-            assert one.copies.watch.zones or one.membership.swim.me.zone == 0
+            assert one.instances.health.zone_reports or one.membership.swim.me.zone == 0
 
     play(scene)
--- a/tests/lab/test_abroad.py
+++ b/tests/lab/test_abroad.py
@@ -9,7 +9,7 @@
 
 from coralvale.cli import main as command
 from coralvale.cluster.errors import Problem
-from coralvale.cluster.routing.home import Home
+from coralvale.cluster.routing.home import HomeRegion
 from coralvale.lab import abroad
 from coralvale.lab.model import LabError
 from coralvale.lab.souring import Broken
@@ -63,29 +63,29 @@
     )
 
 
-class Anywhere(Home):
+class Anywhere(HomeRegion):
     """A gateway abroad takes it."""
 
-    def refuses(self, now: float, route: str) -> Problem | None:
+    def refusal(self, now: float, route: str) -> Problem | None:
         return None
 
 
-class NoLease(Home):
+class NoLease(HomeRegion):
     """One that is cut off goes on."""
 
-    def fresh(self, now: float) -> bool:
+    def lease_valid(self, now: float) -> bool:
         return True
 
 
-class AnyHost(Home):
+class AnyHost(HomeRegion):
     """Hosts abroad get it."""
 
-    def move(self, region: str, zones: object) -> None:
-        super().move(region, dict.fromkeys(zones, region))  # type: ignore[call-overload]
+    def set_regions(self, region: str, zones: object) -> None:
+        super().set_regions(region, dict.fromkeys(zones, region))  # type: ignore[call-overload]
 
 
 @pytest.mark.parametrize("kind", [Anywhere, NoLease, AnyHost])
-def test_the_checker_finds_each_rule_that_is_taken_out(tmp_path: Path, kind: type[Home]) -> None:
+def test_the_checker_finds_each_rule_that_is_taken_out(tmp_path: Path, kind: type[HomeRegion]) -> None:
     class Without(abroad.Abroad):
         home_made = kind
 
--- a/tests/lab/test_souring.py
+++ b/tests/lab/test_souring.py
@@ -54,8 +54,8 @@
 class SendsAgain(router.Router):
     """A booking whose answer was lost is sent again."""
 
-    def ended(self, now: float, job: router.Job, *rest: Any) -> Problem | None:
-        super().ended(now, job, *rest)
+    def try_ended(self, now: float, job: router.Job, *rest: Any) -> Problem | None:
+        super().try_ended(now, job, *rest)
         return None if job.tries < 3 else Problem(router.Kind.MAYBE_RUN)
 
 
