--- a/coralvale/cluster/host_health/__init__.py
+++ b/coralvale/cluster/host_health/__init__.py
@@ -1,1 +1,1 @@
-"""Shared health: what all gateways find of a copy, and what each concludes of it."""
+"""Health of instances, judged by the results that all gateways share."""
--- a/coralvale/cluster/regions.py
+++ b/coralvale/cluster/regions.py
@@ -1,7 +1,7 @@
-"""The system's own file of bindings, for configurations that cannot carry them: YAML, checked.
+"""The YAML file that binds services to regions, for configurations that cannot carry bindings.
 
-Lease: 10          # s without a word of the core, after which nothing bound is begun
-Bindings:          # services, by patterns of their names, in this order
+Lease: 10          # s without contact to the core, after which no bound request is begun
+Bindings:          # regions by patterns of service names; the first match counts
   "booking-*": "litoral"
 """
 
@@ -21,6 +21,8 @@
 
 @frozen
 class Regions:
+    """Content of the file. `Lease`: s."""
+
     Bindings: dict[str, str] = field(factory=dict)
     Lease: float = LEASE_S
 
@@ -29,17 +31,20 @@
 
 
 def parse(text: str, place: str, zones: Mapping[str, str]) -> Regions:
-    """Raises SettingsError, which names all mistakes. `zones`: of the settings, with their regions."""
+    """Reads and checks the text of a file. Raises SettingsError with all mistakes found.
+
+    `place`: what errors call the file; `zones`: the settings' regions by zone.
+    """
     try:
-        raw: Any = yaml.load(text, Loader=Loader) or {}
-        found: Regions = _converter.structure(raw, Regions)
+        loaded: Any = yaml.load(text, Loader=Loader) or {}
+        found: Regions = _converter.structure(loaded, Regions)
     except yaml.YAMLError as error:
         raise SettingsError(f"{place}: not YAML: {error}") from None
     except (cattrs.BaseValidationError, ValueError, TypeError) as error:
-        told = (
+        lines = (
             cattrs.transform_error(error) if isinstance(error, cattrs.BaseValidationError) else [str(error)]
         )
-        raise SettingsError("\n".join(f"{place}: {line}" for line in told)) from None
+        raise SettingsError("\n".join(f"{place}: {line}" for line in lines)) from None
     wrong = [
         f"Bindings.{pattern}: {region!r} is the region of no zone"
         for pattern, region in found.Bindings.items()
@@ -53,7 +58,7 @@
 
 
 def read(path: str, zones: Mapping[str, str]) -> Regions:
-    """Without a path nothing is bound by a file. Raises SettingsError."""
+    """Reads the file; without a path nothing is bound by one. Raises SettingsError."""
     if not path:
         return Regions()
     try:
--- a/coralvale/cluster/registry/__init__.py
+++ b/coralvale/cluster/registry/__init__.py
@@ -1,1 +1,1 @@
-"""Which hosts there are, by life."""
+"""The registry of hosts."""
--- a/coralvale/cluster/routing/__init__.py
+++ b/coralvale/cluster/routing/__init__.py
@@ -1,1 +1,1 @@
-"""A request's way: route, key, restrictor, host, tries, what may be promised."""
+"""Routing of requests: route, key, rate limit, instance, retries, and what an error may promise."""
--- a/coralvale/cluster/routing/router.py
+++ b/coralvale/cluster/routing/router.py
@@ -1,9 +1,8 @@
-"""A request's way through a gateway, without I/O: what is let in, where it goes, whether again, what is
-promised.
+"""Routing of requests, without I/O: admission, choice of the instance, retries, what an error may promise.
 
-On the ordinary path: route and key in the configuration's snapshot, the tenant's bucket (`limiter`), a copy. A
-request that may run once is sent again, or refused with a promise, only while every earlier try is known not
-to have run.
+Usually a request passes these steps: route and key from the configuration's snapshot, the tenant's token
+bucket (`limiter`), an instance. A request that may run only once is retried, or refused with the promise that
+it has not run, only while every earlier try is known not to have run.
 """
 
 from __future__ import annotations
@@ -22,34 +21,31 @@
 from coralvale.cluster.settings import Bounds
 from coralvale.interface import Outcome
 
-ANSWER_MARGIN_S = 0.025  # s before the client's time is up, for the answer to reach it
-SPARE_TRIES = 2  # beyond the route's, for tries of which no byte was sent
+ANSWER_MARGIN_S = 0.025  # left before the client's timeout, for the answer to reach it
+SPARE_TRIES = 2  # beyond the route's tries, for tries of which no byte was sent
 GOLDEN_RATIO = 0.6180339887498949
-MAX_TOKEN_WAIT_S = 0.15  # s that a request waits for a token of its tenant's quota
-TOKEN_WAIT_FRACTION = (
-    0.22  # of its route's aim, at most: refused within a quarter of it, it can be served in time yet
-)
-RETRY_AFTER_S = 0.25  # s after which a client may come back when no host is there
-DELAY_EWMA_WEIGHT = 0.05  # weight of the newest delay of a route
-INITIAL_DELAY_FRACTION = 0.3  # of a route's aim that an answer is taken to need until some have come
-SILENCE_DELAYS = (
-    6.0  # usual delays without a word of the copy, after which a request that may is sent elsewhere
-)
-FAILURE_BACKOFF_S = 0.5  # s that a failing copy is passed over, doubled on each failure in a row
-WRONG_HOST_BACKOFF_S = 4.0  # s that a copy is passed over at whose address another answers
-FULL_LOAD_FACTOR = (
-    1.5  # times its slots that are at a copy, from which on its failures may be those of a full one
-)
-MAX_SLOWNESS_WEIGHT = 0.3  # weight at most of one answer in a copy's slowness
-HOST_FAILURES = range(500, 600)
-
-
+MAX_TOKEN_WAIT_S = 0.15  # that a request waits for a token of its tenant's quota
+# Upper bound of that wait, as a fraction of the route's target delay: a request that is refused within a
+# quarter of the target can still be served in time.
+TOKEN_WAIT_FRACTION = 0.22
+RETRY_AFTER_S = 0.25  # sent to clients when no host is available
+DELAY_EWMA_WEIGHT = 0.05  # weight of the newest delay in the moving averages
+INITIAL_DELAY_FRACTION = 0.3  # expected delay as a fraction of the route's target, before any answer came
+SILENCE_DELAYS = 6.0  # expected delays of silence after which a repeatable request is sent elsewhere
+FAILURE_BACKOFF_S = 0.5  # that a failing instance is avoided; doubles with each failure in a row
+WRONG_HOST_BACKOFF_S = 4.0  # that an instance is avoided when another answers at its address (421)
+FULL_LOAD_FACTOR = 1.5  # load per slot from which failures may be those of overload
+MAX_SLOWNESS_WEIGHT = 0.3  # upper bound of one answer's weight in an instance's slowness
+HOST_FAILURES = range(500, 600)  # HTTP statuses
+
+
+# Values of `Router.last_lookup` before the first lookup
 NO_LOOKUP: tuple[Configuration, str, str, tuple[str, Route] | None] = (Configuration(), "", "", None)
 
 
 @define(eq=False)
 class Job:
-    """One request in hand."""
+    """One request from its admission to its answer. Times are of the monotonic clock, s."""
 
     id: bytes
     route_name: str
@@ -57,16 +53,18 @@
     service: str
     tenant: str
     arrived_at: float
-    deadline: float  # when its client, or the operator, waits no longer
-    admitted: Admitted | None = None  # by its tenant's limit
-    waits_for_token: bool = False  # for a token
+    deadline: float  # by the client's timeout or the route's, whichever is earlier
+    admitted: Admitted | None = None  # by its tenant's rate limit
+    waits_for_token: bool = False
     tries: int = 0
-    may_have_run: bool = False  # a try may have run
-    reached_host: bool = False  # a try reached a host, that turned it away or not
+    may_have_run: bool = False
+    reached_host: bool = False  # a try reached a host, whether it was turned away or not
     tried: set[str] = field(factory=set)
 
 
 class Router:
+    """Decides about each request of one gateway; the edge server does what it says."""
+
     def __init__(
         self,
         bounds: Bounds,
@@ -79,17 +77,17 @@
         self.configuration, self.home = Configuration(), instances.home
         self.last_lookup: tuple[Configuration, str, str, tuple[str, Route] | None] = NO_LOOKUP
         self.budgets: dict[str, RetryBudget] = {}
-        self.route_delays: dict[str, float] = {}  # delay of a route's answers, s
-        self.service_delays: dict[str, float] = {}  # of a service's, s
-        self.split_positions: dict[str, float] = {}  # by route with a split, where its turn stands, 0 to 1
+        self.route_delays: dict[str, float] = {}  # moving average of answers' delays by route, s
+        self.service_delays: dict[str, float] = {}  # the same by service, s
+        self.split_positions: dict[str, float] = {}  # by route with a split: position in its cycle, 0 to 1
 
     def take_configuration(self, configuration: Configuration) -> bool:
-        """A newer configuration is in force from now on; an older one never is again."""
+        """Puts a newer configuration in force; returns False for one that is not newer."""
         if configuration.version <= self.configuration.version:
             return False
         self.configuration = configuration
         self.home.take_configuration(configuration)
-        self.instances.candidates.clear()  # what binds a service may have changed
+        self.instances.candidates.clear()  # bindings to regions may have changed
         services = configuration.services()
         self.service_delays = {name: value for name, value in self.service_delays.items() if name in services}
         routes = configuration.items.get("Routes", {})
@@ -97,25 +95,28 @@
         self.split_positions = {name: value for name, value in self.split_positions.items() if name in routes}
         return True
 
-    # In
+    # Admission
 
     def check_head(self, now: float, host: str, path: str) -> Problem | None:
-        """What can be said on a request's head alone: that it is bound elsewhere. Nothing of it is kept."""
+        """Decides by the request's head alone whether it is bound to another region. Keeps nothing of it."""
         if not self.home.routes or (found := self._find_route(host, path)) is None:
             return None
-        if foreign := self.home.refusal(now, found[0]):
+        if refusal := self.home.refusal(now, found[0]):
             self._count_foreign(now, found[0])
-        return foreign
+        return refusal
 
     def _count_foreign(self, now: float, route: str) -> None:
-        """Refused: it is counted, and nothing else of it is kept."""
+        """Counts a request that was refused as foreign, and forgets its path."""
         self.home.count_refused(now, route)
         self.last_lookup = NO_LOOKUP
 
     def admit(
         self, now: float, id_: bytes, host: str, path: str, key: str | None, left: float
     ) -> Job | Problem:
-        """`left`: s that the client will wait."""
+        """Admits a request, or says why not. `id_`: its request ID; `left`: s until the client's timeout.
+
+        The job may still wait for a token of its tenant's quota (`Job.waits_for_token`).
+        """
         configuration = self.configuration
         if not configuration.version:
             return Problem(Kind.NO_CONFIGURATION, retry_after=RETRY_AFTER_S)
@@ -123,9 +124,9 @@
         if found is None:
             return Problem(Kind.NO_ROUTE, f"{host}{path}")
         name, route = found
-        if self.home.routes and (foreign := self.home.refusal(now, name)):
+        if self.home.routes and (refusal := self.home.refusal(now, name)):
             self._count_foreign(now, name)
-            return foreign
+            return refusal
         tenant = configuration.keys.get(key, "") if key is not None else ""
         if not tenant and not route.Public and configuration.tenants():
             return Problem(Kind.NO_KEY)
@@ -147,7 +148,7 @@
         return job
 
     def apply_verdict(self, job: Job, verdict: Admitted | Refused) -> Problem | None:
-        """What the limiter says of a request, at once or after it waited for a token."""
+        """Takes the rate limiter's verdict on a request, immediate or after a wait for a token."""
         job.waits_for_token = False
         if isinstance(verdict, Refused):
             return Problem(Kind.OVER_QUOTA, job.tenant, retry_after=verdict.wait)
@@ -155,13 +156,13 @@
         return None
 
     def refund(self, now: float, job: Job) -> None:
-        """A request that was let in is not sent: its tenant is not charged for it."""
+        """Gives the token of an admitted request that reached no host back to its tenant."""
         if job.admitted:
             self.limiter.refund(now, job.tenant, job.admitted)
             job.admitted = None
 
     def _find_route(self, host: str, path: str) -> tuple[str, Route] | None:
-        """The route; looked for once where a request's head and then the request are asked about."""
+        """The route of a request. The last result is cached, for the request that follows its head."""
         configuration, newest = self.configuration, self.last_lookup
         if newest[0] is configuration and newest[2] == path and newest[1] == host:
             return newest[3]
@@ -171,11 +172,12 @@
         return found
 
     def _choose_service(self, name: str, route: Route) -> str:
+        """The service that a route's next request goes to, by the weights of its split if it has one."""
         if not route.Split:
             return route.Svc
         parts = [p for p in route.Split if p.Wt > 0]
-        # Multiples of the golden ratio fill the unit interval evenly: each part gets its weight's share of the
-        # requests to within a few, where drawing by lot would miss it by their root.
+        # Multiples of the golden ratio fill the unit interval evenly: each part gets its share of the
+        # requests to within a few, while a random choice would be off by about the root of their number.
         self.split_positions[name] = at = (
             self.split_positions.get(name, self.rng.random()) + GOLDEN_RATIO
         ) % 1.0
@@ -195,24 +197,26 @@
         return budget
 
     def _drop_idle_budgets(self, now: float) -> None:
-        """Of services that are gone: what was used of them counts for a window more, also where a service of
-        that name comes back."""
+        """Drops budgets of removed services, once nothing of their last window counts any more.
+
+        So a service that is removed and added again does not get a fresh budget.
+        """
         services = self.configuration.services()
         for name in [n for n, b in self.budgets.items() if n not in services and b.is_idle(now)]:
             del self.budgets[name]
 
     def _budget_allows_retry(self, now: float, service: str) -> bool:
-        """Whether the budget of further tries has one more."""
+        """Whether the service's retry budget allows one more try."""
         return self._budget(now, service).allows(now, self.limiter.holding.share(now))
 
-    # A try
+    # Tries
 
     def pick(self, now: float, job: Job) -> Instance | Problem:
-        """The copy that the next try goes to."""
+        """Begins the next try: returns the instance that it goes to, or the problem that ends the request."""
         if now >= job.deadline:
             return self.time_out(now, job)
-        if self.home.routes and (foreign := self.home.refusal(now, job.route_name)):
-            return self._failed(now, job, foreign.kind.value)
+        if self.home.routes and (refusal := self.home.refusal(now, job.route_name)):
+            return self._failed(now, job, refusal.kind.value)
         if job.reached_host and not self._budget_allows_retry(now, job.service):
             return self._failed(now, job, "the budget of further tries is used up")
         pace, once = self.service_delays.get(job.service, 0.2), not job.route.repeatable
@@ -224,7 +228,7 @@
                 if job.tries
                 else self._refuse(now, job, Kind.NO_HOST)
             )
-        if job.reached_host:  # the first that arrives is no further one
+        if job.reached_host:  # the first try that reaches a host is no retry
             self._budget(now, job.service).charge(now)
         job.tries += 1
         job.tried.add(instance.entry.id)
@@ -232,7 +236,7 @@
         return instance
 
     def silence_timeout(self, now: float, job: Job) -> float | None:
-        """Seconds after which a try whose copy has said nothing at all may be given up for another."""
+        """Seconds after which a try at a silent instance may be abandoned for another; None: never."""
         if not job.route.repeatable or job.tries >= job.route.Tries:
             return None
         usual = self.expected_delay(job)
@@ -240,17 +244,18 @@
         return wait if now + wait + usual < job.deadline else None
 
     def expected_delay(self, job: Job) -> float:
+        """Expected delay of an answer on the job's route, s."""
         return (
             self.route_delays.get(job.route_name)
             or INITIAL_DELAY_FRACTION * (job.route.TargetMs or job.route.TimeoutMs) / 1000
         )
 
     def is_silent(self, now: float, instance: Instance, sent_at: float) -> bool:
-        """Whether a copy has answered nobody since a try was sent there."""
+        """Whether an instance has answered none of this gateway's requests since `sent_at`."""
         return instance.heard_at <= sent_at
 
     def try_unsent(self, job: Job, instance: Instance, number: int) -> None:
-        """A try ended before any byte of it was written."""
+        """A try was cancelled before any byte of it was written."""
         instance.out.pop((job.id.decode("latin-1"), number), None)
 
     def try_ended(
@@ -263,7 +268,11 @@
         status: int,
         delay: float,
     ) -> Problem | None:
-        """A try has ended. None: try again, or, for OK, its answer is the client's."""
+        """Takes the end of a try; `delay`: s since it was sent.
+
+        Returns None if the request goes on: for `Outcome.OK` with the host's answer to the client, else with
+        another try. Returns a problem if the request ends.
+        """
         instance.out.pop((job.id.decode("latin-1"), number), None)
         self._record_outcome(now, job, instance, outcome, status, delay)
         if outcome is Outcome.OK and not self._failure(job, status):
@@ -272,7 +281,7 @@
         job.may_have_run = job.may_have_run or end.may_have_run
         job.reached_host = job.reached_host or end.arrived
         if not end.arrived:
-            # Nothing arrived anywhere: neither the hosts' budget nor the route's tries are used.
+            # No host got anything: it counts neither against the retry budget nor against the route's tries.
             if job.tries >= job.route.Tries + SPARE_TRIES:
                 return self._failed(now, job, "no copy took it")
         elif job.tries >= job.route.Tries:
@@ -282,11 +291,11 @@
         return None
 
     def _failure(self, job: Job, status: int) -> bool:
-        """Whether a host's own answer is a failure that another may not have."""
+        """Whether a host's answer is a failure (5xx) of a request that may be repeated elsewhere."""
         return status in HOST_FAILURES and job.route.repeatable
 
     def may_retry_answer(self, now: float, job: Job, status: int) -> bool:
-        """Whether a host's failure is better tried elsewhere than passed on."""
+        """Whether a host's failure should be retried elsewhere rather than passed on."""
         return (
             self._failure(job, status)
             and job.tries < job.route.Tries
@@ -305,7 +314,7 @@
         return Problem(kind, why, retry_after=RETRY_AFTER_S)
 
     def time_out(self, now: float, job: Job) -> Problem:
-        """Its time is over."""
+        """The problem of a request whose deadline has passed."""
         if job.may_have_run:
             return Problem(Kind.LATE)
         return self._refuse(now, job, Kind.NOT_SENT_IN_TIME)
@@ -314,14 +323,15 @@
         self, now: float, job: Job, instance: Instance, outcome: Outcome, status: int, delay: float
     ) -> None:
         if outcome not in (Outcome.CANCELLED, Outcome.NOT_SENT):
-            # What turns away, resets or keeps silent as it is full is not ill; without such load it is.
+            # Refusals, resets and silence come from overload at a full instance, and are not held against its
+            # health; at an instance with less load they are.
             full = (
                 outcome is not Outcome.OK and instance.load_estimate(now) >= FULL_LOAD_FACTOR * instance.slots
             )
             slow = outcome is Outcome.TIMEOUT and not self.is_silent(now, instance, now - delay)
             if not (full or slow or status == 421):
-                well = outcome is Outcome.OK and status not in HOST_FAILURES
-                self.instances.health.note(now, instance.id_hash, well)
+                succeeded = outcome is Outcome.OK and status not in HOST_FAILURES
+                self.instances.health.note(now, instance.id_hash, succeeded)
         if outcome is Outcome.OK:
             usual = self.expected_delay(job)
             instance.slow += min(MAX_SLOWNESS_WEIGHT, 0.1) * (delay / usual - instance.slow)
--- a/coralvale/cluster/routing/tries.py
+++ b/coralvale/cluster/routing/tries.py
@@ -1,15 +1,16 @@
-"""What the end of a try says of its request: the one table by which a request is repeated, and promised for.
+"""What each end of a try means for its request: the one table that decides on retries and on promises.
 
     state        what the host has                         may have run  again if mutating  promise if last
     NOT_WRITTEN  nothing, or a request without its end     no            yes                it has not run
-    TURNED_AWAY  all, and its word that it did not run it  no            yes                it has not run
+    TURNED_AWAY  all, and answered that it did not run it  no            yes                it has not run
     WRITTEN      all, or nobody knows; no whole answer     yes           no                 none
     ANSWERED     all, and it has answered                  yes           no                 none
 
-A request that may run once is sent again, or refused with a promise, only while each of its tries has ended in
-one of the first two. Requests that may be repeated are sent again in all but the last, within the route's tries
-and the service's budget. Sources: PROTOCOL, hosts (421 and `X-Myrtlehatch-Not-Executed` are a host's word);
-`coralvale.net.transport` for when an outcome is reported.
+A request that may run only once is sent again, or refused with a promise, only while each of its tries has
+ended in one of the first two states. A request that may be repeated is sent again in all but the last, within
+the route's tries and the service's retry budget. Sources: PROTOCOL, hosts (421 and
+`X-Myrtlehatch-Not-Executed` say that a host did not run a request); `coralvale.net.transport` for when an
+outcome is reported.
 """
 
 from __future__ import annotations
@@ -23,6 +24,8 @@
 
 @unique
 class TryState(Enum):
+    """How far a try got, see the table above."""
+
     NOT_WRITTEN = "not written"
     TURNED_AWAY = "turned away"
     WRITTEN = "written"
@@ -31,14 +34,14 @@
 
 @frozen
 class TryEnd:
-    """`arrived`: a host got it, so that it counts as a try of the route and against the budget."""
+    """Meaning of one outcome. `arrived`: a host got the request, so the try counts for route and budget."""
 
     state: TryState
     arrived: bool
     may_have_run: bool
 
     def may_repeat(self, repeatable: bool) -> bool:
-        """Whether a request may be sent again as far as this try is concerned."""
+        """Whether this try allows its request to be sent again."""
         return self.state is not TryState.ANSWERED and (repeatable or not self.may_have_run)
 
 
--- a/coralvale/cluster/sending.py
+++ b/coralvale/cluster/sending.py
@@ -1,5 +1,8 @@
-"""An operator's change, sent until it gets a clear answer (PROTOCOL, the operator): to one gateway after another,
-unchanged, with a growing pause. No clear answer means that it may or may not be in force."""
+"""Sending an operator's change until it gets a definite answer (PROTOCOL, the operator).
+
+The unchanged request goes to one gateway after another, with growing delays. Without a definite answer the
+change may or may not be in force.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +15,14 @@
 
 from attrs import frozen
 
-ANSWER_TIMEOUT_S = 3.0  # s for one answer
-RETRY_DELAYS_S = (0.1, 0.2, 0.4, 0.8, 1.5)  # s until the next gateway is asked
-DEFINITE_STATUSES = {200, 400, 401, 403, 404, 409, 412, 413, 422}
+ANSWER_TIMEOUT_S = 3.0  # of one request
+RETRY_DELAYS_S = (0.1, 0.2, 0.4, 0.8, 1.5)  # before the next gateway is asked; the last one repeats
+DEFINITE_STATUSES = {200, 400, 401, 403, 404, 409, 412, 413, 422}  # the change is taken, or refused for good
 
 
 @frozen
 class Sent:
-    """`status` 0: no clear answer."""
+    """How it ended. `status`: of the HTTP answer, 0 without a definite one; `gateway`: the last one asked."""
 
     status: int
     gateway: str
@@ -28,7 +31,10 @@
 
 
 def post(gateway: str, path: str, body: bytes, **headers: str) -> tuple[int, bytes]:
-    """One call of a gateway. Raises OSError where none answers."""
+    """Sends one call to a gateway; returns status and body. Raises OSError if it does not answer.
+
+    `headers`: underscores in their names stand for hyphens.
+    """
     request = urllib.request.Request(f"http://{gateway}{path}", data=body, method="POST")
     request.add_header("Content-Type", "application/json")
     for name, value in headers.items():
@@ -37,7 +43,7 @@
 
 
 def get(gateway: str, path: str, timeout: float) -> tuple[int, bytes]:
-    """One question to a gateway, which answers within `timeout` s. Raises OSError where none answers."""
+    """Asks a gateway, with a timeout in s; returns status and body. Raises OSError if it does not answer."""
     return _answer(urllib.request.Request(f"http://{gateway}{path}"), timeout)
 
 
@@ -51,7 +57,7 @@
 
 
 def call_of(change: Any) -> str:  # noqa: ANN401
-    """The call that a change is sent by. Raises ValueError where it is none."""
+    """The name of the call for a change. Raises ValueError if it is not a change."""
     if not isinstance(change, dict) or not isinstance(change.get("Ver"), int):
         raise ValueError("expected an object with a number Ver")
     if "Upsert" in change or "Remove" in change:
@@ -73,7 +79,11 @@
     clock: Callable[[], float] = time.monotonic,
     sleep: Callable[[float], object] = time.sleep,
 ) -> Sent:
-    """Sends a change until it is taken or refused, for `timeout` s; `told` hears of each unclear try."""
+    """Sends a change until it is taken or refused, for at most `timeout` s.
+
+    `base`: the version that it builds on; `on_unclear`: called with a line of text after each try without a
+    definite answer.
+    """
     path, body = f"/rpc?call={call_of(change)}", json.dumps(change).encode()
     ends, tries, status, reason, gateway = clock() + timeout, 0, 0, "", ""
     while True:
@@ -87,7 +97,7 @@
         if status in DEFINITE_STATUSES:
             return Sent(status, gateway, reason, tries)
         on_unclear(f"{gateway}: {status or 'no answer'} {reason}")
-        pause = RETRY_DELAYS_S[min(tries, len(RETRY_DELAYS_S)) - 1]
-        if clock() + pause >= ends:
+        delay = RETRY_DELAYS_S[min(tries, len(RETRY_DELAYS_S)) - 1]
+        if clock() + delay >= ends:
             return Sent(0, gateway, reason, tries)
-        sleep(pause)
+        sleep(delay)
