--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -1,18 +1,18 @@
-"""What the cluster's decisions cost, beside the present program's in the same run, and how it grows with
-gateways.
-
-  request   CPU of a request's decisions: route, key, bucket, copy, answer. Beside `coralvale.Gateway.handle` for
-            a request and its answer, with as many hosts; and with every service bound to a region.
-  fleet     for 12, 68, 96 and 500 gateways: CPU of one step of the quotas' metering and of one word heard, bytes
-            that a gateway sends in a second when idle and under load, and of them between zones; datagrams that
-            it sends and gets a second. In a large fleet words are joined by carriers: what one that carries and
-            one that does not send and get, beside all telling all in the same run.
+"""CPU cost of the cluster's decisions beside the single-process gateway's, and how it grows with the fleet.
+
+  request   CPU of the decisions about one request: route, key, bucket, instance, answer. Compared with
+            `coralvale.Gateway.handle` for a request and its answer with as many hosts, in the same run; also
+            with every service bound to a region.
+  fleet     for 12, 68, 96 and 500 gateways: CPU of one step of quota metering and of one received report;
+            bytes per second that a gateway sends, idle and under load, and of them between zones; datagrams
+            per second that it sends and receives. In a large fleet carriers batch the reports: what a carrier
+            and another gateway send and receive, compared with all-to-all in the same run.
   change    CPU of one change by name in a configuration of 5,000 routes, and of finding a route in it.
-  live      gateways as processes on loopback, three with disks: ms from an acknowledgement to the last gateway
-            that follows it, and s from the start of all after a kill of all until the first and the last are
-            ready. The machine's cores are shared by all of them.
+  live      gateways as processes on loopback, three with disks: ms from an acknowledgement until the last
+            gateway has the change, and s from the restart of all after a kill of all until the first and the
+            last are ready. All share the machine's cores.
 
-Ends with one JSON line.
+Prints one line of JSON at the end.
 """
 
 from __future__ import annotations
@@ -71,7 +71,7 @@
 
 
 def microseconds(what: Callable[[], object], rounds: int) -> float:
-    """CPU of one call, the best of five goes."""
+    """CPU of one call in microseconds, the best of five runs."""
     best = float("inf")
     for _ in range(5):
         begun = time.process_time()
@@ -82,7 +82,7 @@
 
 
 def cluster_request(now: list[float], bound: bool = False) -> Callable[[], object]:
-    """`bound`: every route is bound to this gateway's region."""
+    """A function that decides on one request. `now`: clock, s; `bound`: routes are bound to its region."""
     register = Register(1.5)
     for n in range(HOSTS):
         register.merge(0.0, Row(f"i-{n}", "s", "10.0.0.1", n + 1, "z", "v", 4, 0, 0.0, 1))
@@ -104,7 +104,7 @@
         if now[0] - limiter.stepped >= PERIOD:
             limiter.step(now[0])
             limiter.told(now[0])
-        if home.routes:  # as the shell does, once the head is there
+        if home.routes:  # as the edge server does for each head
             router.check_head(now[0], "a.example", "/p3/x")
         job = router.admit(now[0], b"id", "a.example", "/p3/x", "k3", 1.5)
         assert isinstance(job, Job)
@@ -115,7 +115,7 @@
     return request
 
 
-def present_request(now: list[float]) -> Callable[[], object]:
+def single_process_request(now: list[float]) -> Callable[[], object]:
     settings = api.Settings(
         gateways=12,
         zone=0,
@@ -140,23 +140,26 @@
     return request
 
 
-def carried(gateways: int, zones: int, word: int, out: int) -> dict[str, float]:
-    """Ten seconds of a zone's two carriers, by the batch itself: words of all, what is out in the own zone."""
+def carrier_traffic(gateways: int, zones: int, word: int, out: int) -> dict[str, float]:
+    """Traffic of a zone's two carriers over ten seconds, counted on real batches.
+
+    They carry reports of all gateways and in-flight counts of their own zone. `word`, `out`: sizes in bytes.
+    """
     chance, near = random.Random(3), gateways // zones
     every = max(CARRIED_OUT_EVERY, near * CARRIED_OUT_BYTES / (OUT_SHARE * 2e6 / 8))
-    told = []
+    sent_datagrams = []
     for number in range(gateways):
         ip = f"10.0.{number >> 8}.{number & 255}"
         for kind, size, period in ((b"W", word, PERIOD), (b"O", out, every)):
             if kind == b"W" or number < near:
                 at = period * chance.random()
                 while at < 10.0:
-                    told.append((at, ip, kind + bytes(size), kind == b"W" and number < near))
+                    sent_datagrams.append((at, ip, kind + bytes(size), kind == b"W" and number < near))
                     at += period
-    told.sort()
+    sent_datagrams.sort()
     got = size = 0
     slots: list[dict[int, RelayBatch]] = [{}, {}]
-    for n, (at, ip, whole, onward) in enumerate(told):
+    for n, (at, ip, whole, onward) in enumerate(sent_datagrams):
         slots[n % 2].setdefault(int(at / EVERY), RelayBatch()).add(ip, whole, onward)
     sent = 0
     for of in slots:
@@ -168,14 +171,14 @@
     own = 1 / PERIOD + 1 / every
     return {
         "datagrams_s": round(own + got / 10),
-        "carrier_datagrams_s": round((sent / 2 + len(told) / 2) / 10),
+        "carrier_datagrams_s": round((sent / 2 + len(sent_datagrams) / 2) / 10),
         "got_bytes_s": round(size / 10),
         "carrier_bytes_s": round(size * near / 2 / 10),
     }
 
 
 def fleet(gateways: int, zones: int, quick: bool) -> dict[str, float]:
-    """One gateway of many: 80 tenants, of whom each gateway has let through some; 2 copies a gateway."""
+    """Costs of one gateway of many: 80 tenants, of which each gateway serves some; 2 instances a gateway."""
     tenants, limiter, chance = 80, RateLimiter(RULE), random.Random(2)
     use = {f"t{n}": (chance.randrange(1, 9), chance.randrange(3)) for n in range(tenants // 2)}
     others = [f"10.0.{n >> 8}.{n & 255}" for n in range(gateways - 1)]
@@ -189,11 +192,11 @@
         at[0] += PERIOD
         limiter.step(at[0])
 
-    def heard() -> None:
+    def report_received() -> None:
         limiter.usage.hear(at[0], others[0], use, False)
 
-    def word(told: dict[str, tuple[int, int]]) -> int:
-        return len(encode(Word(9, 1 << 31, 5, "10.0.0.1", (), pack_use(told), False, [("i-7f3a91c2", 40)])))
+    def word(usage: dict[str, tuple[int, int]]) -> int:
+        return len(encode(Word(9, 1 << 31, 5, "10.0.0.1", (), pack_use(usage), False, [("i-7f3a91c2", 40)])))
 
     sends = (gateways - 1) / zones + zones - 1
     changed = dict(list(use.items())[: tenants // 8])
@@ -202,8 +205,8 @@
     near = gateways / zones - 1
     out = len(pack_out([(n, 1) for n in range(6)])) + 1 + UDP
     words = (word(changed) + 1 + UDP) / PERIOD
-    # To each near one; to one in each other zone; and, in its turn, what comes from there to each near one.
-    apart = gateways - 1 <= MANY  # else other zones are told of it in words
+    # To each gateway of the zone, to one of each other zone, and what comes from there to each of the zone.
+    apart = gateways - 1 <= MANY  # in-flight counts are sent apart; else other zones get them in reports
     far = out / every if apart else (out - 1 - UDP) / PERIOD
     loaded = words * (near + zones - 1) + out * near / every + far * (zones - 1)
     passed = (words + far) * (zones - 1) * near
@@ -213,11 +216,11 @@
         return 2 * ((1 / PERIOD + 1 / every) * near + abroad + abroad * near)
 
     rounds = 20 if quick else 200
-    joined = carried(gateways, zones, word(changed) + out, out - UDP) if not apart else {}
+    joined = carrier_traffic(gateways, zones, word(changed) + out, out - UDP) if not apart else {}
     return {
         "gateways": gateways,
         "step_us": round(microseconds(step, rounds), 1),
-        "heard_us": round(microseconds(heard, rounds * 5), 2),
+        "heard_us": round(microseconds(report_received, rounds * 5), 2),
         "idle_bytes_s": round(idle * sends),
         "loaded_bytes_s": round(loaded + passed),
         "between_zones_bytes_s": round((words + far) * (zones - 1)),
@@ -251,30 +254,30 @@
     }
 
 
-def moment(line: str) -> float:
-    """Seconds of the day of a line of a log."""
+def log_time(line: str) -> float:
+    """Time of a log line, in seconds of the day."""
     hours, minutes, seconds = line.split(" ", 1)[0].split(":")
     return int(hours) * 3600 + int(minutes) * 60 + float(seconds)
 
 
 async def live(gateways: int) -> dict[str, float]:
-    """A cluster on loopback: one change, then a kill of all."""
+    """Times on a cluster on loopback: one change, then a kill and a restart of all."""
     net = f"127.{os.getpid() % 200 + 20}.{gateways}"
     cluster = await LocalCluster(gateways, 3, net).start()
 
     def lines(event: str) -> list[float]:
-        """When each gateway's log has it last."""
+        """When each gateway last logged an event, in seconds of the day; NaN if never."""
         found = []
         for number in range(gateways):
-            told = [moment(line) for line in cluster.log(number).splitlines() if event in line]
-            found.append(told[-1] if told else math.nan)
+            times = [log_time(line) for line in cluster.log(number).splitlines() if event in line]
+            found.append(times[-1] if times else math.nan)
         return found
 
     async def all_have(event: str) -> None:
         await cluster.until(lambda: not any(math.isnan(at) for at in lines(event)), 120.0)
 
     async def all_ready() -> None:
-        """Asks each, as the platform does: one says that it is ready when it is asked."""
+        """Waits until all are ready: a gateway reports that only when it is asked, as the platform does."""
         await asyncio.gather(*(cluster.until(lambda n=n: cluster.ready(n), 120.0) for n in range(gateways)))  # type: ignore[misc]
 
     try:
@@ -310,7 +313,10 @@
     arguments.add_argument("--quick", action="store_true", help="fewer rounds")
     quick = arguments.parse_args().quick
     rounds = 400 if quick else 4000
-    ours, present = microseconds(cluster_request([0.0]), rounds), microseconds(present_request([0.0]), rounds)
+    ours, present = (
+        microseconds(cluster_request([0.0]), rounds),
+        microseconds(single_process_request([0.0]), rounds),
+    )
     times = ours / present
     at_home = microseconds(cluster_request([0.0], bound=True), rounds)
     print(f"bound to a region: {at_home:.1f} us, {at_home / ours:.2f} times")
--- a/tests/cluster/test_budget.py
+++ b/tests/cluster/test_budget.py
@@ -1,4 +1,4 @@
-"""The budget of further tries: all gateways together, whoever is killed, joins, or is taken a share."""
+"""The retry budget of all gateways together, while gateways are killed, join, or lose a share."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 RATIO, WINDOW, EXTRA = 0.2, 10.0, 64.0
 
 
-def test_further_tries_stay_within_the_budget_and_use_it() -> None:
+def test_retries_stay_within_the_budget_and_use_most_of_it() -> None:
     budget, tries, owned = RetryBudget(RATIO, WINDOW, EXTRA), deque[float](), FleetShare(1 / 12, -math.inf)
     total = 0
     for n in range(2000):
@@ -35,7 +35,7 @@
 
 
 class Process:
-    """A gateway that tries all that it is sent again, as often as its budget lets it."""
+    """A gateway that retries each request whenever its budget allows it."""
 
     def __init__(self, now: float, holding: Holding) -> None:
         self.born, self.holding = now, holding
@@ -46,8 +46,10 @@
 
 
 def worst_window(seed: int) -> float:
-    """Of what the rule allows, the most that arrives again in a window, while processes are killed time and
-    again, all of them at once too, and an owner's cells go to one that is new."""
+    """The most retries within a window as a fraction of what the rule allows.
+
+    Processes are killed again and again, sometimes all at once, and an owner's cells move to a new gateway.
+    """
     chance, now, worst = random.Random(seed), 0.0, 0.0
     count = chance.choice((3, 12, 40))
     names = [f"g{n}" for n in range(count + 1)]
@@ -73,7 +75,7 @@
             given = CellsOf(names[-1], tuple(c for c, owner in enumerate(table.owners) if owner == "g0"))
             newer = even_table(names[:-1])
             assert newer.deliver(pack_change(ShareChange(newer.version, (given,))))
-            for name in ("g0", names[-1]):  # the owner lets go first
+            for name in ("g0", names[-1]):  # the old owner gives them up first
                 holdings[name].take(now, math.inf, newer)
         process = processes[chance.choice(names)]
         process.budget.record_request(now)
@@ -95,12 +97,12 @@
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_no_schedule_of_kills_and_moves_passes_the_budget(seed: int) -> None:
-    """Before, a process began with its whole part of the extra, whatever the one before it had used."""
+def test_kills_and_moved_cells_do_not_exceed_the_budget(seed: int) -> None:
+    """Guards against a process that starts with its whole part of the extra, used up by its predecessor."""
     assert worst_window(seed) <= 1
 
 
-def test_the_schedules_find_a_reserve_that_begins_full(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_the_schedules_detect_a_bucket_that_starts_full(monkeypatch: pytest.MonkeyPatch) -> None:
     begin = RetryTokenBucket.refill
 
     def full(self: RetryTokenBucket, now: float, owned: FleetShare) -> None:
@@ -110,7 +112,7 @@
     assert sum(worst_window(seed) > 1 for seed in range(24)) >= 3
 
 
-def test_what_is_owned_fills_loses_with_its_share_and_ends_with_the_lease() -> None:
+def test_the_bucket_refills_shrinks_with_its_share_and_ends_with_the_lease() -> None:
     reserve = RetryTokenBucket(WINDOW, EXTRA)
     reserve.refill(0.0, FleetShare(0.0, math.inf))
     assert reserve.is_idle(0.0) and not reserve.tokens
@@ -120,7 +122,7 @@
     reserve.refill(10.0, FleetShare(0.25, 8.0))
     assert reserve.tokens == pytest.approx(filled / WINDOW)
     reserve.refill(10.0, FleetShare(0.5, 8.0))
-    assert reserve.tokens == pytest.approx(filled / WINDOW)  # more of it brings none
+    assert reserve.tokens == pytest.approx(filled / WINDOW)  # a larger share adds no tokens
     reserve.refill(1000.0, FleetShare(0.5, 8.0))
     assert reserve.tokens == pytest.approx(budgets.USABLE_FRACTION * budgets.DEPTH_FRACTION * EXTRA * 0.5)
     holding = alone().holding
@@ -129,9 +131,9 @@
     assert holding.share(0.0).share == 0
 
 
-def test_a_try_is_paid_for_by_what_was_earned_first_and_by_a_part_of_each() -> None:
+def test_a_retry_is_paid_from_earnings_first_and_the_rest_from_the_bucket() -> None:
     budget, owned = RetryBudget(RATIO, WINDOW, EXTRA), FleetShare(1.0, -math.inf)
-    for _ in range(4):  # they earn 0.64 of a try
+    for _ in range(4):  # they earn 0.64 of a retry
         budget.record_request(0.0)
     assert budget.allows(0.0, owned)
     reserve = budget.reserve.tokens
@@ -140,7 +142,7 @@
     assert not budget.is_idle(0.0) and not budget.is_idle(WINDOW) and budget.is_idle(30.0)
 
 
-def test_a_service_that_goes_and_comes_back_keeps_what_was_used() -> None:
+def test_a_service_that_is_removed_and_added_again_keeps_its_used_budget() -> None:
     made = router()
     made._budget(0.0, "gone").record_request(0.0)
     made._budget(1.0, "other")
--- a/tests/cluster/test_edge.py
+++ b/tests/cluster/test_edge.py
@@ -1,4 +1,4 @@
-"""The edge on real sockets, between a client and scripted hosts: whose an answer is, and what may be promised."""
+"""The edge server on real sockets, between a client and scripted hosts: matching answers, and promises."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Scene:
-    """One gateway's edge, and as many scripted hosts as asked for."""
+    """One gateway's edge server with a number of scripted hosts."""
 
     async def start(self, hosts: int, config: dict[str, Any] | None = None) -> Scene:
         self.peers = [await Peer().start() for _ in range(hosts)]
@@ -84,8 +84,10 @@
     return answer(status, text, **{name.replace("-", "_"): value for name, value in named.items()})
 
 
-def play(hosts: int, scene: Callable[[Scene], Awaitable[None]], config: dict[str, Any] | None = None) -> None:
-    """`config`: in place of the usual one; {}: none is known yet."""
+def run_scene(
+    hosts: int, scene: Callable[[Scene], Awaitable[None]], config: dict[str, Any] | None = None
+) -> None:
+    """Runs a scene. `config`: replaces the usual configuration; {}: none is known yet."""
 
     async def whole() -> None:
         made = await Scene().start(hosts, config)
@@ -97,8 +99,8 @@
     asyncio.run(whole())
 
 
-async def next_of(scene: Scene) -> Arrived:
-    """The next request, at whichever host."""
+async def next_request(scene: Scene) -> Arrived:
+    """The next request that arrives at any host."""
     waits = [asyncio.ensure_future(peer.next()) for peer in scene.peers]
     done, rest = await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
     for task in rest:
@@ -106,12 +108,12 @@
     return done.pop().result()
 
 
-def test_what_a_host_gets_and_what_it_never_gets() -> None:
+def test_a_host_gets_the_gateways_headers_and_none_that_a_client_forged() -> None:
     async def scene(s: Scene) -> None:
         more = "X-Myrtlehatch-Tenant: other\r\nX-Myrtlehatch-Want-Instance: me\r\n"
         more += "Connection: keep-alive, X-Own\r\nX-Own: 1\r\n"
         asked = asyncio.create_task(s.ask(BOOK, more=more + "X-Kept: yes\r\n", body=b"slot=9"))
-        arrived = await next_of(s)
+        arrived = await next_request(s)
         got = arrived.message
         assert got.first == b"POST /x/y/1?q=1 HTTP/1.1" and got.body == b"slot=9"
         fields = {name: value for name, value in got.headers.items() if name.startswith(b"x-")}
@@ -131,90 +133,90 @@
             and b"x-myrtlehatch-load" not in answered.headers
         )
 
-    play(1, scene)
+    run_scene(1, scene)
 
 
-def test_a_surplus_answer_is_nobodys_whether_at_once_or_in_the_place_of_the_next() -> None:
+def test_a_surplus_answer_of_a_host_is_given_to_no_client() -> None:
     async def scene(s: Scene) -> None:
         for late in (False, True):
             first = asyncio.create_task(s.ask(BOOK, "r-1"))
-            arrived = await next_of(s)
+            arrived = await next_request(s)
             arrived.reply(reply("r-1", b"mine") + (b"" if late else reply("r-1", b"surplus")))
             assert (await first).body == b"mine"
             second = asyncio.create_task(s.ask(BOOK, "r-2"))
-            arrived = await next_of(s)
+            arrived = await next_request(s)
             if late:
                 arrived.reply(reply("r-1", b"surplus"))
             arrived.reply(reply("r-2", b"next"))
             found = await second
             assert (found.status, found.body) == (200, b"next")
 
-    play(1, scene)
+    run_scene(1, scene)
 
 
-def test_what_is_no_answer_of_the_host_to_this_request_is_no_success() -> None:
+def test_an_invalid_or_mismatched_answer_of_a_host_is_an_error() -> None:
     wrong = [
         b"garbage that is no answer\r\n\r\n",
         answer(200, b"unsealed", X_Myrtlehatch_Request_Id="r-1"),
         answer(200, b"nameless", X_Myrtlehatch_Seal="seal"),
         reply("r-1", b"packed", **{"Content-Encoding": "gzip"}),
-        reply("r-1", b"a whole body")[:-4],  # and then the connection ends
+        reply("r-1", b"a whole body")[:-4],  # cut off by the end of the connection
     ]
 
     async def scene(s: Scene) -> None:
         for data in wrong:
             asked = asyncio.create_task(s.ask(BOOK))
-            arrived = await next_of(s)
+            arrived = await next_request(s)
             arrived.reply(data)
             arrived.close()
             found = await asked
-            assert found.status == 502 and found.body == b"", data  # it may have run: nothing is promised
+            assert found.status == 502 and found.body == b"", data  # it may have run, so nothing is promised
             assert all(peer.arrived.empty() for peer in s.peers)
 
-    play(2, scene)
+    run_scene(2, scene)
 
 
-def test_what_is_repeatable_is_sent_to_another_host_and_what_may_run_once_is_not() -> None:
+def test_a_repeatable_request_is_retried_elsewhere_and_a_run_once_request_is_not() -> None:
     async def scene(s: Scene) -> None:
         asked = asyncio.create_task(s.ask(READ))
-        first = await next_of(s)
+        first = await next_request(s)
         first.reset()
-        second = await next_of(s)
+        second = await next_request(s)
         wants = {a.message.headers[b"x-myrtlehatch-want-instance"] for a in (first, second)}
         assert wants == {b"i-0", b"i-1"}
         second.reply(reply("r-1", b"well"))
         assert (await asked).body == b"well"
         asked = asyncio.create_task(s.ask(BOOK))
-        (await next_of(s)).reset()
+        (await next_request(s)).reset()
         assert (await asked).status == 502
         assert all(peer.arrived.empty() for peer in s.peers)
 
-    play(2, scene)
+    run_scene(2, scene)
 
 
-def test_turned_away_it_goes_on_and_turned_away_by_all_it_is_refused_with_a_promise() -> None:
+def test_a_request_that_all_hosts_turn_away_is_refused_with_a_promise() -> None:
     async def scene(s: Scene) -> None:
         asked = asyncio.create_task(s.ask(BOOK))
         for status in (503, 421):
-            arrived = await next_of(s)
+            arrived = await next_request(s)
             arrived.reply(answer(status, b"", X_Myrtlehatch_Not_Executed="1"))
         found = await asked
         assert found.status == 503 and float(found.headers[b"retry-after"]) > 0
 
-    play(2, scene)
+    run_scene(2, scene)
 
 
-def test_a_silent_host_is_waited_for_as_long_as_the_client_waits_and_no_longer() -> None:
+def test_a_silent_host_is_waited_for_until_the_clients_timeout() -> None:
     async def scene(s: Scene) -> None:
         loop = asyncio.get_running_loop()
         begun = loop.time()
         asked = asyncio.create_task(s.ask(BOOK, left=400))
-        await next_of(s)
+        await next_request(s)
         found = await asked
         assert found.status == 504 and b"retry-after" not in found.headers
         assert loop.time() - begun > 0.3
 
-    play(1, scene)
+    run_scene(1, scene)
 
 
 def test_a_host_that_leaves_before_the_write_gets_nothing() -> None:
@@ -223,10 +225,10 @@
         found = await s.ask(BOOK)
         assert found.status == 503 and s.peers[0].connections == 0
 
-    play(1, scene)
+    run_scene(1, scene)
 
 
-def test_a_request_in_the_body_of_another_and_what_cannot_be_read_reach_no_host() -> None:
+def test_smuggled_and_malformed_requests_reach_no_host() -> None:
     both = b"Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\nPOST /x/y/2 HTTP/1.1\r\n\r\n"
     marks = b"Host: a.example\r\nX-Myrtlehatch-Request-Id: r-1\r\nAuthorization: Bearer k1\r\n"
     cases: list[tuple[bytes, int]] = [
@@ -247,11 +249,11 @@
             writer.close()
         assert s.peers[0].connections == 0
 
-    play(1, scene)
+    run_scene(1, scene)
 
 
 class GatedHosts(Hosts):
-    """New connections come up only once the gate is open."""
+    """Hosts whose new connections wait for an event."""
 
     gate: asyncio.Event
 
@@ -268,7 +270,7 @@
     return head.encode() + body
 
 
-async def until(found: Callable[[], bool]) -> None:
+async def wait_until(found: Callable[[], bool]) -> None:
     async with asyncio.timeout(10.0):
         while not found():
             await asyncio.sleep(0.002)
@@ -282,109 +284,109 @@
             hosts.gate = asyncio.Event()
             _, writer = await s.connect()
             writer.write(request_bytes(BOOK, "left", b"slot=9"))
-            await until(lambda: bool(s.edge.open))
+            await wait_until(lambda: bool(s.edge.open))
             (request,) = s.edge.open
-            if gate_opens_first:  # its connection comes up before it is known that the attempt is of no use
+            if gate_opens_first:  # its connection is made before the client's leaving is handled
                 request.left = True
                 hosts.gate.set()
-                await until(lambda: request.attempt is not None and request.attempt.ended)  # noqa: B023
+                await wait_until(lambda: request.attempt is not None and request.attempt.ended)  # noqa: B023
             writer.transport.abort()
-            await until(lambda: not s.edge.open)
+            await wait_until(lambda: not s.edge.open)
             hosts.gate.set()
             stays = asyncio.create_task(s.ask(BOOK, "stays", left=5000, body=b"slot=1"))
-            arrived = await next_of(s)
+            arrived = await next_request(s)
             assert arrived.message.headers[b"x-myrtlehatch-request-id"] == b"stays"
             assert arrived.message.body == b"slot=1"
             arrived.reply(reply("stays"))
             assert (await stays).status == 200
 
-    play(1, scene)
+    run_scene(1, scene)
 
 
-def test_a_request_that_is_being_written_when_its_client_leaves_keeps_its_bytes() -> None:
+def test_a_request_that_is_being_written_when_its_client_leaves_is_written_whole() -> None:
     async def scene(s: Scene) -> None:
         body = bytes(range(256)) * 3000
         _, writer = await s.connect()
         writer.write(request_bytes(BOOK, "r-1", body))
-        await until(lambda: any(r.attempt and r.attempt.connection for r in s.edge.open))
+        await wait_until(lambda: any(r.attempt and r.attempt.connection for r in s.edge.open))
         writer.transport.abort()
-        arrived = await next_of(s)
+        arrived = await next_request(s)
         assert arrived.message.body == body
         arrived.reply(reply("r-1"))
-        await until(lambda: not s.edge.open)
+        await wait_until(lambda: not s.edge.open)
 
-    play(1, scene)
+    run_scene(1, scene)
 
 
-def test_one_that_knows_no_configuration_promises_and_denies_nothing() -> None:
+def test_without_a_configuration_requests_are_refused_with_503_and_retry_after() -> None:
     async def scene(s: Scene) -> None:
         found = await s.ask(BOOK)
         assert found.status == 503 and float(found.headers[b"retry-after"]) > 0
 
-    play(1, scene, {})
+    run_scene(1, scene, {})
 
 
-def test_a_request_is_answered_when_its_routes_time_is_over() -> None:
+def test_a_request_is_answered_with_504_at_its_routes_timeout() -> None:
     async def scene(s: Scene) -> None:
         loop = asyncio.get_running_loop()
         begun = loop.time()
         asked = asyncio.create_task(s.ask(BOOK, left=60_000))
-        arrived = await next_of(s)
+        arrived = await next_request(s)
         assert int(arrived.message.headers[b"x-myrtlehatch-time-left"]) <= 300
         assert (await asked).status == 504 and 0.2 < loop.time() - begun < 10.0
 
-    play(1, scene, changed(Routes__deep__TimeoutMs=300, Routes__deep__TargetMs=100))
+    run_scene(1, scene, changed(Routes__deep__TimeoutMs=300, Routes__deep__TargetMs=100))
 
 
-def test_a_second_host_is_told_what_is_left_by_then() -> None:
+def test_a_retry_carries_the_time_that_is_left_by_then() -> None:
     async def scene(s: Scene) -> None:
         asked = asyncio.create_task(s.ask(READ, left=1500))
-        first = await next_of(s)
+        first = await next_request(s)
         told = int(first.message.headers[b"x-myrtlehatch-time-left"])
         before = asyncio.get_running_loop().time()
-        await until(lambda: asyncio.get_running_loop().time() - before > 0.2)
+        await wait_until(lambda: asyncio.get_running_loop().time() - before > 0.2)
         first.reset()
-        second = await next_of(s)
+        second = await next_request(s)
         assert int(second.message.headers[b"x-myrtlehatch-time-left"]) <= told - 150
         second.reply(reply("r-1"))
         assert (await asked).status == 200
 
-    play(2, scene)
+    run_scene(2, scene)
 
 
-def test_a_host_is_left_in_peace_when_the_client_of_a_repeatable_request_has_gone() -> None:
+def test_a_repeatable_request_whose_client_left_is_cancelled_at_the_host() -> None:
     async def scene(s: Scene) -> None:
         _, writer = await s.connect()
         writer.write(request_bytes(READ, "r-1", b""))
-        await next_of(s)
+        await next_request(s)
         assert not s.peers[0].closed
         writer.transport.abort()
-        await until(lambda: s.peers[0].closed == 1)
+        await wait_until(lambda: s.peers[0].closed == 1)
 
-    play(1, scene)
+    run_scene(1, scene)
 
 
 @pytest.mark.parametrize("cause", ["idle", "end", "room", "bound"])
-def test_a_request_on_a_kept_connection_is_answered_before_that_is_closed(cause: str) -> None:
-    """Whatever makes a gateway close its connections meanwhile; what was passed on to a host has an answer."""
+def test_a_request_on_a_kept_connection_is_answered_before_the_connection_closes(cause: str) -> None:
+    """Each cause that makes a gateway close connections while a host works on a request."""
 
     async def scene(s: Scene) -> None:
         reader, writer = await s.connect()
         for number, path in enumerate((READ, BOOK, READ)):
             writer.write(request_bytes(path, f"r-{number}", b"body"))
-            arrived = await next_of(s)
+            arrived = await next_request(s)
             if number == 2:
-                if cause == "idle":  # what stands idle is closed at once
+                if cause == "idle":  # idle connections are closed at once
                     s.server.bounds = ClientBounds(idle=0.0, partial=0.0)
                     s.server._sweep()
                 elif cause == "end":  # SIGTERM
                     s.server.drain()
                     s.server.close_idle()
                     s.server.stop_accepting()
-                elif cause == "room":  # new connections want places
+                elif cause == "room":  # new connections need places
                     s.server.most = 1
                     s.server.close_idle()
-                else:  # a configuration whose bounds the request is past
+                else:  # a new configuration whose bounds the request exceeds
                     s.server.bounds = ClientBounds(head=1, body=1, idle=0.0)
                     s.server._sweep()
             arrived.reply(reply(f"r-{number}", b"whole"))
@@ -393,14 +395,14 @@
             assert found.headers[b"x-myrtlehatch-request-id"] == b"r-%d" % number
         writer.close()
 
-    play(1, scene)
+    run_scene(1, scene)
 
 
-def test_a_hosts_failure_keeps_its_status_beside_its_seal() -> None:
+def test_a_hosts_own_error_answer_keeps_its_status_seal_and_body() -> None:
     async def scene(s: Scene) -> None:
         for status in (500, 503):
             asked = asyncio.create_task(s.ask(BOOK))
-            (await next_of(s)).reply(reply("r-1", b"no", status))
+            (await next_request(s)).reply(reply("r-1", b"no", status))
             found = await asked
             assert (found.status, found.headers[b"x-myrtlehatch-seal"], found.body) == (
                 status,
@@ -408,11 +410,11 @@
                 b"no",
             )
 
-    play(1, scene)
+    run_scene(1, scene)
 
 
-def test_a_connection_on_which_a_body_is_still_due_is_not_used_again() -> None:
-    """A host answers on the head of a long request, and reads no further."""
+def test_a_connection_with_an_unfinished_request_body_is_not_reused() -> None:
+    """A host answers after the head of a long request, before it has read the body."""
 
     async def scene(s: Scene) -> None:
         ended: list[bool] = []
@@ -433,18 +435,18 @@
         s.register.merge(Clock().monotonic(), Row("i-early", "s", "127.0.0.1", port, "z", "v", 4, 0, 0.0, 1))
         _, writer = await s.connect()
         writer.write(request_bytes(BOOK, "r-1", bytes(900_000)))
-        await until(lambda: bool(ended))
+        await wait_until(lambda: bool(ended))
         assert not any(pool.idle for pool in s.hosts.pools.values())
         server.close()
 
-    play(1, scene)
+    run_scene(1, scene)
 
 
 class Lender:
-    """Another gateway that owns all of the quotas, as this one knows."""
+    """Another gateway that owns all quotas, in the table that this one knows."""
 
     def __init__(self, s: Scene, grants: int) -> None:
-        """`grants`: tokens to each ask; below 0 it is silent."""
+        """`grants`: tokens granted per request for tokens; below 0 it does not answer."""
         self.scene, self.grants = s, grants
         self.limiter = s.edge.router.limiter
         self.limiter.holding.table = ShareTable()
@@ -466,7 +468,7 @@
     async def scene(s: Scene) -> None:
         lender = Lender(s, 1)
         asked = asyncio.create_task(s.ask(BOOK))
-        arrived = await next_of(s)
+        arrived = await next_request(s)
         arrived.reply(reply("r-1", b"booked"))
         assert (await asked).body == b"booked"
         lender.grants = 0
@@ -474,10 +476,10 @@
         assert refused.status == 429 and 0.2 < float(refused.headers[b"retry-after"]) <= 0.4
         assert not s.edge.open and not s.edge.waiting
 
-    play(1, scene)
+    run_scene(1, scene)
 
 
-def test_a_token_for_one_whose_client_left_meanwhile_is_not_spent() -> None:
+def test_a_token_granted_after_its_client_left_is_not_spent_on_the_request() -> None:
     async def scene(s: Scene) -> None:
         lender = Lender(s, -1)
         asked = asyncio.create_task(s.ask(BOOK))
@@ -493,4 +495,4 @@
         assert lender.limiter.tenants["t"].bucket.fill == before - 1 and job.admitted is None
         assert not s.edge.waiting and not s.edge.open and not s.peers[0].arrived.qsize()
 
-    play(1, scene)
+    run_scene(1, scene)
--- a/tests/cluster/test_grown.py
+++ b/tests/cluster/test_grown.py
@@ -6,7 +6,7 @@
 import asyncio
 import random
 
-from test_edge import BOOK, READ, Scene, next_of, play, reply
+from test_edge import BOOK, READ, Scene, next_request, reply, run_scene
 
 from coralvale.cluster.rate_limit.actions import Admitted, Source
 from coralvale.cluster.rate_limit.limiter import RateLimiter
@@ -33,7 +33,7 @@
     async def scene(s: Scene) -> None:
         # The kept connection's other end, and the address, are another service's now.
         first = asyncio.create_task(s.ask(READ, "r-1"))
-        (await next_of(s)).reply(reply("r-1", b"schedule"))
+        (await next_request(s)).reply(reply("r-1", b"schedule"))
         assert (await first).body == b"schedule"
         for n, said in enumerate((
             answer(421, b"", X_Myrtlehatch_Served_By="i-other"),  # as PROTOCOL has it
@@ -41,25 +41,25 @@
             reply("r-0", b"frames"),
         )):  # fmt: skip
             asked = asyncio.create_task(s.ask(READ, f"r-2{n}"))
-            arrived = await next_of(s)
+            arrived = await next_request(s)
             assert arrived.message.headers[b"x-myrtlehatch-want-instance"].startswith(b"i-")
             arrived.reply(said)
             arrived.close()
-            other = await next_of(s)  # repeatable: another host is asked
+            other = await next_request(s)  # repeatable: another host is asked
             other.reply(reply(f"r-2{n}", b"schedule"))
             found = await asked
             assert (found.status, found.body) == (200, b"schedule")
             booked = asyncio.create_task(s.ask(BOOK, f"b-2{n}"))
-            arrived = await next_of(s)
+            arrived = await next_request(s)
             arrived.reply(said)
             arrived.close()
             if n:  # may have run, whoever it was: nothing is promised, and nobody else is asked
                 assert (await booked).status == 502 and all(p.arrived.empty() for p in s.peers)
             else:  # turned away: not run, and goes on
-                (await next_of(s)).reply(reply(f"b-2{n}", b"booked"))
+                (await next_request(s)).reply(reply(f"b-2{n}", b"booked"))
                 assert (await booked).body == b"booked"
 
-    play(3, scene)
+    run_scene(3, scene)
 
 
 def test_a_booking_on_a_connection_that_its_host_forgets_runs_once() -> None:
@@ -67,29 +67,29 @@
 
     async def scene(s: Scene) -> None:
         first = asyncio.create_task(s.ask(BOOK, "r-1"))
-        arrived = await next_of(s)
+        arrived = await next_request(s)
         arrived.reply(reply("r-1"))
         assert (await first).status == 200
         second = asyncio.create_task(s.ask(BOOK, "r-2"))
-        arrived = await next_of(s)
+        arrived = await next_request(s)
         arrived.reset()  # read, and then forgotten
         found = await second
         assert found.status == 502 and b"retry-after" not in found.headers
         assert all(peer.arrived.empty() for peer in s.peers)
         # One that was closed while it was idle was seen to be: the next goes out on a new one, once.
         third = asyncio.create_task(s.ask(BOOK, "r-3"))
-        arrived = await next_of(s)
+        arrived = await next_request(s)
         arrived.reply(reply("r-3"))
         assert (await third).status == 200
         arrived.reset()
         while any(pool.idle for pool in s.hosts.pools.values()):
             await asyncio.sleep(0)
         fourth = asyncio.create_task(s.ask(BOOK, "r-4"))
-        arrived = await next_of(s)
+        arrived = await next_request(s)
         arrived.reply(reply("r-4", b"booked"))
         assert (await fourth).body == b"booked" and all(peer.arrived.empty() for peer in s.peers)
 
-    play(1, scene)
+    run_scene(1, scene)
 
 
 def test_a_preview_at_a_host_that_says_nothing_moves_on_in_time() -> None:
@@ -98,8 +98,8 @@
     async def scene(s: Scene) -> None:
         begun = asyncio.get_running_loop().time()
         asked = asyncio.create_task(s.ask(READ, "r-1", left=15_000))
-        frozen = await next_of(s)  # and never answered; its connection stands
-        other = await next_of(s)
+        frozen = await next_request(s)  # and never answered; its connection stands
+        other = await next_request(s)
         assert (
             other.message.headers[b"x-myrtlehatch-want-instance"]
             != frozen.message.headers[b"x-myrtlehatch-want-instance"]
@@ -108,7 +108,7 @@
         assert (await asked).body == b"preview"
         assert asyncio.get_running_loop().time() - begun < 10.0  # it had 2.5 s by its route, an aim of 0.4
 
-    play(2, scene)
+    run_scene(2, scene)
 
 
 def test_hosts_that_were_just_added_get_less_until_they_say_that_they_are_warm() -> None:
--- a/tests/cluster/test_home.py
+++ b/tests/cluster/test_home.py
@@ -1,9 +1,11 @@
-"""Home regions: what is bound is begun only at home, whatever is cut, killed, moved, set wrongly or changed.
-
-A schedule is data from a seed: three regions, gateways that follow a history of configurations late, or not at
-all while they are cut off. The checker knows the zones, the history and the lease, and sees which gateway sent
-which request to which host; it asks the machines nothing. The service is bound from the beginning: one that is
-cut off while a service is bound for the first time cannot know of it (docs/design/regions.md).
+"""Home regions: a bound request begins only in its region, whatever is cut off, killed, moved or
+misconfigured.
+
+Schedules come from a seed: three regions, and gateways that follow a history of configurations late, or not
+at all while they are cut off. The checker knows the zones, the history and the lease, and sees which gateway
+sent which request to which host; it reads no state of the code under test. The service is bound from the
+beginning, because a gateway that is cut off while a service is first bound cannot know of it
+(docs/design/regions.md).
 """
 
 from __future__ import annotations
@@ -35,35 +37,39 @@
 
 
 class Broken(AssertionError):
-    """Something bound was begun abroad."""
+    """A bound request was begun outside its region."""
 
 
 class Node:
+    """One gateway and all hosts as it knows them."""
+
     def __init__(self, world: World, zone: str, region: str) -> None:
         self.world, self.zone = world, zone
         register = Register(1e6)
         for n, (at, service) in enumerate((z, s) for z in ZONES for s in ("free", "bound")):
             register.merge(0.0, Row(f"i-{service}-{at}", service, "10.0.0.1", 80 + n, at, "v", 4, 0, 0.0, 1))
-        by_zone = ZONES[zone] if ZONES[zone] == region else ""  # as the shell takes it from the settings
+        by_zone = ZONES[zone] if ZONES[zone] == region else ""  # as the server takes it from the settings
         self.home = world.kind(by_zone, ZONES, {}, LEASE)
         chance = random.Random(world.chance.random())
-        # Which hosts are nearest is anyone's: it must not be what keeps a request at home.
-        copies = InstancePool(register, chance.choice(list(ZONES)), chance, self.home)
-        self.router = Router(Bounds(RetryExtra=64), copies, alone(), chance)
+        # A random zone counts as the nearest, so that nearness does not keep requests in their region.
+        instances = InstancePool(register, chance.choice(list(ZONES)), chance, self.home)
+        self.router = Router(Bounds(RetryExtra=64), instances, alone(), chance)
         self.cut = False
-        self.late = chance.uniform(0.0, 1.2)  # that news takes to it
-        self.restarted = 0.0  # one that starts has an old configuration, and has heard nothing
+        self.late = chance.uniform(0.0, 1.2)  # s until a configuration reaches it
+        self.restarted = 0.0  # after a start it has an old configuration and no contact yet
 
     def follow(self, now: float) -> None:
         if self.cut or now - self.restarted < 0.2:
             return
-        self.home.core_heard_at = now - self.late  # what it is told was so a while ago
+        self.home.core_heard_at = now - self.late  # what it is told is that old
         news = [configuration for at, configuration in self.world.history if at <= now - self.late]
         if news:
             self.router.take_configuration(news[-1])
 
 
 class World:
+    """A seeded schedule of changes, cuts and kills, with a request at each gateway in each step."""
+
     def __init__(self, seed: int, kind: type[HomeRegion] = HomeRegion) -> None:
         self.chance, self.kind, self.now = random.Random(seed), kind, 100.0
         self.history: list[tuple[float, Configuration]] = []
@@ -87,7 +93,7 @@
         self.history.append((self.now, configuration))
 
     def bound_to(self, begun_by: float) -> set[str]:
-        """Regions that something begun at a moment may be bound to: those in force since, or a while before."""
+        """Regions that a request may be bound to: those in force at `begun_by`, or since."""
         found = [p.services()["bound"][1].Region for at, p in self.history if at > begun_by]
         old = [p.services()["bound"][1].Region for at, p in self.history if at <= begun_by]
         return {*found, *old[-1:]}
@@ -100,11 +106,11 @@
             self.change()
         elif lot < 0.08:
             node.cut = not node.cut
-        elif lot < 0.10:  # a region is lost, or back
+        elif lot < 0.10:  # a whole region is cut off, or back
             for other in self.nodes:
                 if ZONES[other.zone] == ZONES[node.zone]:
                     other.cut = not node.cut
-        elif lot < 0.13:  # killed; it comes back with an old configuration, sometimes with a wrong region
+        elif lot < 0.13:  # killed; it restarts with an old configuration, sometimes with a wrong region
             region = self.chance.choice((ZONES[node.zone], self.chance.choice(REGIONS)))
             new = self.nodes[self.nodes.index(node)] = Node(self, node.zone, region)
             new.cut, new.restarted = node.cut, self.now
@@ -140,7 +146,7 @@
         return self.served
 
 
-def test_what_is_bound_is_begun_only_at_home() -> None:
+def test_bound_requests_begin_only_in_their_region() -> None:
     served = 0
     for seed in range(1000):
         try:
@@ -151,28 +157,28 @@
 
 
 class NoLease(HomeRegion):
-    """One that is cut off goes on for ever."""
+    """A gateway that is cut off goes on for ever."""
 
     def lease_valid(self, now: float) -> bool:
         return True
 
 
 class AnyGateway(HomeRegion):
-    """A gateway abroad takes it."""
+    """A gateway of another region accepts it."""
 
     def refusal(self, now: float, route: str) -> Problem | None:
         return None
 
 
 class AnyHost(HomeRegion):
-    """A host abroad gets it."""
+    """A host of another region gets it."""
 
     def set_regions(self, region: str, zones: Mapping[str, str]) -> None:
         super().set_regions(region, dict.fromkeys(zones, region))
 
 
 @pytest.mark.parametrize("kind", [NoLease, AnyGateway, AnyHost])
-def test_each_rule_taken_out_is_missed(kind: type[HomeRegion]) -> None:
+def test_the_checker_detects_each_rule_that_is_taken_out(kind: type[HomeRegion]) -> None:
     for seed in range(1000):
         try:
             World(seed, kind).play()
@@ -185,7 +191,7 @@
     return survey(changed(**at), Configuration())
 
 
-def test_bindings_are_checked_with_their_place() -> None:
+def test_conflicting_bindings_are_refused_with_their_place() -> None:
     two = {"s": {"Region": "coast"}, "t": {"Region": "delta"}}
     split = [{"Svc": "s", "Wt": 1}, {"Svc": "t", "Wt": 1}]
     found = bound(Svcs=two, Routes__r__Svc="", Routes__r__Split=split)
@@ -196,7 +202,7 @@
     assert isinstance(found, Problem) and "Routes.r.Region: 'delta'" in found.reason
     before = bound()
     assert isinstance(before, Configuration)
-    # The same services, one of them bound now: routes that did not change are looked at again.
+    # A newly bound service: routes that did not change are checked again.
     narrowed = survey(changed(Ver=3, Routes__r__Region="delta"), before)
     assert isinstance(narrowed, Configuration) and narrowed.narrowed
     again = survey(changed(Ver=4, Routes__r__Region="delta", Svcs__s__Region="coast"), narrowed)
@@ -209,8 +215,8 @@
         register.merge(0.0, Row(f"i-{zone}", "s", "10.0.0.1", 80 + n, zone, "v", 4, 0, 0.0, 1))
     home = HomeRegion(region, ZONES, rules)
     home.core_heard_at = heard
-    copies = InstancePool(register, f"{region}-1", chance, home)
-    made = Router(Bounds(RetryExtra=64), copies, alone(), chance)
+    instances = InstancePool(register, f"{region}-1", chance, home)
+    made = Router(Bounds(RetryExtra=64), instances, alone(), chance)
     assert isinstance(configuration, Configuration) and made.take_configuration(configuration)
     return made
 
@@ -219,7 +225,7 @@
     return made.admit(now, b"id", "a.example", path, key, 1.5)
 
 
-def test_abroad_it_is_refused_by_its_head_alone_with_a_promise_and_nothing_of_it_is_kept() -> None:
+def test_a_foreign_request_is_refused_by_its_head_with_a_promise_and_nothing_of_it_is_kept() -> None:
     configuration = bound(Svcs__s__Region="coast")
     for region in ("delta", ""):
         made = at(region, configuration)
@@ -231,25 +237,25 @@
             assert ANSWERS[found.kind].promise is Promise.NOT_RUN and found.status == 421
         assert made.home.refused == {"coast": 2} and "secret" not in str(vars(made.home))
         assert "secret" not in str(made.last_lookup)
-        assert not made.limiter.tenants  # its quota is not charged abroad
+        assert not made.limiter.tenants  # its quota is not charged in another region
     assert at("coast", configuration).check_head(1.0, "a.example", "/x/1") is None
     assert at("delta", bound()).check_head(1.0, "a.example", "/x/1") is None
 
 
-def test_when_none_is_left_at_home_it_is_refused_and_never_goes_out() -> None:
+def test_without_a_host_in_its_region_a_bound_request_is_refused_and_not_sent_elsewhere() -> None:
     made = at("coast", bound(Svcs__s__Region="coast"))
     job = entered(made)
     assert isinstance(job, Job)
     seen = set()
     while not isinstance(instance := made.pick(1.0, job), Problem):
         seen.add(ZONES[instance.entry.row.az])
-        job.tries = 0  # as often as it likes
+        job.tries = 0  # no limit on tries
         made.instances.register.mark_gone(1.0, instance.entry.id)
     assert seen == {"coast"} and instance.promises
 
 
-def test_a_route_that_is_bound_by_itself_goes_to_no_host_abroad() -> None:
-    """Its service is bound nowhere, and by other routes goes to hosts abroad where those are the nearer ones."""
+def test_a_route_bound_by_itself_goes_to_no_host_of_another_region() -> None:
+    """Its service is not bound, and by other routes goes to nearer hosts in another region."""
     made = at("coast", bound(Routes__r__Region="coast"))
     made.instances.zone = "delta-1"
     for path, region in (("/x/1", "coast"), ("/x/y/1", "delta")):
@@ -259,7 +265,7 @@
         assert not isinstance(instance, Problem) and ZONES[instance.entry.row.az] == region
 
 
-def test_a_binding_that_changes_lets_no_further_try_out_and_its_first_answer_in() -> None:
+def test_after_a_change_of_its_binding_a_request_gets_no_further_try() -> None:
     made = at("coast", bound(Svcs__s__Region="coast"))
     job = entered(made)
     assert isinstance(job, Job) and not isinstance(made.pick(1.0, job), Problem)
@@ -267,12 +273,14 @@
     assert isinstance(moved, Configuration) and made.take_configuration(moved)
     job.may_have_run = True
     found = made.pick(1.1, job)
-    assert isinstance(found, Problem) and found.kind is Kind.MAYBE_RUN  # it ends where it began, unpromised
-    foreign = entered(made)
-    assert isinstance(foreign, Problem) and foreign.kind is Kind.FOREIGN
+    assert (
+        isinstance(found, Problem) and found.kind is Kind.MAYBE_RUN
+    )  # it ends where it began, without a promise
+    refusal = entered(made)
+    assert isinstance(refusal, Problem) and refusal.kind is Kind.FOREIGN
 
 
-def test_one_that_lost_touch_stops_when_its_lease_is_over_and_goes_on_when_it_hears_again() -> None:
+def test_a_gateway_without_contact_refuses_bound_requests_after_its_lease_until_contact_returns() -> None:
     made = at("coast", bound(Svcs__s__Region="coast"), heard=1.0)
     assert isinstance(entered(made, 1.0 + made.home.lease), Job)
     unsure = entered(made, 1.1 + made.home.lease)
@@ -281,12 +289,10 @@
     assert isinstance(entered(made, 20.1), Job)
 
 
-def test_rules_of_the_systems_file_bind_by_pattern_and_its_mistakes_have_places() -> None:
+def test_rules_of_the_regions_file_bind_by_pattern_and_mistakes_are_refused_with_their_place() -> None:
     made = at("delta", bound(), **{"s*": "coast"})
     assert made.home.services == {"s": "coast"} and isinstance(entered(made), Problem)
-    own = at(
-        "delta", bound(Svcs__s__Region="delta"), **{"s*": "coast"}
-    )  # the configuration's word comes first
+    own = at("delta", bound(Svcs__s__Region="delta"), **{"s*": "coast"})  # the configuration takes precedence
     assert isinstance(entered(own), Job)
     file = parse('Lease: 5\nBindings: {"book-*": coast}', "f", ZONES)
     assert file.Lease == 5 and file.Bindings == {"book-*": "coast"}
@@ -300,7 +306,9 @@
             parse(text, "f", ZONES)
 
 
-def test_the_audit_names_each_answer_from_outside(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_the_audit_lists_each_answer_from_outside_the_region(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
     line = "03:00:0{}.000 INFO E521 request r-{} of booking, bound to coast, answered 200 in {}\n"
     (tmp_path / "log-1").write_text(
         line.format(1, 1, "coast") + "03:00:01.000 INFO E514 request r-1: answered\n"
--- a/tests/cluster/test_registry.py
+++ b/tests/cluster/test_registry.py
@@ -1,4 +1,4 @@
-"""The register of hosts: whatever order rows come in, all gateways come to know the same."""
+"""The register of hosts: in whatever order rows arrive, all gateways end with the same entries."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     return replace(whole, **more)
 
 
-def test_rows_in_any_order_doubled_and_late_lead_to_the_same() -> None:
+def test_reordered_duplicated_and_late_rows_lead_to_the_same_register() -> None:
     chance = random.Random(5)
     rows = [row(f"i-{n}", calls, state) for n in range(6) for calls, state in ((1, State.UP), (2, State.UP))]
     rows += [row(f"i-{n}", 3, State.DRAINING) for n in range(4)] + [
@@ -34,7 +34,7 @@
     assert len(digests) == 1
 
 
-def test_a_late_beat_does_not_bring_back_what_left() -> None:
+def test_a_late_heartbeat_does_not_bring_back_a_host_that_left() -> None:
     register = Register(BEAT)
     register.merge(0.0, row(calls=7), direct=True)
     left = register.mark_gone(1.0, "i-1")
@@ -48,19 +48,17 @@
     assert not other.may_serve("i-1")
 
 
-def test_beats_told_by_others_keep_a_life_and_silence_passes_it_over() -> None:
+def test_heartbeats_of_others_keep_a_host_in_use_and_a_silent_one_gets_no_requests() -> None:
     register = Register(BEAT)
     register.merge(0.0, row("i-1"))
     register.merge(0.0, row("i-2"))
     register.merge_beats(5.0, [("i-1", 4)])
     assert [life.id for life in register.usable(6.0, "svc")] == ["i-1"]
-    assert (
-        len(register.usable(60.0, "svc")) == 2
-    )  # where all are silent it may be this gateway that hears nothing
+    assert len(register.usable(60.0, "svc")) == 2  # when all are silent, this gateway itself may be cut off
     assert register.merge_beats(6.0, [("unknown", 1)])
 
 
-def test_what_two_gateways_forgot_is_not_kept_alive_by_their_mending() -> None:
+def test_an_entry_that_expired_is_not_kept_alive_by_gateways_that_exchange_it() -> None:
     one, two = Register(BEAT), Register(BEAT)
     one.merge(0.0, row())
     two.merge(0.0, row())
@@ -75,7 +73,7 @@
     assert not one.entries and not two.entries and one.digest == two.digest == 0
 
 
-def test_what_peers_and_hosts_can_grow_is_bounded() -> None:
+def test_the_number_of_entries_is_bounded() -> None:
     register = Register(BEAT)
     for n in range(6000):
         register.merge(0.0, row(f"i-{n}"))
--- a/tests/cluster/test_routing.py
+++ b/tests/cluster/test_routing.py
@@ -1,4 +1,4 @@
-"""A request's way: what may be promised, when it is sent again, how its copy is picked."""
+"""Router decisions: admission, retries, promises in errors, and the choice of the instance."""
 
 from __future__ import annotations
 
@@ -49,14 +49,14 @@
     return found.kind
 
 
-def test_every_kind_has_an_answer_and_only_promises_have_their_statuses() -> None:
+def test_each_problem_kind_has_an_answer_and_only_promises_use_the_promising_statuses() -> None:
     assert set(ANSWERS) == set(Kind)
     for each, answer in ANSWERS.items():
         if each not in (Kind.UNSETTLED, Kind.DISK):
             assert (answer.status in (429, 503, 408, 421)) == (answer.promise is Promise.NOT_RUN)
 
 
-def test_who_is_let_in() -> None:
+def test_requests_without_route_key_or_configuration_are_refused() -> None:
     made = router(Routes__r__Public=True)
     assert kind(made.admit(1.0, b"i", "a.example", "/nowhere/", "k1", 1.0)) is Kind.NO_ROUTE
     assert kind(made.admit(1.0, b"i", "a.example", "/x/y/1", None, 1.0)) is Kind.NO_KEY
@@ -68,7 +68,7 @@
     assert kind(empty.admit(1.0, b"i", "a.example", "/x/1", "k1", 1.0)) is Kind.NO_CONFIGURATION
 
 
-def test_a_version_never_goes_back() -> None:
+def test_an_older_configuration_does_not_replace_a_newer_one() -> None:
     made = router()
     older = survey({**changed(), "Ver": 1}, Configuration())
     assert (
@@ -78,7 +78,7 @@
     )
 
 
-def test_what_may_run_once_is_never_sent_again_nor_refused_when_it_may_have_run() -> None:
+def test_a_run_once_request_that_may_have_run_is_neither_retried_nor_refused_with_a_promise() -> None:
     for outcome in (Outcome.RESET, Outcome.ERROR, Outcome.TIMEOUT):
         made = router()
         job = enter(made, "/x/y/1")
@@ -86,12 +86,12 @@
         assert not made.time_out(9.0, job).promises
     made = router()
     job = enter(made, "/x/y/1")
-    for number in (1, 2):  # turned away, twice: all tries that the route has
+    for number in (1, 2):  # turned away by two hosts: all tries of the route
         found = made.try_ended(1.1, job, sent(made, job), number, Outcome.FULL, 503, 0.1)
     assert kind(found) is Kind.NOT_RUN and found.promises
 
 
-def test_each_way_that_a_try_can_end_stands_in_the_one_table() -> None:
+def test_each_outcome_of_a_try_is_decided_by_the_table() -> None:
     assert set(ENDS) == set(Outcome)
     once = {outcome for outcome, end in ENDS.items() if end.may_repeat(False)}
     assert once == {Outcome.CONNECT_FAILED, Outcome.NOT_SENT, Outcome.FULL}
@@ -103,14 +103,14 @@
         assert isinstance(instance, Instance)
         found = made.try_ended(1.1, job, instance, 1, outcome, 500, 0.1)
         if outcome is Outcome.OK:
-            assert found is None  # the host's answer is the client's, whatever it is
+            assert found is None  # the host's answer goes to the client, whatever its status
             continue
         assert job.may_have_run is end.may_have_run
-        # Once it may have run, nothing that promises is ever said of it.
+        # After a try that may have run, no answer promises that the request has not run.
         assert made.time_out(1.2, job).promises is not end.may_have_run
 
 
-def test_what_is_repeatable_goes_to_another_copy() -> None:
+def test_a_repeatable_request_is_retried_at_another_instance() -> None:
     made = router()
     job = enter(made)
     first = sent(made, job)
@@ -119,7 +119,7 @@
     assert kind(made.try_ended(1.1, job, first, 2, Outcome.RESET, 0, 0.1)) is Kind.MAYBE_RUN
 
 
-def test_without_a_byte_sent_it_goes_on_and_at_last_is_refused_with_its_room_given_back() -> None:
+def test_a_request_that_reached_no_host_is_retried_then_refused_and_refunded() -> None:
     made = router()
     job = enter(made, "/x/y/1")
     tries = 0
@@ -133,7 +133,7 @@
     assert kind(none.pick(1.0, enter(none))) is Kind.NO_HOST
 
 
-def test_a_copy_that_is_loaded_slow_or_ill_is_passed_over() -> None:
+def test_loaded_slow_and_failing_instances_are_not_picked_while_others_are_left() -> None:
     made = router()
     instances = [made.instances.get(1.0, life) for life in made.instances.register.usable(1.0, "s")]
     instances[0].update_load(1.0, 4, 12, 4)
@@ -143,10 +143,10 @@
     assert picked.isdisjoint(instances[:3]) and len(picked) >= 1
     for instance in instances:
         instance.failed(1.0, 5.0)
-    assert made.instances.pick(1.0, "s", 0.2, set()) is not None  # all are ill: one is used all the same
+    assert made.instances.pick(1.0, "s", 0.2, set()) is not None  # all are ill: one is still used
 
 
-def test_one_that_answers_from_anothers_address_is_left_alone() -> None:
+def test_an_instance_whose_address_belongs_to_another_is_avoided() -> None:
     made = router(hosts=2)
     job = enter(made)
     wrong = sent(made, job)
@@ -154,7 +154,7 @@
     assert all(made.instances.pick(1.2, "s", 0.2, set()) is not wrong for _ in range(20))
 
 
-def test_each_part_of_a_split_gets_its_weights_share_to_within_a_few_requests() -> None:
+def test_each_part_of_a_split_gets_its_share_to_within_a_few_requests() -> None:
     route = Route("a", "/", "idempotent", 100.0, Split=(Part("s", 90), Part("s2", 10)))
     for seed in range(20):
         made = router()
@@ -163,4 +163,4 @@
         for first in range(0, 300, 100):
             assert 8 <= picked[first : first + 100].count("s2") <= 12
         starts = {made._choose_service(f"r{n}", route) for n in range(100)}
-        assert starts == {"s", "s2"}  # not all begin with the same
+        assert starts == {"s", "s2"}  # routes do not all begin with the same part
--- a/tests/cluster/test_sending.py
+++ b/tests/cluster/test_sending.py
@@ -1,4 +1,4 @@
-"""An operator's change is sent unchanged until its answer is clear; a request's way is its own."""
+"""Sending an operator's change until a definite answer comes; `explain` shows one request's log lines."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Gateways:
-    """Scripted answers, on a clock that sleep moves."""
+    """Gateways with scripted answers, on a clock that `sleep` advances."""
 
     def __init__(self, *answers: int) -> None:
         self.answers, self.now = list(answers), 0.0
@@ -38,7 +38,7 @@
         return found, told
 
 
-def test_what_is_not_clear_is_sent_again_unchanged_to_another() -> None:
+def test_without_a_definite_answer_a_change_goes_unchanged_to_another_gateway() -> None:
     gateways = Gateways(503, 0, 429, 200)
     found, told = gateways.send()
     assert found == Sent(200, "b:1", "why", 4) and len(told) == 3
@@ -49,18 +49,18 @@
 
 
 @pytest.mark.parametrize("status", [400, 409, 412, 413, 422])
-def test_a_refusal_ends_it(status: int) -> None:
+def test_a_refused_change_is_not_sent_again(status: int) -> None:
     gateways = Gateways(status, 200)
     assert gateways.send()[0].status == status and len(gateways.asked) == 1
 
 
-def test_without_a_clear_answer_it_says_so_when_patience_ends() -> None:
+def test_without_a_definite_answer_sending_ends_at_the_timeout_with_status_0() -> None:
     gateways = Gateways()
     found, _ = gateways.send(5.0)
     assert found.status == 0 and 3 < len(gateways.asked) < 20 and gateways.now < 5.0
 
 
-def test_what_is_no_change_is_not_sent(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+def test_a_file_that_is_no_change_is_not_sent(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     file = tmp_path / "c.json"
     for text in ("[]", "{}", '{"Ver": 1}', '{"Ver": "1", "Routes": {}}', "{"):
         file.write_text(text)
@@ -69,7 +69,7 @@
     assert sending.call_of({"Ver": 1, "Routes": {}}) == "config.replace"
 
 
-def test_the_way_of_a_request_is_not_that_of_one_whose_name_begins_alike(
+def test_explain_does_not_mix_up_requests_whose_ids_begin_alike(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     log = tmp_path / "log"
--- a/tests/cluster/test_spread.py
+++ b/tests/cluster/test_spread.py
@@ -1,4 +1,4 @@
-"""That a host leaves is told until all know it, and acknowledged once it cannot be forgotten."""
+"""A host's leave is sent until all gateways know it, and acknowledged once it can't be lost."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class Link:
-    """To a gateway that notes nothing until it is `there`."""
+    """A link to a gateway that does not confirm anything until its event is set."""
 
     def __init__(self, asked: Counter[str], ip: str, there: asyncio.Event) -> None:
         self.asked, self.ip, self.membership = asked, ip, there
@@ -50,7 +50,7 @@
 def play(
     core: int, silent: set[str], call: Callable[[GatewayNode], Awaitable[bool]] = spread
 ) -> tuple[bool, Counter[str], list[bytes], int]:
-    """One of five gateways is told that a host drains; the silent ones are there once it was answered."""
+    """One of five gateways learns that a host drains; the silent ones answer once that call returned."""
 
     async def whole() -> tuple[bool, Counter[str], list[bytes], int]:
         text = settings(0, IPS, 3, Path("/nowhere"), False)
@@ -79,27 +79,27 @@
     return asyncio.run(whole())
 
 
-def test_one_that_did_not_note_it_is_told_again_after_the_acknowledgement() -> None:
+def test_a_gateway_that_did_not_confirm_is_told_again_after_the_acknowledgement() -> None:
     well, asked, cast, later = play(3, {IPS[4]})
-    assert well and later >= 1 and asked[IPS[4]] > 1  # the last that did not know was told when it was there
+    assert well and later >= 1 and asked[IPS[4]] > 1  # the silent one was told once it answered
     assert [asked[ip] for ip in IPS[1:4]] == [1, 1, 1]
-    assert cast == [LIFE]  # and all of them by datagram at once
+    assert cast == [LIFE]  # and all at once by datagram
 
 
-def test_without_a_majority_of_the_core_it_is_not_acknowledged() -> None:
+def test_without_a_majority_of_the_core_a_drain_is_not_acknowledged() -> None:
     well, _, _, later = play(3, {IPS[1], IPS[2]})
     assert not well and later >= 2
     assert play(3, {IPS[2]})[0]
 
 
-def test_one_that_knows_no_core_acknowledges_no_leave() -> None:
-    """It has just started, or is cut off: nobody may have heard it, and the acknowledgement binds all."""
+def test_a_gateway_that_knows_no_core_acknowledges_no_drain() -> None:
+    """It has just started or is cut off: perhaps nobody got it, but the acknowledgement holds for all."""
     well, asked, _, _ = play(0, set())
     assert not well and asked[IPS[1]]
 
 
-def test_the_leave_of_a_host_that_is_not_known_here_is_told_to_those_that_know_it() -> None:
-    """It was acknowledged and told to nobody."""
+def test_the_leave_of_a_host_that_is_unknown_here_is_passed_on() -> None:
+    """Guards against a leave that is acknowledged but passed on to nobody."""
 
     def leave(node: GatewayNode) -> Awaitable[bool]:
         node.hosts = Hosts(node.runtime.clock, 0.5, 8.0, 100)
@@ -114,7 +114,7 @@
     assert not known.merge(1.0, gone_row("i-2")) and "i-2" not in known.entries
 
 
-def test_one_that_says_it_drains_where_it_is_known_to_be_gone_is_told_again() -> None:
+def test_a_drain_of_a_host_that_is_already_gone_here_is_passed_on_again() -> None:
     async def beat(node: GatewayNode) -> bool:
         node.hosts = Hosts(node.runtime.clock, 0.5, 8.0, 100)
         now = node.runtime.clock.monotonic()
@@ -127,7 +127,7 @@
     assert not play(3, {IPS[1], IPS[2]}, beat)[0]
 
 
-def test_one_that_membership_calls_dead_is_told_all_as_long_as_its_words_come() -> None:
+def test_a_gateway_that_membership_calls_dead_still_gets_reports_while_its_own_arrive() -> None:
     async def whole() -> None:
         node = GatewayNode(parse(settings(0, IPS, 3, Path("/nowhere"), False)), "")
         node.membership.begin()
@@ -142,14 +142,14 @@
         assert {m.address[0] for m in node.membership.others()} == {
             IPS[1],
             IPS[2],
-        }  # not the silent, nor who left
+        }  # neither the silent one nor the one that left
         node.membership.talks[IPS[2]] = now - TALKS - 0.1
         assert {m.address[0] for m in node.membership.others()} == {IPS[1]}
 
     asyncio.run(whole())
 
 
-def test_one_whose_region_is_not_that_of_its_zone_is_told_once_by_the_others(
+def test_a_gateway_whose_region_differs_from_its_zones_is_logged_once(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def whole() -> None:
@@ -164,9 +164,9 @@
             node.membership.swim.known[member.name] = Known(Update(State.ALIVE, member, 1), now)
         node.membership.swim.others = None
         for _ in range(3):
-            node.gossip.word(now, IPS[1], Word(1, 0, region="home"))  # it stands in zone-1
+            node.gossip.word(now, IPS[1], Word(1, 0, region="home"))  # it is in zone-1
             node.gossip.word(now, IPS[2], Word(1, 0, region="home"))
-            node.gossip.word(now, IPS[1], Word(1, 0))  # a word that is not whole says nothing of it
+            node.gossip.word(now, IPS[1], Word(1, 0))  # an incomplete report names no region
         assert [(row["name"], row["zone"], row["region"], row["by_zone"]) for row in told] == [
             ("gateway-1", "zone-1", "home", "abroad")
         ]
