--- a/coralvale/cluster/host_health/watch.py
+++ b/coralvale/cluster/host_health/watch.py
@@ -146,14 +146,12 @@
 
     def __init__(self) -> None:
         self.own_results: dict[int, ResultWindow] = {}
+        # By gateway: when its report came; well and ill results by instance
         self.reports: dict[str, tuple[float, dict[int, tuple[int, int]]]] = {}
-        self.zone_reports: dict[
-            int, tuple[float, dict[int, Evidence]]
-        ] = {}  # by zone: when it came; summed evidence by instance
+        # By zone: when its report came; summed evidence by instance
+        self.zone_reports: dict[int, tuple[float, dict[int, Evidence]]] = {}
         self.records: dict[int, HealthRecord] = {}
-        self.counted_from: dict[
-            int, float
-        ] = {}  # by instance with ill results: time from which results count
+        self.counted_from: dict[int, float] = {}  # by instance with ill results: when they begin to count
         self.report_due = False  # an ill result came here that was not reported yet
 
     def note(self, now: float, id_hash: int, well: bool) -> None:
@@ -320,8 +318,8 @@
         """The instances of a service to eject. `instances`: slots, and estimated requests there, by ID hash.
 
         Sour ones, the worst first, while at least `MIN_IN_USE_FRACTION` of the instances remain and the load
-        per remaining slot is at most `MAX_REMAINING_LOAD`: the rest must not be overloaded by what moves
-        there.
+        per remaining slot is at most `MAX_REMAINING_LOAD`: the rest must not be overloaded by what they take
+        over.
         """
         sour = [id_hash for id_hash in instances if self.verdict(id_hash) is Verdict.SOUR]
         sour.sort(key=lambda id_hash: -self.records[id_hash].share)
--- a/coralvale/cluster/routing/copies.py
+++ b/coralvale/cluster/routing/copies.py
@@ -83,19 +83,15 @@
         self.register, self.zone, self.rng = register, zone, rng
         self.home = home or HomeRegion("", {})
         self.health, self.evaluated_at = HealthTracker(), 0.0
-        self.candidates: dict[
-            tuple[str, str], tuple[int, float, list[Instance], list[Instance]]
-        ] = {}  # by service and region: the register's version, expiry time; instances near, and far
-        self.serving_hashes: tuple[int, dict[str, set[int]]] = (
-            -1,
-            {},
-        )  # the register's version; ID hashes by service
+        # By service and region: the register's version, expiry time, instances in this zone, and in others
+        self.candidates: dict[tuple[str, str], tuple[int, float, list[Instance], list[Instance]]] = {}
+        # The register's version; ID hashes by service
+        self.serving_hashes: tuple[int, dict[str, set[int]]] = (-1, {})
         self.ejected: set[int] = set()  # ID hashes of instances that get nothing new
         self.by_id: dict[str, Instance] = {}
         self.by_hash: dict[int, Instance] = {}  # by `id_hash`
-        self.in_flight_by_gateway: dict[
-            str, tuple[float, list[tuple[Instance, int]]]
-        ] = {}  # by gateway: when it was reported, and counts by instance
+        # By gateway: when it was reported, and counts by instance
+        self.in_flight_by_gateway: dict[str, tuple[float, list[tuple[Instance, int]]]] = {}
 
     def get(self, now: float, entry: HostEntry) -> Instance:
         """The instance of a registry entry; created if it is new."""
--- a/coralvale/cluster/routing/router.py
+++ b/coralvale/cluster/routing/router.py
@@ -39,7 +39,7 @@
 HOST_FAILURES = range(500, 600)  # HTTP statuses
 
 
-# Values of `Router.last_lookup` before the first lookup
+# Value of `Router.last_lookup` before the first lookup
 NO_LOOKUP: tuple[Configuration, str, str, tuple[str, Route] | None] = (Configuration(), "", "", None)
 
 
@@ -219,9 +219,9 @@
             return self._failed(now, job, refusal.kind.value)
         if job.reached_host and not self._budget_allows_retry(now, job.service):
             return self._failed(now, job, "the budget of further tries is used up")
-        pace, once = self.service_delays.get(job.service, 0.2), not job.route.repeatable
+        service_delay, once = self.service_delays.get(job.service, 0.2), not job.route.repeatable
         region = self.home.routes.get(job.route_name, "")
-        instance = self.instances.pick(now, job.service, pace, job.tried, once, region)
+        instance = self.instances.pick(now, job.service, service_delay, job.tried, once, region)
         if instance is None:
             return (
                 self._failed(now, job, "no host is known")
@@ -239,9 +239,9 @@
         """Seconds after which a try at a silent instance may be abandoned for another; None: never."""
         if not job.route.repeatable or job.tries >= job.route.Tries:
             return None
-        usual = self.expected_delay(job)
-        wait = SILENCE_DELAYS * usual
-        return wait if now + wait + usual < job.deadline else None
+        expected = self.expected_delay(job)
+        wait = SILENCE_DELAYS * expected
+        return wait if now + wait + expected < job.deadline else None
 
     def expected_delay(self, job: Job) -> float:
         """Expected delay of an answer on the job's route, s."""
@@ -333,16 +333,18 @@
                 succeeded = outcome is Outcome.OK and status not in HOST_FAILURES
                 self.instances.health.note(now, instance.id_hash, succeeded)
         if outcome is Outcome.OK:
-            usual = self.expected_delay(job)
-            instance.slow += min(MAX_SLOWNESS_WEIGHT, 0.1) * (delay / usual - instance.slow)
+            expected = self.expected_delay(job)
+            instance.slow += min(MAX_SLOWNESS_WEIGHT, 0.1) * (delay / expected - instance.slow)
             instance.answered(now)
             if status in HOST_FAILURES:
                 return
             instance.failures = 0.0 if instance.failures < 1 else instance.failures / 2
             cool = 0.5 if now < instance.entry.warm_at else 1.0
-            self.route_delays[job.route_name] = usual + DELAY_EWMA_WEIGHT * (delay * cool - usual)
-            pace = self.service_delays.get(job.service, usual)
-            self.service_delays[job.service] = pace + DELAY_EWMA_WEIGHT * (delay * cool - pace)
+            self.route_delays[job.route_name] = expected + DELAY_EWMA_WEIGHT * (delay * cool - expected)
+            service_delay = self.service_delays.get(job.service, expected)
+            self.service_delays[job.service] = service_delay + DELAY_EWMA_WEIGHT * (
+                delay * cool - service_delay
+            )
         elif outcome is Outcome.FULL:
             instance.answered(now)
             instance.failed(now, WRONG_HOST_BACKOFF_S if status == 421 else FAILURE_BACKOFF_S / 4)
--- a/tests/cluster/test_edge.py
+++ b/tests/cluster/test_edge.py
@@ -342,12 +342,12 @@
     async def scene(s: Scene) -> None:
         asked = asyncio.create_task(s.ask(READ, left=1500))
         first = await next_request(s)
-        told = int(first.message.headers[b"x-myrtlehatch-time-left"])
+        time_left = int(first.message.headers[b"x-myrtlehatch-time-left"])
         before = asyncio.get_running_loop().time()
         await wait_until(lambda: asyncio.get_running_loop().time() - before > 0.2)
         first.reset()
         second = await next_request(s)
-        assert int(second.message.headers[b"x-myrtlehatch-time-left"]) <= told - 150
+        assert int(second.message.headers[b"x-myrtlehatch-time-left"]) <= time_left - 150
         second.reply(reply("r-1"))
         assert (await asked).status == 200
 
--- a/tests/cluster/test_home.py
+++ b/tests/cluster/test_home.py
@@ -1,5 +1,4 @@
-"""Home regions: a bound request begins only in its region, whatever is cut off, killed, moved or
-misconfigured.
+"""Home regions: bound requests begin only in their region, despite cuts, kills, moves and wrong settings.
 
 Schedules come from a seed: three regions, and gateways that follow a history of configurations late, or not
 at all while they are cut off. The checker knows the zones, the history and the lease, and sees which gateway
@@ -100,17 +99,17 @@
 
     def step(self) -> None:
         self.now += self.chance.uniform(0.05, 0.4)
-        lot = self.chance.random()
+        draw = self.chance.random()
         node = self.chance.choice(self.nodes)
-        if lot < 0.03:
+        if draw < 0.03:
             self.change()
-        elif lot < 0.08:
+        elif draw < 0.08:
             node.cut = not node.cut
-        elif lot < 0.10:  # a whole region is cut off, or back
+        elif draw < 0.10:  # a whole region is cut off, or back
             for other in self.nodes:
                 if ZONES[other.zone] == ZONES[node.zone]:
                     other.cut = not node.cut
-        elif lot < 0.13:  # killed; it restarts with an old configuration, sometimes with a wrong region
+        elif draw < 0.13:  # killed; it restarts with an old configuration, sometimes with a wrong region
             region = self.chance.choice((ZONES[node.zone], self.chance.choice(REGIONS)))
             new = self.nodes[self.nodes.index(node)] = Node(self, node.zone, region)
             new.cut, new.restarted = node.cut, self.now
@@ -221,7 +220,7 @@
     return made
 
 
-def entered(made: Router, now: float = 1.0, path: str = "/x/1", key: str = "k1") -> Job | Problem:
+def admitted(made: Router, now: float = 1.0, path: str = "/x/1", key: str = "k1") -> Job | Problem:
     return made.admit(now, b"id", "a.example", path, key, 1.5)
 
 
@@ -231,7 +230,7 @@
         made = at(region, configuration)
         for found in (
             made.check_head(1.0, "a.example", "/x/secret-slot"),
-            entered(made, path="/x/secret-slot"),
+            admitted(made, path="/x/secret-slot"),
         ):
             assert isinstance(found, Problem) and found.kind is Kind.FOREIGN and not found.reason
             assert ANSWERS[found.kind].promise is Promise.NOT_RUN and found.status == 421
@@ -244,7 +243,7 @@
 
 def test_without_a_host_in_its_region_a_bound_request_is_refused_and_not_sent_elsewhere() -> None:
     made = at("coast", bound(Svcs__s__Region="coast"))
-    job = entered(made)
+    job = admitted(made)
     assert isinstance(job, Job)
     seen = set()
     while not isinstance(instance := made.pick(1.0, job), Problem):
@@ -259,7 +258,7 @@
     made = at("coast", bound(Routes__r__Region="coast"))
     made.instances.zone = "delta-1"
     for path, region in (("/x/1", "coast"), ("/x/y/1", "delta")):
-        job = entered(made, path=path)
+        job = admitted(made, path=path)
         assert isinstance(job, Job)
         instance = made.pick(1.0, job)
         assert not isinstance(instance, Problem) and ZONES[instance.entry.row.az] == region
@@ -267,33 +266,32 @@
 
 def test_after_a_change_of_its_binding_a_request_gets_no_further_try() -> None:
     made = at("coast", bound(Svcs__s__Region="coast"))
-    job = entered(made)
+    job = admitted(made)
     assert isinstance(job, Job) and not isinstance(made.pick(1.0, job), Problem)
     moved = survey(changed(Ver=9, Svcs__s__Region="delta"), made.configuration)
     assert isinstance(moved, Configuration) and made.take_configuration(moved)
     job.may_have_run = True
     found = made.pick(1.1, job)
-    assert (
-        isinstance(found, Problem) and found.kind is Kind.MAYBE_RUN
-    )  # it ends where it began, without a promise
-    refusal = entered(made)
+    # It ends where it began, without a promise.
+    assert isinstance(found, Problem) and found.kind is Kind.MAYBE_RUN
+    refusal = admitted(made)
     assert isinstance(refusal, Problem) and refusal.kind is Kind.FOREIGN
 
 
 def test_a_gateway_without_contact_refuses_bound_requests_after_its_lease_until_contact_returns() -> None:
     made = at("coast", bound(Svcs__s__Region="coast"), heard=1.0)
-    assert isinstance(entered(made, 1.0 + made.home.lease), Job)
-    unsure = entered(made, 1.1 + made.home.lease)
+    assert isinstance(admitted(made, 1.0 + made.home.lease), Job)
+    unsure = admitted(made, 1.1 + made.home.lease)
     assert isinstance(unsure, Problem) and unsure.kind is Kind.BINDING_UNSURE and unsure.retry_after > 0
     made.home.core_heard_at = 20.0
-    assert isinstance(entered(made, 20.1), Job)
+    assert isinstance(admitted(made, 20.1), Job)
 
 
 def test_rules_of_the_regions_file_bind_by_pattern_and_mistakes_are_refused_with_their_place() -> None:
     made = at("delta", bound(), **{"s*": "coast"})
-    assert made.home.services == {"s": "coast"} and isinstance(entered(made), Problem)
+    assert made.home.services == {"s": "coast"} and isinstance(admitted(made), Problem)
     own = at("delta", bound(Svcs__s__Region="delta"), **{"s*": "coast"})  # the configuration takes precedence
-    assert isinstance(entered(own), Job)
+    assert isinstance(admitted(own), Job)
     file = parse('Lease: 5\nBindings: {"book-*": coast}', "f", ZONES)
     assert file.Lease == 5 and file.Bindings == {"book-*": "coast"}
     for text, place in (
@@ -317,6 +315,8 @@
     (tmp_path / "log-2").write_text(line.format(2, 2, "delta"))
     capsys.readouterr()
     assert commands.main(["regions", "audit", str(tmp_path), "--as-json"]) == 1
-    told = json.loads(capsys.readouterr().out)
-    assert told["answers"] == {"booking": {"coast": 1, "delta": 1}}
-    assert [(o["gateway"], o["request"], o["region"]) for o in told["outside"]] == [("log-2", "r-2", "delta")]
+    audit = json.loads(capsys.readouterr().out)
+    assert audit["answers"] == {"booking": {"coast": 1, "delta": 1}}
+    assert [(o["gateway"], o["request"], o["region"]) for o in audit["outside"]] == [
+        ("log-2", "r-2", "delta")
+    ]
--- a/tests/cluster/test_host_health.py
+++ b/tests/cluster/test_host_health.py
@@ -156,10 +156,10 @@
 
     def exchange_reports() -> None:
         for name, tracker in nodes.items():
-            told = tracker.own_report(now)
+            report = tracker.own_report(now)
             for other in nodes.values():
                 if other is not tracker:
-                    other.update_report(now, name, told)
+                    other.update_report(now, name, report)
 
     for n in range(100):  # 20 results per second, all well
         now = n / 20
--- a/tests/cluster/test_registry.py
+++ b/tests/cluster/test_registry.py
@@ -29,7 +29,7 @@
         for each in first + chance.sample(rows * 2, len(rows) * 2):
             register.merge(1.0, each)
         digests.add(register.digest)
-        assert [life.id for life in register.usable(1.0, "svc")] == ["i-4", "i-5"]
+        assert [entry.id for entry in register.usable(1.0, "svc")] == ["i-4", "i-5"]
         assert not register.may_serve("i-0") and not register.may_serve("i-2") and register.may_serve("i-5")
     assert len(digests) == 1
 
@@ -53,7 +53,7 @@
     register.merge(0.0, row("i-1"))
     register.merge(0.0, row("i-2"))
     register.merge_beats(5.0, [("i-1", 4)])
-    assert [life.id for life in register.usable(6.0, "svc")] == ["i-1"]
+    assert [entry.id for entry in register.usable(6.0, "svc")] == ["i-1"]
     assert len(register.usable(60.0, "svc")) == 2  # when all are silent, this gateway itself may be cut off
     assert register.merge_beats(6.0, [("unknown", 1)])
 
--- a/tests/cluster/test_routing.py
+++ b/tests/cluster/test_routing.py
@@ -32,13 +32,13 @@
     return made
 
 
-def enter(made: Router, path: str = "/x/1", key: str | None = "k1", left: float = 1.5) -> Job:
+def admitted_job(made: Router, path: str = "/x/1", key: str | None = "k1", left: float = 1.5) -> Job:
     job = made.admit(1.0, b"id", "a.example", path, key, left)
     assert isinstance(job, Job)
     return job
 
 
-def sent(made: Router, job: Job) -> Instance:
+def picked_instance(made: Router, job: Job) -> Instance:
     instance = made.pick(1.0, job)
     assert isinstance(instance, Instance)
     return instance
@@ -62,8 +62,8 @@
     assert kind(made.admit(1.0, b"i", "a.example", "/x/y/1", None, 1.0)) is Kind.NO_KEY
     assert kind(made.admit(1.0, b"i", "a.example", "/x/y/1", "other", 1.0)) is Kind.NO_KEY
     assert kind(made.admit(1.0, b"i", "a.example", "/x/y/1", "", 1.0)) is Kind.NO_KEY
-    assert enter(made, "/x/y/1", "k3").tenant == "u"
-    assert enter(made, "/x/1", None).tenant == "" and enter(made, "/x/1", "k2").tenant == "t"
+    assert admitted_job(made, "/x/y/1", "k3").tenant == "u"
+    assert admitted_job(made, "/x/1", None).tenant == "" and admitted_job(made, "/x/1", "k2").tenant == "t"
     empty = Router(BOUNDS, made.instances, made.limiter, random.Random(1))
     assert kind(empty.admit(1.0, b"i", "a.example", "/x/1", "k1", 1.0)) is Kind.NO_CONFIGURATION
 
@@ -81,13 +81,15 @@
 def test_a_run_once_request_that_may_have_run_is_neither_retried_nor_refused_with_a_promise() -> None:
     for outcome in (Outcome.RESET, Outcome.ERROR, Outcome.TIMEOUT):
         made = router()
-        job = enter(made, "/x/y/1")
-        assert kind(made.try_ended(1.1, job, sent(made, job), 1, outcome, 0, 0.1)) is Kind.MAYBE_RUN
+        job = admitted_job(made, "/x/y/1")
+        assert (
+            kind(made.try_ended(1.1, job, picked_instance(made, job), 1, outcome, 0, 0.1)) is Kind.MAYBE_RUN
+        )
         assert not made.time_out(9.0, job).promises
     made = router()
-    job = enter(made, "/x/y/1")
+    job = admitted_job(made, "/x/y/1")
     for number in (1, 2):  # turned away by two hosts: all tries of the route
-        found = made.try_ended(1.1, job, sent(made, job), number, Outcome.FULL, 503, 0.1)
+        found = made.try_ended(1.1, job, picked_instance(made, job), number, Outcome.FULL, 503, 0.1)
     assert kind(found) is Kind.NOT_RUN and found.promises
 
 
@@ -98,7 +100,7 @@
     assert {o for o, end in ENDS.items() if not end.may_repeat(True)} == {Outcome.OK}
     for outcome, end in ENDS.items():
         made = router()
-        job = enter(made, "/x/y/1")
+        job = admitted_job(made, "/x/y/1")
         instance = made.pick(1.0, job)
         assert isinstance(instance, Instance)
         found = made.try_ended(1.1, job, instance, 1, outcome, 500, 0.1)
@@ -112,30 +114,32 @@
 
 def test_a_repeatable_request_is_retried_at_another_instance() -> None:
     made = router()
-    job = enter(made)
-    first = sent(made, job)
+    job = admitted_job(made)
+    first = picked_instance(made, job)
     assert made.try_ended(1.1, job, first, 1, Outcome.RESET, 0, 0.1) is None
-    assert sent(made, job) is not first
+    assert picked_instance(made, job) is not first
     assert kind(made.try_ended(1.1, job, first, 2, Outcome.RESET, 0, 0.1)) is Kind.MAYBE_RUN
 
 
 def test_a_request_that_reached_no_host_is_retried_then_refused_and_refunded() -> None:
     made = router()
-    job = enter(made, "/x/y/1")
+    job = admitted_job(made, "/x/y/1")
     tries = 0
     while (
-        found := made.try_ended(1.1, job, sent(made, job), tries + 1, Outcome.CONNECT_FAILED, 0, 0.0)
+        found := made.try_ended(
+            1.1, job, picked_instance(made, job), tries + 1, Outcome.CONNECT_FAILED, 0, 0.0
+        )
     ) is None:
         tries += 1
     assert tries >= 2 and found.promises and job.admitted is None
     assert made.limiter.tenants["t"].bucket.fill == 0
     none = router(hosts=0)
-    assert kind(none.pick(1.0, enter(none))) is Kind.NO_HOST
+    assert kind(none.pick(1.0, admitted_job(none))) is Kind.NO_HOST
 
 
 def test_loaded_slow_and_failing_instances_are_not_picked_while_others_are_left() -> None:
     made = router()
-    instances = [made.instances.get(1.0, life) for life in made.instances.register.usable(1.0, "s")]
+    instances = [made.instances.get(1.0, entry) for entry in made.instances.register.usable(1.0, "s")]
     instances[0].update_load(1.0, 4, 12, 4)
     instances[1].slow = 4.0
     instances[2].failed(1.0, 5.0)
@@ -148,8 +152,8 @@
 
 def test_an_instance_whose_address_belongs_to_another_is_avoided() -> None:
     made = router(hosts=2)
-    job = enter(made)
-    wrong = sent(made, job)
+    job = admitted_job(made)
+    wrong = picked_instance(made, job)
     assert made.try_ended(1.1, job, wrong, 1, Outcome.FULL, 421, 0.01) is None
     assert all(made.instances.pick(1.2, "s", 0.2, set()) is not wrong for _ in range(20))
 
--- a/tests/cluster/test_sending.py
+++ b/tests/cluster/test_sending.py
@@ -31,17 +31,17 @@
         self.now += seconds
 
     def send(self, patience: float = 10.0) -> tuple[Sent, list[str]]:
-        told: list[str] = []
+        lines: list[str] = []
         found = sending.send(
-            CHANGE, 3, ["a:1", "b:1"], patience, told.append, self.ask, lambda: self.now, self.sleep
+            CHANGE, 3, ["a:1", "b:1"], patience, lines.append, self.ask, lambda: self.now, self.sleep
         )
-        return found, told
+        return found, lines
 
 
 def test_without_a_definite_answer_a_change_goes_unchanged_to_another_gateway() -> None:
     gateways = Gateways(503, 0, 429, 200)
-    found, told = gateways.send()
-    assert found == Sent(200, "b:1", "why", 4) and len(told) == 3
+    found, lines = gateways.send()
+    assert found == Sent(200, "b:1", "why", 4) and len(lines) == 3
     assert [at for at, *_ in gateways.asked] == ["a:1", "b:1", "a:1", "b:1"]
     assert {row[1:] for row in gateways.asked} == {
         ("/rpc?call=config.update", json.dumps(CHANGE).encode(), "3")
--- a/tests/cluster/test_spread.py
+++ b/tests/cluster/test_spread.py
@@ -153,8 +153,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def whole() -> None:
-        told: list[dict[str, Any]] = []
-        monkeypatch.setattr(gossip, "tell", lambda event, **fields: told.append({"event": event, **fields}))
+        logged: list[dict[str, Any]] = []
+        monkeypatch.setattr(gossip, "tell", lambda event, **fields: logged.append({"event": event, **fields}))
         regions = ("home", "abroad")  # of zone-0 and zone-1
         node = GatewayNode(parse(settings(0, IPS, 3, Path("/nowhere"), False, regions)), "")
         node.membership.begin()
@@ -167,10 +167,10 @@
             node.gossip.word(now, IPS[1], Word(1, 0, region="home"))  # it is in zone-1
             node.gossip.word(now, IPS[2], Word(1, 0, region="home"))
             node.gossip.word(now, IPS[1], Word(1, 0))  # an incomplete report names no region
-        assert [(row["name"], row["zone"], row["region"], row["by_zone"]) for row in told] == [
+        assert [(row["name"], row["zone"], row["region"], row["by_zone"]) for row in logged] == [
             ("gateway-1", "zone-1", "home", "abroad")
         ]
         node.gossip.word(now, IPS[1], Word(1, 0, region="abroad"))
-        assert len(told) == 1
+        assert len(logged) == 1
 
     asyncio.run(whole())
