--- a/coralvale/cluster/routing/budget.py
+++ b/coralvale/cluster/routing/budget.py
@@ -31,7 +31,7 @@
     def __init__(self, window: float, extra: float) -> None:
         self.window, self.extra = window, USABLE_FRACTION * extra
         self.share = self.tokens = 0.0
-        self.refilled_at = math.inf
+        self.refilled_at = math.inf  # before the first refill
 
     def refill(self, now: float, fleet_share: FleetShare) -> None:
         """Adds tokens up to `now`. A smaller share removes tokens in proportion, a larger one adds none."""
--- a/coralvale/cluster/routing/router.py
+++ b/coralvale/cluster/routing/router.py
@@ -138,9 +138,9 @@
         if job.deadline <= now:
             return Problem(Kind.NOT_SENT_IN_TIME)
         if tenant and (terms := configuration.tenant(tenant)) and terms.RatePerS > 0:
-            aim = (route.TargetMs or route.TimeoutMs) / 1000
-            patience = min(MAX_TOKEN_WAIT_S, TOKEN_WAIT_FRACTION * aim, job.deadline - now)
-            verdict = self.limiter.request(now, tenant, terms.RatePerS, terms.Burst, job, patience)
+            target = (route.TargetMs or route.TimeoutMs) / 1000
+            max_wait = min(MAX_TOKEN_WAIT_S, TOKEN_WAIT_FRACTION * target, job.deadline - now)
+            verdict = self.limiter.request(now, tenant, terms.RatePerS, terms.Burst, job, max_wait)
             if isinstance(verdict, Waiting):
                 job.waits_for_token = True
             elif problem := self.apply_verdict(job, verdict):
@@ -163,9 +163,9 @@
 
     def _find_route(self, host: str, path: str) -> tuple[str, Route] | None:
         """The route of a request. The last result is cached, for the request that follows its head."""
-        configuration, newest = self.configuration, self.last_lookup
-        if newest[0] is configuration and newest[2] == path and newest[1] == host:
-            return newest[3]
+        configuration, last = self.configuration, self.last_lookup
+        if last[0] is configuration and last[2] == path and last[1] == host:
+            return last[3]
         found = configuration.route(host, path)
         if self.home.routes:
             self.last_lookup = (configuration, host, path, found)
