--- a/tests/cluster/test_grown.py
+++ b/tests/cluster/test_grown.py
@@ -6,13 +6,13 @@
 import asyncio
 import random
 
-from test_edge import BOOK, READ, Scene, next_of, play, reply
+from test_edge import BOOK, READ, Scene, next_request, reply, run_scene
 
 from coralvale.cluster.rate_limit.actions import Admitted, Source
 from coralvale.cluster.rate_limit.limiter import RateLimiter
 from coralvale.cluster.rate_limit.quota import Rule
 from coralvale.cluster.registry.register import Register, Row
-from coralvale.cluster.routing.copies import Copies
+from coralvale.cluster.routing.copies import InstancePool
 from coralvale.cluster.server.messages import (
     MOST_HEALTH_ROWS,
     MOST_OUT,
@@ -33,7 +33,7 @@
     async def scene(s: Scene) -> None:
         # The kept connection and the address now belong to another service.
         first = asyncio.create_task(s.ask(READ, "r-1"))
-        (await next_of(s)).reply(reply("r-1", b"schedule"))
+        (await next_request(s)).reply(reply("r-1", b"schedule"))
         assert (await first).body == b"schedule"
         for n, said in enumerate((
             answer(421, b"", X_Myrtlehatch_Served_By="i-other"),  # as the protocol specifies
@@ -41,25 +41,25 @@
             reply("r-0", b"frames"),
         )):  # fmt: skip
             asked = asyncio.create_task(s.ask(READ, f"r-2{n}"))
-            arrived = await next_of(s)
+            arrived = await next_request(s)
             assert arrived.message.headers[b"x-myrtlehatch-want-instance"].startswith(b"i-")
             arrived.reply(said)
             arrived.close()
-            other = await next_of(s)  # safe to repeat: retried at another host
+            other = await next_request(s)  # safe to repeat: retried at another host
             other.reply(reply(f"r-2{n}", b"schedule"))
             found = await asked
             assert (found.status, found.body) == (200, b"schedule")
             booked = asyncio.create_task(s.ask(BOOK, f"b-2{n}"))
-            arrived = await next_of(s)
+            arrived = await next_request(s)
             arrived.reply(said)
             arrived.close()
             if n:  # may have run: no promise in the answer, no retry
                 assert (await booked).status == 502 and all(p.arrived.empty() for p in s.peers)
             else:  # rejected without running: retried
-                (await next_of(s)).reply(reply(f"b-2{n}", b"booked"))
+                (await next_request(s)).reply(reply(f"b-2{n}", b"booked"))
                 assert (await booked).body == b"booked"
 
-    play(3, scene)
+    run_scene(3, scene)
 
 
 def test_a_booking_on_a_connection_that_the_host_resets_runs_once() -> None:
@@ -67,29 +67,29 @@
 
     async def scene(s: Scene) -> None:
         first = asyncio.create_task(s.ask(BOOK, "r-1"))
-        arrived = await next_of(s)
+        arrived = await next_request(s)
         arrived.reply(reply("r-1"))
         assert (await first).status == 200
         second = asyncio.create_task(s.ask(BOOK, "r-2"))
-        arrived = await next_of(s)
+        arrived = await next_request(s)
         arrived.reset()  # after the request was read
         found = await second
         assert found.status == 502 and b"retry-after" not in found.headers
         assert all(peer.arrived.empty() for peer in s.peers)
         # A connection closed while idle is detected: the next request uses a new one, once.
         third = asyncio.create_task(s.ask(BOOK, "r-3"))
-        arrived = await next_of(s)
+        arrived = await next_request(s)
         arrived.reply(reply("r-3"))
         assert (await third).status == 200
         arrived.reset()
         while any(pool.idle for pool in s.hosts.pools.values()):
             await asyncio.sleep(0)
         fourth = asyncio.create_task(s.ask(BOOK, "r-4"))
-        arrived = await next_of(s)
+        arrived = await next_request(s)
         arrived.reply(reply("r-4", b"booked"))
         assert (await fourth).body == b"booked" and all(peer.arrived.empty() for peer in s.peers)
 
-    play(1, scene)
+    run_scene(1, scene)
 
 
 def test_a_preview_at_a_silent_host_is_retried_elsewhere_in_time() -> None:
@@ -98,8 +98,8 @@
     async def scene(s: Scene) -> None:
         begun = asyncio.get_running_loop().time()
         asked = asyncio.create_task(s.ask(READ, "r-1", left=15_000))
-        frozen = await next_of(s)  # never answers; its connection stays open
-        other = await next_of(s)
+        frozen = await next_request(s)  # never answers; its connection stays open
+        other = await next_request(s)
         assert (
             other.message.headers[b"x-myrtlehatch-want-instance"]
             != frozen.message.headers[b"x-myrtlehatch-want-instance"]
@@ -108,7 +108,7 @@
         assert (await asked).body == b"preview"
         assert asyncio.get_running_loop().time() - begun < 10.0  # timeout of the route 2.5 s, target 0.4 s
 
-    play(2, scene)
+    run_scene(2, scene)
 
 
 def test_new_hosts_get_less_traffic_until_they_are_warm() -> None:
@@ -116,8 +116,8 @@
     register, rng = Register(1.5), random.Random(2)
     for n in range(8):
         warm = 8000.0 if n >= 6 else 0.0
-        register.take(0.0, Row(f"i-{n}", "s", "10.0.0.1", 80 + n, "z", "v", 4, 0, warm, 1), direct=True)
-    copies = Copies(register, "z", rng)
+        register.merge(0.0, Row(f"i-{n}", "s", "10.0.0.1", 80 + n, "z", "v", 4, 0, warm, 1), direct=True)
+    copies = InstancePool(register, "z", rng)
 
     def shares(now: float) -> float:
         """Fraction of the requests that go to the two added hosts, each in flight for a while."""
@@ -132,7 +132,7 @@
             assert chosen
             chosen.in_flight[key := (f"r-{n}", 1)] = at
             out.append((at + 0.02 * rng.uniform(0.5, 1.5), chosen, key))
-            got += chosen.life.id in ("i-6", "i-7")
+            got += chosen.entry.id in ("i-6", "i-7")
         for _, copy, key in out:
             copy.in_flight.pop(key)  # type: ignore[attr-defined]
         return got / 2000
--- a/tests/cluster/test_quota_shares.py
+++ b/tests/cluster/test_quota_shares.py
@@ -384,24 +384,24 @@
     rng, requests_router = random.Random(seed), router()
     refunds: list[Admitted] = []
     monkeypatch.setattr(RateLimiter, "refund", lambda self, now, name, admitted: refunds.append(admitted))
-    job = requests_router.enter(1.0, b"id", "a.example", rng.choice(("/x/1", "/x/y/1")), "k1", 1.5)
+    job = requests_router.admit(1.0, b"id", "a.example", rng.choice(("/x/1", "/x/y/1")), "k1", 1.5)
     assert isinstance(job, Job) and job.admitted
     now, arrived = 1.0, False
     while not isinstance(copy := requests_router.pick(now, job), Problem):
         if rng.random() < 0.1:  # the client's time is over before anything was sent
-            requests_router.unsent(job, copy, job.tries)
-            requests_router.give_up(now, job)
+            requests_router.try_unsent(job, copy, job.tries)
+            requests_router.time_out(now, job)
             break
         now += rng.uniform(0.0, 0.3)
         outcome = rng.choice(list(Outcome))
         arrived = arrived or ENDS[outcome].arrived
         status = rng.choice((200, 500)) if outcome is Outcome.OK else 0
-        if requests_router.ended(now, job, copy, job.tries, outcome, status, 0.1):
+        if requests_router.try_ended(now, job, copy, job.tries, outcome, status, 0.1):
             break
         if outcome is Outcome.OK and not requests_router.may_retry_answer(now, job, status):
             break
         if rng.random() < 0.1:
-            requests_router.give_up(now, job)
+            requests_router.time_out(now, job)
             break
     return len(refunds), arrived
 
