--- a/benchmarks/coordination.py
+++ b/benchmarks/coordination.py
@@ -93,14 +93,14 @@
         for machine in self.machines:
             self.do(machine, lambda machine=machine: machine.replica.start(self.now))  # type: ignore[misc]
             self.at(TICK * self.chance.random(), lambda machine=machine: self._tick(machine))  # type: ignore[misc]
-        self.do(self.leader, lambda: self.leader.replica.found(self.now))
+        self.do(self.leader, lambda: self.leader.replica.bootstrap(self.now))
         self.run(SETTLE_S)
         assert self.leader.replica.leading and len(self.leader.replica.voters.new) == MEMBERS
 
     def _machine(self, number: int) -> Machine:
         me = m.Member(f"disk-{number}", f"gateway-{number}", f"10.0.0.{number}")
         chance = random.Random(number)
-        replica = Replica(me, DurableState(), Timing(least=MEMBERS), chance, self.now)
+        replica = Replica(me, DurableState(), Timing(min_voters=MEMBERS), chance, self.now)
         state = CoordinationState()
         desk = CoordinationDesk(replica, state, lambda: next(self.tokens), chance, RETAIN_S)
         return Machine(replica, state, desk)
@@ -178,7 +178,7 @@
         machine.syncing = False
         if machine.unsynced:
             self._sync(machine)
-        self.do(machine, lambda: machine.replica.wrote(self.now, last))
+        self.do(machine, lambda: machine.replica.write_completed(self.now, last))
 
     def _tick(self, machine: Machine) -> None:
         self.do(machine, lambda: self._ticked(machine))
@@ -188,8 +188,8 @@
         replica = machine.replica
         actions: list[Any] = [*replica.tick(self.now), *machine.desk.tick(self.now)]
         if replica.due_for_snapshot():
-            actions += replica.save(machine.history.image(b"", machine.state.image()))
-        if replica.needs_seat(self.now):
+            actions += replica.save_snapshot(machine.history.image(b"", machine.state.image()))
+        if replica.needs_join(self.now):
             actions.append(m.Send(self.leader.replica.me, m.JoinRequest(replica.me)))
         return actions
 
--- a/coralvale/attempts/frames.py
+++ b/coralvale/attempts/frames.py
@@ -36,7 +36,7 @@
     payload = json.dumps([LETTERS[type(record)], *fields], separators=(",", ":")).encode()
     if len(payload) > MOST:
         raise ValueError(f"a record of {len(payload)} bytes, at most {MOST}")
-    return disk.frame(payload)
+    return disk.encode_record(payload)
 
 
 def _record(payload: bytes) -> Record | None:
@@ -77,14 +77,14 @@
         raise JournalError(f"{name}: the header is damaged")
     found, at = Scan(number), HEAD.size
     while at < len(data):
-        if (read := disk.payload_at(data, at, MOST)) is not None:
+        if (read := disk.read_record(data, at, MOST)) is not None:
             payload, at = read
             if (record := _record(payload)) is not None:
                 if isinstance(record, Checkpoint):
                     found.checkpoint = len(found.records)
                 found.records.append(record)
             continue
-        after = disk.whole_after(data, at, MOST)
+        after = disk.find_record(data, at, MOST)
         if after < 0:
             found.torn = len(data) - at
             break
--- a/coralvale/attempts/store.py
+++ b/coralvale/attempts/store.py
@@ -4,9 +4,9 @@
 
 from coralvale import disk
 from coralvale.attempts.model import JournalError
-from coralvale.disk import LOCK, Opened
+from coralvale.disk import LOCK, AppendFile
 
-__all__ = ["LOCK", "Folder", "Opened"]
+__all__ = ["LOCK", "Folder", "AppendFile"]
 
 
 class Folder(disk.Folder):
@@ -18,5 +18,5 @@
     def __init__(self, path: str, lock: bool = True) -> None:
         try:
             super().__init__(path, lock)
-        except disk.InUse:
+        except disk.FolderInUseError:
             raise JournalError(f"{path}: another gateway has this journal") from None
--- a/coralvale/cluster/commands/disk.py
+++ b/coralvale/cluster/commands/disk.py
@@ -10,11 +10,11 @@
 
 
 def _kept(folder: Path) -> dict[str, Any]:
-    from coralvale.cluster.storage.keeper import KeeperError, look
+    from coralvale.cluster.storage.keeper import DiskStateError, inspect_state
 
     try:
-        return look(folder)
-    except KeeperError as error:
+        return inspect_state(folder)
+    except DiskStateError as error:
         raise Fault(str(error)) from None
 
 
@@ -56,7 +56,7 @@
 
     try:
         print(json.dumps(keeper.export(datadir)))
-    except keeper.KeeperError as error:
+    except keeper.DiskStateError as error:
         raise Fault(str(error)) from None
     return 0
 
@@ -76,7 +76,7 @@
         raise Fault("refused: say --all-others-are-lost, and empty the disks of all other members first")
     try:
         name = keeper.restore(json.loads(file.read_bytes()), datadir, hostname, ip)
-    except (keeper.KeeperError, OSError, ValueError) as error:
+    except (keeper.DiskStateError, OSError, ValueError) as error:
         raise Fault(str(error)) from None
     print(
         f"{datadir}: disk {name} is the only member of a new core; start it, then the others on empty disks"
--- a/coralvale/cluster/consensus/election.py
+++ b/coralvale/cluster/consensus/election.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from coralvale.cluster.consensus.messages import (
-    OPENING,
+    NO_OP,
     Send,
     Settled,
     TransferLeadership,
@@ -18,9 +18,9 @@
 
     pre_votes: set[str] | None = None  # who would vote for this replica; None: it does not ask
     votes: set[str] | None = None
-    vote_write = 0  # the write that has the own vote
+    vote_write_number = 0  # the write that has the own vote
 
-    def _enter(self, now: float, view: int, leader: str) -> None:
+    def _enter_view(self, now: float, view: int, leader: str) -> None:
         """Takes up a newer view, or its leader; what was going on in the one before ends."""
         if self.leading or self.tokens:
             self._step_down(now)
@@ -32,50 +32,50 @@
     def _step_down(self, now: float) -> None:
         """What was proposed here is no longer this replica's to settle."""
         self.leading, self.leader = False, ""
-        self.heard, self.wait = now, self._election_wait()
+        self.leader_heard_at, self.election_wait = now, self._random_election_wait()
         self.peers.clear()
-        self.out += [Settled(token, False) for token in self.tokens.values()]
+        self.actions += [Settled(token, False) for token in self.tokens.values()]
         self.tokens.clear()
 
-    def _election_wait(self) -> float:
-        return self.timing.election * (1 + self.chance.random())
+    def _random_election_wait(self) -> float:
+        return self.timing.election_timeout * (1 + self.rng.random())
 
     # A candidate
 
     def _election_tick(self, now: float) -> None:
-        if now - self.heard <= self.wait:
+        if now - self.leader_heard_at <= self.election_wait:
             return
         if not self.is_voter:
             self.leader = ""
             return
-        self.heard, self.wait, self.leader = now, self._election_wait(), ""
+        self.leader_heard_at, self.election_wait, self.leader = now, self._random_election_wait(), ""
         if not self.leaving:
-            self._ask_pre_votes()
+            self._request_pre_votes()
 
     def _vote_request(self, view: int, pre_vote: bool, transferred: bool = False) -> VoteRequest:
-        last_view = self._view_of(self.last) or 0
-        return VoteRequest(view, self.me.id, last_view, self.last, pre_vote, transferred)
+        last_view = self._view_of(self.last_seq) or 0
+        return VoteRequest(view, self.me.id, last_view, self.last_seq, pre_vote, transferred)
 
     def _to_voters(self, request: VoteRequest) -> list[Send]:
         return [Send(m, request) for m in self.voters.all().values() if m.id != self.me.id]
 
-    def _ask_pre_votes(self) -> None:
+    def _request_pre_votes(self) -> None:
         self.pre_votes, self.votes = {self.me.id}, None
-        self.out += self._to_voters(self._vote_request(self.view + 1, True))
+        self.actions += self._to_voters(self._vote_request(self.view + 1, True))
         if self.voters.majority(self.pre_votes):
-            self._campaign(self.heard)
+            self._campaign(self.leader_heard_at)
 
     def _campaign(self, now: float, transferred: bool = False) -> None:
         """The own vote counts when it is on disk; the requests go out then, so that answers come after it."""
         self.view, self.vote, self.leader = self.view + 1, self.me.id, ""
-        self.heard, self.wait = now, self._election_wait()
+        self.leader_heard_at, self.election_wait = now, self._random_election_wait()
         self.pre_votes, self.votes = None, {self.me.id}
         self._write(self._to_voters(self._vote_request(self.view, False, transferred)))
-        self.vote_write = self.number
+        self.vote_write_number = self.write_number
 
-    def _count_vote(self, now: float, reply: VoteReply) -> None:
+    def _handle_vote_reply(self, now: float, reply: VoteReply) -> None:
         if reply.view > self.view and not reply.granted:
-            self._enter(now, reply.view, "")
+            self._enter_view(now, reply.view, "")
         elif not reply.granted:
             return
         elif reply.pre_vote:
@@ -88,46 +88,54 @@
             self._lead_if_elected(now)
 
     def _lead_if_elected(self, now: float) -> None:
-        if self.votes is not None and self.written >= self.vote_write and self.voters.majority(self.votes):
-            self._lead(now)
-
-    def _lead(self, now: float) -> None:
+        if (
+            self.votes is not None
+            and self.written_number >= self.vote_write_number
+            and self.voters.majority(self.votes)
+        ):
+            self._become_leader(now)
+
+    def _become_leader(self, now: float) -> None:
         """Leads the view, and goes on from all that this disk has."""
         self.pre_votes = self.votes = None
         self.leading, self.leader = True, self.me.id
-        self.peers = {i: Progress(self.last + 1, heard=now, contact=now) for i in self._others()}
-        self._append(now, OPENING)
+        self.peers = {
+            i: Progress(self.last_seq + 1, last_reply_at=now, contact_at=now) for i in self._other_replicas()
+        }
+        self._append(now, NO_OP)
 
     # A voter
 
-    def _answer_vote(self, now: float, ask: VoteRequest) -> None:
-        as_new = (ask.last_view, ask.last_seq) >= (self._view_of(self.last) or 0, self.last)
+    def _handle_vote_request(self, now: float, request: VoteRequest) -> None:
+        as_new = (request.last_view, request.last_seq) >= (self._view_of(self.last_seq) or 0, self.last_seq)
         followed = self.in_contact(now)
-        if ask.pre_vote:
-            granted = as_new and ask.view > self.view and not followed
-            self._reply(ask.sender, VoteReply(ask.view if granted else self.view, self.me.id, granted, True))
+        if request.pre_vote:
+            granted = as_new and request.view > self.view and not followed
+            self._reply(
+                request.sender, VoteReply(request.view if granted else self.view, self.me.id, granted, True)
+            )
             return
-        if ask.view > self.view and (ask.transferred or not followed):
-            self._enter(now, ask.view, "")
-        if as_new and ask.view == self.view and self.vote in ("", ask.sender) and not self.leader:
-            self.vote, self.heard = ask.sender, now
-            if member := self._member(ask.sender):
+        if request.view > self.view and (request.transferred or not followed):
+            self._enter_view(now, request.view, "")
+        if as_new and request.view == self.view and self.vote in ("", request.sender) and not self.leader:
+            self.vote, self.leader_heard_at = request.sender, now
+            if member := self._member(request.sender):
                 self._write([Send(member, VoteReply(self.view, self.me.id, True))])
         else:
-            self._reply(ask.sender, VoteReply(self.view, self.me.id, False))
+            self._reply(request.sender, VoteReply(self.view, self.me.id, False))
 
     # A leader that leaves
 
-    def _transfer(self, now: float) -> None:
+    def _transfer_leadership(self, now: float) -> None:
         """Names the voter in contact whose disk has the most."""
         voters = self.voters.all()
         there = [
-            (p.match, i)
+            (p.match_seq, i)
             for i, p in self.peers.items()
-            if i in voters and now - p.heard < self.timing.silence and not self._is_leaving(i)
+            if i in voters and now - p.last_reply_at < self.timing.quorum_timeout and not self._is_leaving(i)
         ]
         if there:
-            self.out.append(Send(voters[max(there)[1]], TransferLeadership(self.view, self.me.id)))
+            self.actions.append(Send(voters[max(there)[1]], TransferLeadership(self.view, self.me.id)))
 
     def _is_leaving(self, name: str) -> bool:
         return False
--- a/coralvale/cluster/consensus/membership.py
+++ b/coralvale/cluster/consensus/membership.py
@@ -18,13 +18,13 @@
 )
 from coralvale.cluster.consensus.replication import Replication
 from coralvale.cluster.consensus.state import Progress
-from coralvale.cluster.consensus.voters import Limits, next_voters, pack_voters
+from coralvale.cluster.consensus.voters import Limits, encode_voters, next_voters
 
-MOST_LEARNERS = 16
-FORGET_LEARNER = 3.0  # s without a request
-FORGET_LEAVING = 1.5  # s: the process has ended, or its leave was taken back
-LEAVE_EVERY = 0.2  # s between a leaving replica's requests
-READY = 4  # heartbeats without a reply after which a learner is not taken
+MAX_LEARNERS = 16
+LEARNER_TIMEOUT_S = 3.0  # s without a request
+LEAVE_TIMEOUT_S = 1.5  # s: the process has ended, or its leave was taken back
+LEAVE_REQUEST_INTERVAL_S = 0.2  # s between a leaving replica's requests
+READY_MAX_SILENT_HEARTBEATS = 4  # heartbeats without a reply after which a learner is not taken
 
 
 class Membership(Replication):
@@ -32,8 +32,8 @@
 
     learners: dict[str, tuple[Member, float]]  # and when they asked last
     departing: dict[str, float]  # replicas that ask to leave, and when they did last
-    may_end = False  # this replica leaves, and what is committed is safe without it
-    leave_asked = -1e9
+    safe_to_stop = False  # this replica leaves, and what is committed is safe without it
+    leave_requested_at = -1e9
 
     def _begin_membership(self) -> None:
         self.learners, self.departing = {}, {}
@@ -51,24 +51,24 @@
 
     # Learners
 
-    def _take_join(self, now: float, request: JoinRequest) -> None:
+    def _handle_join_request(self, now: float, request: JoinRequest) -> None:
         member = request.member
         if not self.leading or member.id in self.voters.all():
             return
         if member.id not in self.learners:
-            if len(self.learners) >= MOST_LEARNERS:
+            if len(self.learners) >= MAX_LEARNERS:
                 return
-            self.peers[member.id] = Progress(self.last + 1, heard=now)
+            self.peers[member.id] = Progress(self.last_seq + 1, last_reply_at=now)
         self.learners[member.id] = (member, now)
 
-    def _forget(self, now: float) -> None:
+    def _expire_requests(self, now: float) -> None:
         for name, (_, asked) in list(self.learners.items()):
-            if now - asked > FORGET_LEARNER:
+            if now - asked > LEARNER_TIMEOUT_S:
                 del self.learners[name]
                 if name not in self.voters.all():
                     self.peers.pop(name, None)
         for name, asked in list(self.departing.items()):
-            if now - asked > FORGET_LEAVING:
+            if now - asked > LEAVE_TIMEOUT_S:
                 del self.departing[name]
 
     def _ready_learners(self, now: float) -> list[Member]:
@@ -78,31 +78,35 @@
             progress = self.peers.get(name)
             if progress is None or name in self.departing:
                 continue
-            holds_all = progress.match >= self.commit and progress.match > 0
-            if holds_all and now - progress.heard <= self.timing.heartbeat * READY:
+            holds_all = progress.match_seq >= self.commit and progress.match_seq > 0
+            if (
+                holds_all
+                and now - progress.last_reply_at
+                <= self.timing.heartbeat_interval * READY_MAX_SILENT_HEARTBEATS
+            ):
                 ready.append(member)
         return ready
 
     # Changes
 
-    def _changing(self) -> bool:
+    def _voters_changing(self) -> bool:
         """Whether a change of voters is on its way, or this view's first entry is."""
         if self.voters.old or self._view_of(self.commit) != self.view:
             return True
         return bool(self.voter_log) and self.voter_log[-1][0] > self.commit
 
-    def _planned(self, now: float) -> tuple[Member, ...] | None:
-        silent = {i: now - p.heard for i, p in self.peers.items()}
-        limits = Limits(self.timing.least, self.timing.gone, self.timing.spare)
+    def _planned_voters(self, now: float) -> tuple[Member, ...] | None:
+        silent = {i: now - p.last_reply_at for i, p in self.peers.items()}
+        limits = Limits(self.timing.min_voters, self.timing.replace_after, self.timing.remove_spare_after)
         return next_voters(self.voters.new, self._ready_learners(now), silent, self.departing.keys(), limits)
 
     def _change_voters(self, now: float) -> None:
-        if self._changing():
+        if self._voters_changing():
             return
-        if (planned := self._planned(now)) is not None:
-            self._append(now, VOTERS, pack_voters(VoterSet(planned, self.voters.new)))
+        if (planned := self._planned_voters(now)) is not None:
+            self._append(now, VOTERS, encode_voters(VoterSet(planned, self.voters.new)))
 
-    def _voters_committed(self, now: float) -> None:
+    def _advance_voter_change(self, now: float) -> None:
         """A change that all know of is ended; a leader that has no vote any more steps down."""
         voters = self.voters
         for name in [name for name in self.learners if name in voters.all()]:
@@ -110,7 +114,7 @@
         if not self.leading or self._voters_at(self.commit) != voters:
             return
         if voters.old:
-            self._append(now, VOTERS, pack_voters(VoterSet(voters.new)))
+            self._append(now, VOTERS, encode_voters(VoterSet(voters.new)))
         elif self.me.id not in voters.all():
             self._step_down(now)
 
@@ -118,34 +122,34 @@
 
     def _leave_tick(self, now: float) -> None:
         """A replica that is being stopped: a leader names another, the others ask whether they may end."""
-        if not self.leaving or now - self.leave_asked < LEAVE_EVERY:
+        if not self.leaving or now - self.leave_requested_at < LEAVE_REQUEST_INTERVAL_S:
             return
-        self.leave_asked = now
+        self.leave_requested_at = now
         if self.leading and len(self.voters.all()) == 1:
-            self.may_end = True  # there is nobody else
+            self.safe_to_stop = True  # there is nobody else
         elif self.leading:
-            self._transfer(now)
+            self._transfer_leadership(now)
         elif self.leader:
             self._reply(self.leader, LeaveRequest(self.view, self.me.id))
 
-    def _take_leave(self, now: float, request: LeaveRequest) -> None:
+    def _handle_leave_request(self, now: float, request: LeaveRequest) -> None:
         if not self.leading or (member := self._member(request.sender)) is None:
             return
         self.departing[request.sender] = now
         self._change_voters(now)
         safe = self._safe_without(request.sender)
-        self.out.append(Send(member, LeaveReply(self.view, self.me.id, safe)))
+        self.actions.append(Send(member, LeaveReply(self.view, self.me.id, safe)))
 
     def _safe_without(self, name: str) -> bool:
         """Whether all that is committed is on disk at a majority of the voters that stay."""
-        if self._changing():
+        if self._voters_changing():
             return False
         stay = [m.id for m in self.voters.new if m.id not in self.departing]
-        has = {i for i, p in self.peers.items() if p.match >= self.commit}
-        if self.durable >= self.commit:
+        has = {i for i, p in self.peers.items() if p.match_seq >= self.commit}
+        if self.durable_seq >= self.commit:
             has.add(self.me.id)
         return 2 * sum(i in has for i in stay) > len(stay)
 
-    def _take_leave_reply(self, reply: LeaveReply) -> None:
+    def _handle_leave_reply(self, reply: LeaveReply) -> None:
         if self.leaving and reply.view == self.view:
-            self.may_end = self.may_end or reply.safe
+            self.safe_to_stop = self.safe_to_stop or reply.safe
--- a/coralvale/cluster/consensus/messages.py
+++ b/coralvale/cluster/consensus/messages.py
@@ -10,8 +10,8 @@
 from attrs import frozen
 
 # Kinds of entries. READ was written by earlier versions for each reading; it has no effect.
-OPENING, CHANGE, VOTERS, READ, SHARES, COORDINATION = 0, 1, 2, 3, 4, 5
-OLD_VERSION = -1  # instead of a round, from a version that does not tell it
+NO_OP, CHANGE, VOTERS, READ, SHARES, COORDINATION = 0, 1, 2, 3, 4, 5
+ROUND_UNKNOWN = -1  # instead of a round, from a version that does not tell it
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
@@ -91,13 +91,13 @@
 
 class AppendReply(msgspec.Struct, frozen=True, array_like=True, tag=4):
     """`seq`: up to where the sender's disk agrees with the leader's log; if not `accepted`, from where to try
-    again. `round`: the one of the `Append` that it answers, 0 for none; `OLD_VERSION` where it is not told."""
+    again. `round`: the one of the `Append` that it answers, 0 for none; `ROUND_UNKNOWN` where it is not told."""
 
     view: int
     sender: str
     accepted: bool
     seq: int
-    round: int = OLD_VERSION
+    round: int = ROUND_UNKNOWN
 
 
 class TransferLeadership(msgspec.Struct, frozen=True, array_like=True, tag=6):
@@ -174,16 +174,16 @@
 
 @frozen
 class Write:
-    """To be put on disk and synced, in the order given; `Replica.wrote(number)` answers it."""
+    """To be put on disk and synced, in the order given; `Replica.write_completed(number)` answers it."""
 
     number: int
     view: int
     vote: str
     commit: int
-    cut: int | None = None  # entries from this seq on are taken out first
+    truncate_from: int | None = None  # entries from this seq on are taken out first
     entries: tuple[Entry, ...] = ()
     snapshot: Snapshot | None = None  # takes the place of the one before
-    trim: int = 0  # entries below this seq are not needed any more
+    trim_below: int = 0  # entries below this seq are not needed any more
 
 
 @frozen
--- a/coralvale/cluster/consensus/replication.py
+++ b/coralvale/cluster/consensus/replication.py
@@ -6,7 +6,7 @@
 
 from coralvale.cluster.consensus.election import Elections
 from coralvale.cluster.consensus.messages import (
-    OLD_VERSION,
+    ROUND_UNKNOWN,
     Append,
     AppendReply,
     Entry,
@@ -20,36 +20,36 @@
 from coralvale.cluster.consensus.snapshot import SnapshotDownload, SnapshotUpload
 from coralvale.cluster.consensus.state import Progress
 
-KEPT = 512  # entries kept behind a snapshot: a replica that lags by less needs no snapshot
+KEPT_ENTRIES = 512  # entries kept behind a snapshot: a replica that lags by less needs no snapshot
 KEPT_BYTES = 2 * 1024 * 1024  # of their bodies
-SNAPSHOT_EVERY = 512  # entries
-SNAPSHOT_BYTES = 4 * 1024 * 1024  # of entries' bodies: the disk has room for 64 MB
-MOST_KEPT = 2048  # entries, for replicas that are getting a snapshot
-MOST_KEPT_BYTES = 8 * 1024 * 1024  # of their bodies
-BATCH = 64  # entries in one message
-BATCH_BYTES = 256 * 1024  # of their bodies, unless one alone is larger
-SLOWEST = 64 * 1024  # bytes a second of a link, below which a long entry may be sent twice
-MOST_IN_FLIGHT = 256  # entries proposed and not committed
-ROUNDS = 64  # broadcasts whose time is remembered
+SNAPSHOT_EVERY_ENTRIES = 512  # entries
+SNAPSHOT_EVERY_BYTES = 4 * 1024 * 1024  # of entries' bodies: the disk has room for 64 MB
+MAX_KEPT_ENTRIES = 2048  # entries, for replicas that are getting a snapshot
+MAX_KEPT_BYTES = 8 * 1024 * 1024  # of their bodies
+MAX_BATCH_ENTRIES = 64  # entries in one message
+MAX_BATCH_BYTES = 256 * 1024  # of their bodies, unless one alone is larger
+MIN_LINK_BYTES_PER_S = 64 * 1024  # bytes a second of a link, below which a long entry may be sent twice
+MAX_IN_FLIGHT = 256  # entries proposed and not committed
+REMEMBERED_ROUNDS = 64  # broadcasts whose time is remembered
 NO_ROUND = 0  # a reply to something else than a broadcast
 
 
 class Replication(Elections):
     """A follower's disk speaks through its replies; only what a majority's disks have is committed."""
 
-    kept = KEPT
-    snapshot_every = SNAPSHOT_EVERY
+    kept_entries = KEPT_ENTRIES
+    snapshot_every = SNAPSHOT_EVERY_ENTRIES
     round = 0  # broadcasts of this view's leader
     read_rounds: deque[tuple[int, int]]  # barriers: the round that a majority has to answer, the token
     round_times: deque[tuple[int, float]]
     download: SnapshotDownload
 
     def _begin_replication(self) -> None:
-        self.read_rounds, self.round_times = deque(), deque(maxlen=ROUNDS)
+        self.read_rounds, self.round_times = deque(), deque(maxlen=REMEMBERED_ROUNDS)
         self.download = SnapshotDownload()
 
     def _step_down(self, now: float) -> None:
-        self.out += [Settled(token, False) for _, token in self.read_rounds]
+        self.actions += [Settled(token, False) for _, token in self.read_rounds]
         self.read_rounds.clear()
         super()._step_down(now)
 
@@ -58,115 +58,115 @@
     def _broadcast(self, now: float) -> None:
         self.round += 1
         self.round_times.append((self.round, now))
-        self.heartbeat_at = now + self.timing.heartbeat
-        self._feed(now, heartbeat=True)
+        self.heartbeat_at = now + self.timing.heartbeat_interval
+        self._replicate(now, heartbeat=True)
 
-    def _feed(self, now: float, heartbeat: bool = False) -> None:
-        for name, member in self._others().items():
-            progress = self.peers.setdefault(name, Progress(self.last + 1, heard=now))
-            self._feed_one(now, member, progress, heartbeat)
+    def _replicate(self, now: float, heartbeat: bool = False) -> None:
+        for name, member in self._other_replicas().items():
+            progress = self.peers.setdefault(name, Progress(self.last_seq + 1, last_reply_at=now))
+            self._replicate_to(now, member, progress, heartbeat)
 
-    def _feed_one(self, now: float, member: Member, progress: Progress, heartbeat: bool) -> None:
-        if progress.next <= self.log_start:
-            self._feed_snapshot(now, member, progress)
+    def _replicate_to(self, now: float, member: Member, progress: Progress, heartbeat: bool) -> None:
+        if progress.next_seq <= self.log_start:
+            self._send_snapshot_part(now, member, progress)
             if heartbeat:
                 self._send_append(member, progress, self.log_start, ())
             return
         progress.upload = None
-        free = not progress.outstanding or now >= progress.resend_at
-        entries = self._batch(progress.next) if free else ()
+        free = not progress.in_flight_seq or now >= progress.resend_at
+        entries = self._batch(progress.next_seq) if free else ()
         if not entries and not heartbeat:
             return
-        self._send_append(member, progress, progress.next - 1, entries)
+        self._send_append(member, progress, progress.next_seq - 1, entries)
         if entries:
             size = sum(len(entry.body) for entry in entries)
-            progress.resend_at = now + self.timing.again + size / SLOWEST
-            progress.outstanding = entries[-1].seq
+            progress.resend_at = now + self.timing.resend_after + size / MIN_LINK_BYTES_PER_S
+            progress.in_flight_seq = entries[-1].seq
 
     def _send_append(
         self, member: Member, progress: Progress, before: int, entries: tuple[Entry, ...]
     ) -> None:
-        progress.told = max(progress.told, min(self.commit, before + len(entries)))
+        progress.commit_sent = max(progress.commit_sent, min(self.commit, before + len(entries)))
         view = self._view_of(before) or 0
         append = Append(self.view, self.me.id, before, view, self.commit, entries, self.round)
-        self.out.append(Send(member, append))
+        self.actions.append(Send(member, append))
 
     def _batch(self, first: int) -> tuple[Entry, ...]:
         """Entries from `first` on, bounded in number and bytes; at least one where there is any."""
         found: list[Entry] = []
         size = 0
         for at in range(
-            first - self.log_start - 1, min(first - self.log_start - 1 + BATCH, len(self.entries))
+            first - self.log_start - 1, min(first - self.log_start - 1 + MAX_BATCH_ENTRIES, len(self.entries))
         ):
             entry = self.entries[at]
             size += len(entry.body)
-            if found and size > BATCH_BYTES:
+            if found and size > MAX_BATCH_BYTES:
                 break
             found.append(entry)
         return tuple(found)
 
-    def _feed_snapshot(self, now: float, member: Member, progress: Progress) -> None:
+    def _send_snapshot_part(self, now: float, member: Member, progress: Progress) -> None:
         if progress.upload is None or progress.upload.seq < self.log_start:
             progress.upload = SnapshotUpload.of(self.snapshot)
-        if part := progress.upload.part(now, self.view, self.me.id):
-            self.out.append(Send(member, part))
+        if part := progress.upload.next_part(now, self.view, self.me.id):
+            self.actions.append(Send(member, part))
 
-    def _take_append_reply(self, now: float, reply: AppendReply) -> None:
+    def _handle_append_reply(self, now: float, reply: AppendReply) -> None:
         if reply.view > self.view:
-            self._enter(now, reply.view, "")
+            self._enter_view(now, reply.view, "")
             return
         progress = self.peers.get(reply.sender)
         if not self.leading or reply.view != self.view or progress is None:
-            self.stale += 1
+            self.stale_messages += 1
             return
-        progress.heard = now
-        self._note_round(now, progress, reply.round)
-        if not reply.accepted or reply.seq >= progress.outstanding:
-            progress.outstanding = 0
+        progress.last_reply_at = now
+        self._record_round(now, progress, reply.round)
+        if not reply.accepted or reply.seq >= progress.in_flight_seq:
+            progress.in_flight_seq = 0
         if reply.accepted:
-            progress.match = max(progress.match, reply.seq)
-            progress.next = progress.match + 1
-            self._count_commit(now)
+            progress.match_seq = max(progress.match_seq, reply.seq)
+            progress.next_seq = progress.match_seq + 1
+            self._advance_commit(now)
         else:
-            progress.next = max(1, min(progress.next - 1, reply.seq + 1))
-        self._feed_after_reply(now, reply.sender, progress)
+            progress.next_seq = max(1, min(progress.next_seq - 1, reply.seq + 1))
+        self._replicate_after_reply(now, reply.sender, progress)
 
-    def _feed_after_reply(self, now: float, name: str, progress: Progress) -> None:
-        member = self._others().get(name)
+    def _replicate_after_reply(self, now: float, name: str, progress: Progress) -> None:
+        member = self._other_replicas().get(name)
         if member is None or not self.leading:
             return
-        if progress.next <= self.last:
-            self._feed_one(now, member, progress, heartbeat=False)
-        elif progress.told < self.commit:
-            self._send_append(member, progress, progress.match, ())
+        if progress.next_seq <= self.last_seq:
+            self._replicate_to(now, member, progress, heartbeat=False)
+        elif progress.commit_sent < self.commit:
+            self._send_append(member, progress, progress.match_seq, ())
 
-    def _note_round(self, now: float, progress: Progress, number: int) -> None:
+    def _record_round(self, now: float, progress: Progress, number: int) -> None:
         """A reply was made after the broadcast that it echoes: contact counts from when that was sent, so that
         old replies, read late by a process that stood still, prove nothing."""
-        if number == OLD_VERSION:
-            progress.contact = now
+        if number == ROUND_UNKNOWN:
+            progress.contact_at = now
         elif number > progress.round:
             progress.round = number
-            progress.contact = next((at for n, at in self.round_times if n == number), progress.contact)
+            progress.contact_at = next((at for n, at in self.round_times if n == number), progress.contact_at)
             self._confirm_reads()
 
-    def _count_commit(self, now: float) -> None:
+    def _advance_commit(self, now: float) -> None:
         """What is on disk at a majority is committed; only an entry of this view tells of those before it."""
-        for seq in range(self.last, self.commit, -1):
+        for seq in range(self.last_seq, self.commit, -1):
             if self._view_of(seq) != self.view:
                 return
-            has = {i for i, p in self.peers.items() if p.match >= seq}
-            if self.durable >= seq:
+            has = {i for i, p in self.peers.items() if p.match_seq >= seq}
+            if self.durable_seq >= seq:
                 has.add(self.me.id)
             if self.voters.majority(has):
                 self.commit = seq
                 self._deliver()
-                self._voters_committed(now)
+                self._advance_voter_change(now)
                 if self.leading:
                     self._broadcast(now)
                 return
 
-    def _voters_committed(self, now: float) -> None:
+    def _advance_voter_change(self, now: float) -> None:
         """More is committed: a change of voters may have to go on."""
 
     # The read barrier
@@ -184,45 +184,45 @@
             if not self.voters.majority(answered):
                 return
             self.read_rounds.popleft()
-            self.out.append(Settled(token, True))
+            self.actions.append(Settled(token, True))
 
     # A follower
 
-    def _take_append(self, now: float, append: Append) -> None:
+    def _handle_append(self, now: float, append: Append) -> None:
         at = self._view_of(append.before_seq)
         if append.before_seq < self.log_start:
             # Its beginning is part of what was delivered here long ago.
-            self._answer_append(append, True, min(self.commit, self.durable))
+            self._answer_append(append, True, min(self.commit, self.durable_seq))
             return
         if at is None or at != append.before_view:
-            hint = min(self.last, append.before_seq - 1) if at is None else self.commit
+            hint = min(self.last_seq, append.before_seq - 1) if at is None else self.commit
             self._answer_append(append, False, hint)
             return
-        cut, fresh = self._merge(append.entries)
+        truncate_from, fresh = self._merge_entries(append.entries)
         upto = append.before_seq + len(append.entries)
         self.commit, before = max(self.commit, min(append.commit, upto)), self.commit
-        if fresh or cut is not None:
-            self._write(self._append_reply(append, upto), cut=cut, entries=tuple(fresh))
+        if fresh or truncate_from is not None:
+            self._write(self._append_reply(append, upto), truncate_from=truncate_from, entries=tuple(fresh))
         else:
             # Of what is not on disk yet nothing is said; what is to be said of it waits with its write.
-            self._answer_append(append, True, min(upto, self.durable))
+            self._answer_append(append, True, min(upto, self.durable_seq))
         if self.commit > before:
             self._deliver()
 
-    def _merge(self, entries: tuple[Entry, ...]) -> tuple[int | None, list[Entry]]:
+    def _merge_entries(self, entries: tuple[Entry, ...]) -> tuple[int | None, list[Entry]]:
         """Takes what is new, and trims what the view before left unsettled: from where on, and the new ones."""
-        cut: int | None = None
+        truncate_from: int | None = None
         fresh: list[Entry] = []
         for entry in entries:
             mine = self._view_of(entry.seq)
             if not fresh and (mine == entry.view or entry.seq <= self.commit):
                 continue
             if mine is not None and not fresh:
-                cut = entry.seq
-                self._cut_from(entry.seq)
+                truncate_from = entry.seq
+                self._truncate_from(entry.seq)
             fresh.append(entry)
-            self._push(entry)
-        return cut, fresh
+            self._add_entry(entry)
+        return truncate_from, fresh
 
     def _append_reply(self, append: Append, seq: int) -> list[Send]:
         sender = self._member(append.sender)
@@ -234,47 +234,52 @@
 
     # Snapshots
 
-    def _take_part(self, now: float, part: SnapshotPart) -> None:
-        if part.seq <= self.commit and self.founded:
-            agreed = min(self.commit, self.durable)
+    def _handle_snapshot_part(self, now: float, part: SnapshotPart) -> None:
+        if part.seq <= self.commit and self.bootstrapped:
+            agreed = min(self.commit, self.durable_seq)
             self._reply(part.sender, AppendReply(self.view, self.me.id, True, agreed, NO_ROUND))
             return
-        snapshot = self.download.take(part)
+        snapshot = self.download.add_part(part)
         if snapshot is None:
             offset = len(self.download.data)
             self._reply(part.sender, SnapshotPartReply(self.view, self.me.id, part.checksum, offset))
             return
-        self._replace_by(snapshot)
+        self._install_snapshot(snapshot)
         sender = self._member(part.sender)
         reply = AppendReply(self.view, self.me.id, True, snapshot.seq, NO_ROUND)
-        self._write([Send(sender, reply)] if sender else [], cut=0, snapshot=snapshot, trim=snapshot.seq)
-
-    def _take_part_reply(self, now: float, reply: SnapshotPartReply) -> None:
+        self._write(
+            [Send(sender, reply)] if sender else [],
+            truncate_from=0,
+            snapshot=snapshot,
+            trim_below=snapshot.seq,
+        )
+
+    def _handle_snapshot_part_reply(self, now: float, reply: SnapshotPartReply) -> None:
         progress = self.peers.get(reply.sender)
         if not self.leading or reply.view != self.view or progress is None or progress.upload is None:
-            self.stale += 1
+            self.stale_messages += 1
             return
-        progress.heard = now
-        member = self._others().get(reply.sender)
-        if progress.upload.answered(reply.checksum, reply.offset) and member:
-            self._feed_one(now, member, progress, heartbeat=False)
+        progress.last_reply_at = now
+        member = self._other_replicas().get(reply.sender)
+        if progress.upload.acknowledge(reply.checksum, reply.offset) and member:
+            self._replicate_to(now, member, progress, heartbeat=False)
 
     def due_for_snapshot(self) -> bool:
         """Whether `save` is to be called: so many entries were delivered since the last time."""
         many = self.applied - self.snapshot.seq > self.snapshot_every
-        large = self.applied_bytes > SNAPSHOT_BYTES
+        large = self.applied_bytes > SNAPSHOT_EVERY_BYTES
         return (many or large) and self.applied == self.commit
 
-    def _save(self, body: bytes) -> None:
+    def _save_snapshot(self, body: bytes) -> None:
         seq = self.applied
         self.applied_bytes = 0
         self.snapshot = Snapshot(seq, self._view_of(seq) or 0, self._voters_at(seq), body)
         wanted = [p.upload.seq for p in self.peers.values() if p.upload]
-        start = min([self._start(seq, self.kept, KEPT_BYTES), *wanted])
-        self._trim(max(start, self._start(seq, MOST_KEPT, MOST_KEPT_BYTES)))
-        self._write([], snapshot=self.snapshot, trim=self.log_start)
+        start = min([self._trim_start(seq, self.kept_entries, KEPT_BYTES), *wanted])
+        self._trim(max(start, self._trim_start(seq, MAX_KEPT_ENTRIES, MAX_KEPT_BYTES)))
+        self._write([], snapshot=self.snapshot, trim_below=self.log_start)
 
-    def _start(self, seq: int, most: int, most_bytes: int) -> int:
+    def _trim_start(self, seq: int, most: int, most_bytes: int) -> int:
         """The entry behind which at most so many entries, of so many bytes, stand up to `seq`."""
         size = 0
         for start in range(seq, max(self.log_start, seq - most), -1):
--- a/coralvale/cluster/consensus/snapshot.py
+++ b/coralvale/cluster/consensus/snapshot.py
@@ -9,9 +9,9 @@
 
 from coralvale.cluster.consensus.messages import Snapshot, SnapshotPart
 
-PART = 64 * 1024  # bytes
-PART_AGAIN = 2.0  # s until a part that was not answered is sent again: its link may be slow
-MOST = 96 * 1024 * 1024  # bytes of a snapshot that a replica takes
+PART_BYTES = 64 * 1024  # bytes
+PART_RESEND_S = 2.0  # s until a part that was not answered is sent again: its link may be slow
+MAX_SNAPSHOT_BYTES = 96 * 1024 * 1024  # bytes of a snapshot that a replica takes
 
 _encode = msgspec.msgpack.Encoder().encode
 _decode = msgspec.msgpack.Decoder(Snapshot).decode
@@ -25,26 +25,26 @@
     data: bytes
     checksum: int
     offset: int = 0  # up to where the other has it
-    sent: float = -1e9  # when the part from there was sent
+    sent_at: float = -1e9  # when the part from there was sent
 
     @classmethod
     def of(cls, snapshot: Snapshot) -> SnapshotUpload:
         data = _encode(snapshot)
         return cls(snapshot.seq, data, crc32(data))
 
-    def part(self, now: float, view: int, sender: str) -> SnapshotPart | None:
+    def next_part(self, now: float, view: int, sender: str) -> SnapshotPart | None:
         """The next part, None while one is on its way."""
-        if self.offset >= len(self.data) or now - self.sent < PART_AGAIN:
+        if self.offset >= len(self.data) or now - self.sent_at < PART_RESEND_S:
             return None
-        self.sent = now
-        piece = self.data[self.offset : self.offset + PART]
+        self.sent_at = now
+        piece = self.data[self.offset : self.offset + PART_BYTES]
         return SnapshotPart(view, sender, self.seq, self.checksum, len(self.data), self.offset, piece)
 
-    def answered(self, checksum: int, offset: int) -> bool:
+    def acknowledge(self, checksum: int, offset: int) -> bool:
         """The other has the snapshot up to `offset`; whether this is news."""
         if checksum != self.checksum or offset == self.offset or offset > len(self.data):
             return False
-        self.offset, self.sent = offset, -1e9
+        self.offset, self.sent_at = offset, -1e9
         return True
 
 
@@ -55,10 +55,10 @@
     key: tuple[int, int, int] = (0, 0, 0)  # seq, checksum, size
     data: bytearray = field(factory=bytearray)
 
-    def take(self, part: SnapshotPart) -> Snapshot | None:
+    def add_part(self, part: SnapshotPart) -> Snapshot | None:
         """The snapshot, once it is whole and as it was sent."""
         key = (part.seq, part.checksum, part.size)
-        if part.size > MOST:
+        if part.size > MAX_SNAPSHOT_BYTES:
             return None
         if key != self.key:
             self.key, self.data = key, bytearray()
--- a/coralvale/cluster/consensus/voters.py
+++ b/coralvale/cluster/consensus/voters.py
@@ -18,11 +18,11 @@
 _decode = msgspec.msgpack.Decoder(VoterSet).decode
 
 
-def pack_voters(voters: VoterSet) -> bytes:
+def encode_voters(voters: VoterSet) -> bytes:
     return _encode(voters)
 
 
-def unpack_voters(body: bytes) -> VoterSet:
+def decode_voters(body: bytes) -> VoterSet:
     return _decode(body)
 
 
@@ -30,9 +30,9 @@
 class Limits:
     """Times in seconds without a reply; `least`: voters that the fault budget needs."""
 
-    least: int
-    gone: float  # after which a learner may take a voter's place
-    spare: float  # after which a voter beyond `least` is removed with nobody in its place
+    min_voters: int
+    replace_after: float  # after which a learner may take a voter's place
+    remove_spare_after: float  # after which a voter beyond `least` is removed with nobody in its place
 
 
 def next_voters(
@@ -50,15 +50,17 @@
     same = _same_machine(voters, learners)
     if same:
         return _replaced(voters, *same)
-    absent = sorted((m for m in voters if silent.get(m.id, 0.0) > limits.gone), key=lambda m: -silent[m.id])
+    absent = sorted(
+        (m for m in voters if silent.get(m.id, 0.0) > limits.replace_after), key=lambda m: -silent[m.id]
+    )
     departing = [m for m in voters if m.id in leaving] + absent
     if learners and departing:
         return _replaced(voters, departing[0], learners[0])
-    if learners and (len(voters) < limits.least or len(voters) % 2 == 0):
+    if learners and (len(voters) < limits.min_voters or len(voters) % 2 == 0):
         return (*voters, learners[0])
     if len(learners) >= 2:
         return (*voters, *learners[:2])
-    if len(voters) > limits.least:
+    if len(voters) > limits.min_voters:
         return _without_spare(voters, silent, leaving, limits)
     return None
 
@@ -85,9 +87,9 @@
     if len(voters) % 2 == 0:
         quietest = max(voters, key=lambda m: (m.id in leaving, silent.get(m.id, 0.0)))
         return tuple(m for m in voters if m.id != quietest.id)
-    budget = (limits.least - 1) // 2
+    budget = (limits.min_voters - 1) // 2
     too_few_stay = len(voters) - 1 - budget < len(voters) // 2 + 1
     for voter in voters:
-        if (voter.id in leaving and too_few_stay) or silent.get(voter.id, 0.0) > limits.spare:
+        if (voter.id in leaving and too_few_stay) or silent.get(voter.id, 0.0) > limits.remove_spare_after:
             return tuple(m for m in voters if m.id != voter.id)
     return None
--- a/coralvale/cluster/coordination/desk.py
+++ b/coralvale/cluster/coordination/desk.py
@@ -188,7 +188,7 @@
 
     def _may_answer(self, now: float) -> bool:
         replica = self.replica
-        if not replica.leading or not replica.settled or not replica.in_contact(now):
+        if not replica.leading or not replica.caught_up or not replica.in_contact(now):
             return False
         if self.view != replica.view:
             self._begin_view(now)
@@ -310,9 +310,9 @@
             time_ms - PUTS_REMEMBERED_MS,
             tuple(turn.operations),
         )
-        last = self.replica.last
+        last = self.replica.last_seq
         actions = self.replica.propose(now, turn.token, consensus.COORDINATION, pack_batch(batch))
-        if self.replica.last == last:  # it was refused, and stands in no log
+        if self.replica.last_seq == last:  # it was refused, and stands in no log
             self.turn = None
             refused = Unavailable("the log takes nothing at the moment")
             return [*actions, *self._answer_all(turn, refused, refused)]
--- a/coralvale/cluster/orders.py
+++ b/coralvale/cluster/orders.py
@@ -98,7 +98,7 @@
 
     def _begin(self, now: float, order: Order) -> Result:
         replica = self.replica
-        if not replica.leading or not replica.settled or not replica.in_contact(now):
+        if not replica.leading or not replica.caught_up or not replica.in_contact(now):
             return [unsettled(order.token, "no longer the leader, or not yet")]
         self.current = order
         if self.history.consider(order.change) is not None:
--- a/coralvale/cluster/server/arrivals.py
+++ b/coralvale/cluster/server/arrivals.py
@@ -176,7 +176,7 @@
             if self.core.store and self.register.version != self.hosts_put and not self.core.disk_failed:
                 version, rows = self.register.version, self.register.rows(self.runtime.clock.monotonic())
                 try:
-                    await self.runtime.loop.run_in_executor(self.core.disk, self.core.store.put_hosts, rows)
+                    await self.runtime.loop.run_in_executor(self.core.disk, self.core.store.save_hosts, rows)
                 except (sqlite3.Error, OSError):
                     continue  # a help alone: what must be on disk tells of a disk in trouble
                 self.hosts_put = version
--- a/coralvale/cluster/server/core.py
+++ b/coralvale/cluster/server/core.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Sequence
 from concurrent.futures import ThreadPoolExecutor
 
-from coralvale.cluster.bootstrap.founding import Founding
+from coralvale.cluster.bootstrap.founding import CoreBootstrap
 from coralvale.cluster.configuration.history import Change, ChangeHistory
 from coralvale.cluster.configuration.model import Configuration
 from coralvale.cluster.consensus import messages as consensus
@@ -24,7 +24,7 @@
 from coralvale.cluster.server.messages import ConsensusMessage, Nominate, Nominee
 from coralvale.cluster.server.runtime import Runtime
 from coralvale.cluster.share_desk import ShareAnswer, ShareClaim, ShareDesk
-from coralvale.cluster.storage.store import Damaged, Store, StoreError, set_aside
+from coralvale.cluster.storage.store import DamagedStoreError, Store, StoreError, set_aside
 
 RETRY_DISK = 0.25  # s until a write that failed is tried again
 SHARES_LOOK = 0.2  # s between looks at whether the table of shares is to change
@@ -58,7 +58,7 @@
         self.share_desk: ShareDesk | None = None
         self.coordination_desk: CoordinationDesk | None = None
         self.notice: Callable[[Notice], None] = lambda notice: None  # told of locks that left their holder
-        self.founding = Founding(
+        self.founding = CoreBootstrap(
             settings.Ip, tuple(settings.seeds), settings.Bootstrap, settings.holds_state, runtime.born
         )
         self.heard: tuple[int, str, tuple[str, ...]] = (0, "", ())  # view, leader, voters
@@ -68,7 +68,7 @@
     def known(self) -> tuple[int, str, tuple[str, ...]]:
         """The newest view that is known of: its number, its leader's address, its voters'."""
         replica = self.replica
-        if replica and replica.founded and replica.is_voter:
+        if replica and replica.bootstrapped and replica.is_voter:
             voters = replica.voters.all()
             leader = voters.get(replica.leader)
             addresses = tuple(sorted({m.ip for m in voters.values()}))
@@ -89,7 +89,7 @@
 
     def delivers(self) -> bool:
         """Whether the log of changes brings this gateway what is new."""
-        return self.replica is not None and not self.replica.needs_seat(self.runtime.clock.monotonic())
+        return self.replica is not None and not self.replica.needs_join(self.runtime.clock.monotonic())
 
     def act(self, actions: Sequence[Work]) -> None:
         """Carries out what the replica and the desk return, in order; what that leads to comes after it."""
@@ -155,7 +155,7 @@
                     tell(Event.DISK_WELL, seconds=self.runtime.clock.monotonic() - self.disk_failed)
                     self.disk_failed = 0.0
                 del self.writes[: len(batch)]
-                self.act(self.replica.wrote(self.runtime.clock.monotonic(), batch[-1].number))
+                self.act(self.replica.write_completed(self.runtime.clock.monotonic(), batch[-1].number))
         finally:
             self.writing = False
 
@@ -180,17 +180,19 @@
             names = ", ".join(m.name for m in replica.voters.new)
             tell(Event.VOTERS, members=names + (" (changing)" if replica.voters.old else ""))
         if replica.due_for_snapshot():
-            self.act(replica.save(self.history.image(self.shares.image(), self.coordination.image())))
+            self.act(
+                replica.save_snapshot(self.history.image(self.shares.image(), self.coordination.image()))
+            )
 
     async def open(self) -> None:
         s = self.runtime.settings
         try:
             self.store = await self.runtime.loop.run_in_executor(self.disk, Store, s.Datadir)
             state = await self.runtime.loop.run_in_executor(self.disk, self.store.load)
-        except Damaged as error:
+        except DamagedStoreError as error:
             # As good as lost: it begins anew, and votes when it holds all that the others have.
             tell(Event.DISK_FOREIGN, reason=str(error))
-            self.founding.lost_disk()
+            self.founding.mark_disk_lost()
             aside = await self.runtime.loop.run_in_executor(self.disk, set_aside, s.Datadir)
             tell(Event.DISK_ASIDE, name=aside)
             self.runtime.spawn(self._open_again())
@@ -201,7 +203,7 @@
             self.store = None
             self.runtime.spawn(self._open_again())
             return
-        self.remember(await self.runtime.loop.run_in_executor(self.disk, self.store.hosts))
+        self.remember(await self.runtime.loop.run_in_executor(self.disk, self.store.load_hosts))
         self._begin(state)
 
     async def _open_again(self) -> None:
@@ -214,8 +216,8 @@
         s = self.runtime.settings
         assert self.store
         me = consensus.Member(self.store.id, s.Hostname, s.Ip)
-        self.founding.me = me.id
-        timing = Timing(least=2 * s.FaultBudget.Nodes + 1, spare=s.Bounds.SyncS)
+        self.founding.disk_id = me.id
+        timing = Timing(min_voters=2 * s.FaultBudget.Nodes + 1, remove_spare_after=s.Bounds.SyncS)
         self.replica = Replica(me, state, timing, self.runtime.chance, self.runtime.clock.monotonic())
         self.desk = OrderDesk(self.replica, self.history)
         now = self.runtime.clock.monotonic()
@@ -241,10 +243,10 @@
             replica = self.replica
             if replica is None or self.runtime.stopping:
                 continue
-            if not replica.needs_seat(self.runtime.clock.monotonic()):
+            if not replica.needs_join(self.runtime.clock.monotonic()):
                 continue
             _, leader, core = self.known()
-            if not replica.founded and not replica.last and self.founding.may_ask(bool(core)):
+            if not replica.bootstrapped and not replica.last_seq and self.founding.should_ask(bool(core)):
                 await self._nominate(replica)
                 continue
             if not told and not replica.is_voter:
@@ -257,14 +259,14 @@
         nominator = self.founding.nominator
         now, core_known = self.runtime.clock.monotonic(), bool(self.known()[2])
         if nominator == self.runtime.settings.Ip:
-            named = self.founding.asked(now, replica.me.id, core_known)
+            named = self.founding.answer_request(now, replica.me.id, core_known)
         else:
             number = self.runtime.peers.next()
             link = self.runtime.peers.link(nominator)
             answer = await link.request(number, Nominate(number, replica.me), 1.0)
             named = answer.id if isinstance(answer, Nominee) else ""
-        if not replica.founded and self.founding.told(named, bool(self.known()[2])):
-            self.act(replica.found(self.runtime.clock.monotonic()))
+        if not replica.bootstrapped and self.founding.accept_answer(named, bool(self.known()[2])):
+            self.act(replica.bootstrap(self.runtime.clock.monotonic()))
             tell(Event.FOUNDED, id=replica.me.id)
 
     async def order(self, change: Change | None, patience: float) -> OrderAnswer | None:
@@ -329,12 +331,12 @@
 
     def may_end(self) -> bool:
         """Whether all that is committed is safe without this process; a gateway without a replica always may."""
-        return self.replica is None or not self.replica.founded or self.replica.may_end
+        return self.replica is None or not self.replica.bootstrapped or self.replica.safe_to_stop
 
     def role(self) -> str:
         """What this gateway's disk is to the log of changes."""
         if self.replica is None:
             return "none"
         if not self.replica.is_voter:
-            return "learner" if self.replica.founded else "none"
-        return "changing" if self.replica.voters.old or not self.replica.settled else "voter"
+            return "learner" if self.replica.bootstrapped else "none"
+        return "changing" if self.replica.voters.old or not self.replica.caught_up else "voter"
--- a/coralvale/cluster/server/node.py
+++ b/coralvale/cluster/server/node.py
@@ -264,8 +264,8 @@
         if not self.was_ready:
             if (
                 self.core.replica
-                and self.core.replica.founded
-                and not self.core.replica.settled
+                and self.core.replica.bootstrapped
+                and not self.core.replica.caught_up
                 and age < UNSETTLED
             ):
                 return False
@@ -426,7 +426,7 @@
         elif isinstance(parcel, Pull):
             frames.send(Rows(parcel.number, self.register.rows(now, parcel.parts)))
         elif isinstance(parcel, Nominate):
-            named = self.core.founding.asked(now, parcel.member.id, bool(self.core.known()[2]))
+            named = self.core.founding.answer_request(now, parcel.member.id, bool(self.core.known()[2]))
             frames.send(Nominee(parcel.number, named))
 
 
--- a/coralvale/cluster/share_desk.py
+++ b/coralvale/cluster/share_desk.py
@@ -113,7 +113,7 @@
 
     def _may_answer(self, now: float) -> bool:
         replica = self.replica
-        return replica.leading and replica.settled and replica.in_contact(now)
+        return replica.leading and replica.caught_up and replica.in_contact(now)
 
     def _ask(self, now: float) -> Result:
         """One barrier answers all claims that came before it; none while the allowance is being spent."""
--- a/coralvale/cluster/storage/keeper.py
+++ b/coralvale/cluster/storage/keeper.py
@@ -1,5 +1,4 @@
-"""What an operator may do with a disk's contents while its process is down: look, check, carry out, bring
-back."""
+"""Offline operations on a gateway's database while its process is stopped: inspect, check, export, restore."""
 
 from __future__ import annotations
 
@@ -14,7 +13,7 @@
 from coralvale.cluster.consensus.messages import (
     CHANGE,
     COORDINATION,
-    OPENING,
+    NO_OP,
     READ,
     SHARES,
     VOTERS,
@@ -23,17 +22,17 @@
     VoterSet,
     Write,
 )
-from coralvale.cluster.consensus.voters import unpack_voters
+from coralvale.cluster.consensus.voters import decode_voters
 from coralvale.cluster.coordination.model import unpack_batch
 from coralvale.cluster.coordination.state import CoordinationState
 from coralvale.cluster.rate_limit.shares import ShareTable
-from coralvale.cluster.storage.store import NAME, Store, StoreError
+from coralvale.cluster.storage.store import DATABASE_FILE, Store, StoreError
 
-FORMAT = 1  # of an export
-LATER = 1000  # views by which a restored core is ahead of the one that was lost
-SKIPPED = 2**32  # fences, numbers and revisions: more than the lost one can have given since the export
-KINDS = {
-    OPENING: "opening",
+EXPORT_FORMAT = 1  # of an export
+VIEW_SKIP = 1000  # views by which a restored core is ahead of the one that was lost
+COUNTER_SKIP = 2**32  # fences, numbers and revisions: more than the lost one can have given since the export
+ENTRY_KIND_NAMES = {
+    NO_OP: "opening",
     CHANGE: "change",
     VOTERS: "voters",
     READ: "read",
@@ -43,26 +42,26 @@
 _change = msgspec.msgpack.Decoder(Change).decode
 
 
-class KeeperError(Exception):
+class DiskStateError(Exception):
     """Cannot be done; one line that names the place."""
 
 
 def _open(folder: Path) -> Store:
-    if not (folder / NAME).exists():
-        raise KeeperError(f"{folder / NAME}: no such file")
+    if not (folder / DATABASE_FILE).exists():
+        raise DiskStateError(f"{folder / DATABASE_FILE}: no such file")
     try:
         return Store(str(folder))
     except (StoreError, sqlite3.Error, OSError) as error:
-        raise KeeperError(str(error)) from None
+        raise DiskStateError(str(error)) from None
 
 
-def look(folder: Path) -> dict[str, Any]:
-    """All that a disk holds, in words. Raises KeeperError where it cannot be read."""
+def inspect_state(folder: Path) -> dict[str, Any]:
+    """All that a disk holds, in words. Raises DiskStateError where it cannot be read."""
     store = _open(folder)
     try:
         state = store.load()
     except StoreError as error:
-        raise KeeperError(str(error)) from None
+        raise DiskStateError(str(error)) from None
     finally:
         store.close()
     history, shares, snapshot = ChangeHistory(), ShareTable(), state.snapshot
@@ -74,9 +73,13 @@
         coordination.restore(image.coordination)
     entries = []
     for entry in state.entries:
-        row: dict[str, Any] = {"seq": entry.seq, "view": entry.view, "kind": KINDS.get(entry.kind, "?")}
+        row: dict[str, Any] = {
+            "seq": entry.seq,
+            "view": entry.view,
+            "kind": ENTRY_KIND_NAMES.get(entry.kind, "?"),
+        }
         if entry.kind == VOTERS:
-            voters = unpack_voters(entry.body)
+            voters = decode_voters(entry.body)
             row["members"] = [m.name for m in voters.new]
         elif entry.kind == CHANGE:
             change = _change(entry.body)
@@ -90,7 +93,7 @@
             row["operations"] = len(coordination.apply(unpack_batch(entry.body)))
         entries.append(row)
     return {
-        "file": str(folder / NAME),
+        "file": str(folder / DATABASE_FILE),
         "disk": store.id,
         "view": state.view,
         "vote": state.vote,
@@ -108,20 +111,20 @@
 
 def export(folder: Path) -> dict[str, Any]:
     """What `restore` takes: the newest configuration that this disk knows to be delivered."""
-    found = look(folder)
-    return {"format": FORMAT} | {
+    found = inspect_state(folder)
+    return {"format": EXPORT_FORMAT} | {
         name: found[name] for name in ("disk", "view", "delivered", "version", "image")
     }
 
 
-def _skipped(body: bytes) -> bytes:
+def _image_for_restore(body: bytes) -> bytes:
     """The image for a core that begins with it: what the lost one may have given since is left out. Raises
     ValueError or msgspec.MsgspecError where it cannot be used."""
     msgspec.msgpack.decode(body, type=Image)
     history, coordination = ChangeHistory(), CoordinationState()
     image = history.restore(body)
     coordination.restore(image.coordination)
-    coordination.skip(SKIPPED)
+    coordination.skip(COUNTER_SKIP)
     return history.image(image.shares, coordination.image())
 
 
@@ -130,15 +133,15 @@
 
     For a loss beyond the budget only: members of the old core that are still there would not know of it.
     """
-    if kept.get("format") != FORMAT:
-        raise KeeperError(f"format: {kept.get('format')!r}, expected {FORMAT}")
-    if (folder / NAME).exists():
-        raise KeeperError(f"{folder / NAME}: is there already; a restore begins on an empty disk")
+    if kept.get("format") != EXPORT_FORMAT:
+        raise DiskStateError(f"format: {kept.get('format')!r}, expected {EXPORT_FORMAT}")
+    if (folder / DATABASE_FILE).exists():
+        raise DiskStateError(f"{folder / DATABASE_FILE}: is there already; a restore begins on an empty disk")
     try:
-        body = _skipped(base64.b64decode(kept["image"]))
-        view, seq = int(kept["view"]) + LATER, int(kept["delivered"])
+        body = _image_for_restore(base64.b64decode(kept["image"]))
+        view, seq = int(kept["view"]) + VIEW_SKIP, int(kept["delivered"])
     except (KeyError, ValueError, TypeError, msgspec.MsgspecError) as error:
-        raise KeeperError(f"the export cannot be used: {error}") from None
+        raise DiskStateError(f"the export cannot be used: {error}") from None
     store = Store(str(folder))
     try:
         alone = VoterSet((Member(store.id, hostname, ip),))
--- a/coralvale/cluster/storage/store.py
+++ b/coralvale/cluster/storage/store.py
@@ -19,10 +19,10 @@
 from coralvale.cluster.consensus.state import DurableState
 from coralvale.cluster.registry.register import Row
 
-NAME = "orchard.sqlite"
+DATABASE_FILE = "orchard.sqlite"
 # Of the tables; a newer program reads older ones, and refuses what is newer than itself. 2: entries may begin
 # before the snapshot. 3: entries, and the snapshot, hold the table of shares. 4: and locks, numbers and keys.
-LAYOUT = 4
+LAYOUT_VERSION = 4
 _row = msgspec.msgpack.Decoder(Row).decode
 _snapshot = msgspec.msgpack.Decoder(Snapshot).decode
 
@@ -31,18 +31,18 @@
     """The disk's contents cannot be used; the message names the file."""
 
 
-class Damaged(StoreError):
+class DamagedStoreError(StoreError):
     """It is no database of ours, or what it holds does not hang together: as good as lost."""
 
 
 def set_aside(folder: str) -> str:
-    """Takes a damaged database out of the way, for whoever wants to look at it; its new name."""
-    path = Path(folder) / NAME
-    number = 1 + len(list(path.parent.glob(f"{NAME}.refused-*")))
-    aside = path.with_name(f"{NAME}.refused-{number}")
+    """Takes a damaged database out of the way, for later analysis; returns its new name."""
+    path = Path(folder) / DATABASE_FILE
+    number = 1 + len(list(path.parent.glob(f"{DATABASE_FILE}.refused-*")))
+    aside = path.with_name(f"{DATABASE_FILE}.refused-{number}")
     path.rename(aside)
     for more in ("-wal", "-shm"):
-        path.with_name(NAME + more).unlink(missing_ok=True)
+        path.with_name(DATABASE_FILE + more).unlink(missing_ok=True)
     return str(aside)
 
 
@@ -51,7 +51,7 @@
     otherwise."""
 
     def __init__(self, folder: str) -> None:
-        self.path = Path(folder) / NAME
+        self.path = Path(folder) / DATABASE_FILE
         self.path.parent.mkdir(parents=True, exist_ok=True)
         try:
             self.db = self._open()
@@ -59,7 +59,7 @@
         except sqlite3.OperationalError:
             raise  # of the disk, and it may pass
         except sqlite3.DatabaseError as error:
-            raise Damaged(f"{self.path}: {error}") from error
+            raise DamagedStoreError(f"{self.path}: {error}") from error
 
     def _open(self) -> sqlite3.Connection:
         db = sqlite3.connect(self.path, isolation_level=None, check_same_thread=False, timeout=1.0)
@@ -77,19 +77,19 @@
             "CREATE TABLE IF NOT EXISTS entry (seq INTEGER PRIMARY KEY, view INTEGER, kind INTEGER, body BLOB)"
         )
         db.execute("CREATE TABLE IF NOT EXISTS host (id TEXT PRIMARY KEY, row BLOB) WITHOUT ROWID")
-        layout = self._fact("layout")
+        layout = self._get_fact("layout")
         if layout is None:
-            self._set("layout", LAYOUT)
-        elif int(str(layout)) > LAYOUT:
-            raise StoreError(f"{self.path}: layout {layout}, this program knows up to {LAYOUT}")
+            self._set_fact("layout", LAYOUT_VERSION)
+        elif int(str(layout)) > LAYOUT_VERSION:
+            raise StoreError(f"{self.path}: layout {layout}, this program knows up to {LAYOUT_VERSION}")
         elif (
-            int(str(layout)) < LAYOUT
+            int(str(layout)) < LAYOUT_VERSION
         ):  # what is there is read as it is; the version before refuses it from now on
-            self._set("layout", LAYOUT)
-        name = self._fact("id")
+            self._set_fact("layout", LAYOUT_VERSION)
+        name = self._get_fact("id")
         if name is None:
             name = os.urandom(8).hex()
-            self._set("id", name)
+            self._set_fact("id", name)
         db.execute("COMMIT")
         self._sync_folder()
         return str(name)
@@ -101,39 +101,42 @@
         finally:
             os.close(number)
 
-    def _fact(self, name: str) -> object:
+    def _get_fact(self, name: str) -> object:
         row = self.db.execute("SELECT value FROM fact WHERE name = ?", (name,)).fetchone()
         return row[0] if row else None
 
-    def _set(self, name: str, value: object) -> None:
+    def _set_fact(self, name: str, value: object) -> None:
         self.db.execute("INSERT OR REPLACE INTO fact VALUES (?, ?)", (name, value))
 
     def load(self) -> DurableState:
-        """What is on disk. Raises Damaged where it is not what was written, sqlite3.OperationalError where the
-        disk cannot be read at the moment."""
+        """Reads the stored state.
+
+        Raises DamagedStoreError if the contents are not what was written, sqlite3.OperationalError if the disk
+        cannot be read at the moment.
+        """
         try:
-            saved = self._fact("saved")
+            saved = self._get_fact("saved")
             rows = self.db.execute("SELECT seq, view, kind, body FROM entry ORDER BY seq").fetchall()
             state = DurableState(
-                int(str(self._fact("view") or 0)),
-                str(self._fact("vote") or ""),
-                int(str(self._fact("commit") or 0)),
+                int(str(self._get_fact("view") or 0)),
+                str(self._get_fact("vote") or ""),
+                int(str(self._get_fact("commit") or 0)),
                 _snapshot(saved) if isinstance(saved, bytes) else None,
                 [Entry(*row) for row in rows],
             )
         except sqlite3.OperationalError:
             raise  # of the disk, and it may pass
         except (sqlite3.DatabaseError, msgspec.MsgspecError) as error:
-            raise Damaged(f"{self.path}: {error}") from error
+            raise DamagedStoreError(f"{self.path}: {error}") from error
         self._check(state)
         return state
 
     def _check(self, state: DurableState) -> None:
-        """Raises Damaged where entries are missing: among them, or between the snapshot and the first."""
+        """Raises DamagedStoreError if entries are missing within the log, or between the snapshot and the log."""
         following = (state.snapshot.seq if state.snapshot else 0) + 1
         first = min(following, state.entries[0].seq) if state.entries else following
         if [e.seq for e in state.entries] != list(range(first, first + len(state.entries))):
-            raise Damaged(f"{self.path}: entries are missing between {first} and the last")
+            raise DamagedStoreError(f"{self.path}: entries are missing between {first} and the last")
 
     def write(self, writes: list[Write]) -> None:
         """All of them in one transaction, synced. Raises sqlite3.Error if it is not there then."""
@@ -143,27 +146,27 @@
         db.execute("BEGIN IMMEDIATE")
         try:
             for write in writes:
-                self._put(write)
+                self._apply_write(write)
             db.execute("COMMIT")
         except sqlite3.Error:
             if db.in_transaction:
                 db.execute("ROLLBACK")
             raise
 
-    def _put(self, write: Write) -> None:
-        if write.cut is not None:
-            self.db.execute("DELETE FROM entry WHERE seq >= ?", (write.cut,))
+    def _apply_write(self, write: Write) -> None:
+        if write.truncate_from is not None:
+            self.db.execute("DELETE FROM entry WHERE seq >= ?", (write.truncate_from,))
         if write.snapshot is not None:
-            self.db.execute("DELETE FROM entry WHERE seq < ?", (write.trim,))
-            self._set("saved", msgspec.msgpack.encode(write.snapshot))
+            self.db.execute("DELETE FROM entry WHERE seq < ?", (write.trim_below,))
+            self._set_fact("saved", msgspec.msgpack.encode(write.snapshot))
         self.db.executemany(
             "INSERT OR REPLACE INTO entry VALUES (?, ?, ?, ?)",
             [(e.seq, e.view, e.kind, e.body) for e in write.entries],
         )
         for name, value in (("view", write.view), ("vote", write.vote), ("commit", write.commit)):
-            self._set(name, value)
+            self._set_fact(name, value)
 
-    def hosts(self) -> list[Row]:
+    def load_hosts(self) -> list[Row]:
         """The register as it was last put here: a help at the start, nothing that must be right."""
         try:
             found = self.db.execute("SELECT row FROM host").fetchall()
@@ -171,7 +174,7 @@
         except (sqlite3.DatabaseError, msgspec.MsgspecError, TypeError):
             return []
 
-    def put_hosts(self, rows: list[Row]) -> None:
+    def save_hosts(self, rows: list[Row]) -> None:
         """All that are known, in place of those put here before. Raises sqlite3.Error."""
         db = self.db
         if db.in_transaction:
--- a/coralvale/disk.py
+++ b/coralvale/disk.py
@@ -2,7 +2,7 @@
 
   record   MARK, length (4 bytes, little-endian), CRC-32 of length and payload (4), payload
 
-A damaged record is skipped up to the next place at which a whole one begins: MARK finds candidates, length and
+A damaged record is skipped up to the next position at which a whole one begins: MARK finds candidates, length and
 checksum decide. Files are always an argument of what decides (the journal of attempts, the spool), so that a test
 can put a faulty folder in their place.
 """
@@ -18,61 +18,61 @@
 
 LOCK = "lock"
 MARK = b"\xf5\xa7"
-FRAME, LENGTH = struct.Struct("<2sII"), struct.Struct("<I")
+HEADER, LENGTH = struct.Struct("<2sII"), struct.Struct("<I")
 
 
-class InUse(OSError):
+class FolderInUseError(OSError):
     """Another process has this folder."""
 
 
-def frame(payload: bytes) -> bytes:
+def encode_record(payload: bytes) -> bytes:
     """A record that holds a payload."""
     length = LENGTH.pack(len(payload))
-    return FRAME.pack(MARK, len(payload), zlib.crc32(payload, zlib.crc32(length))) + payload
+    return HEADER.pack(MARK, len(payload), zlib.crc32(payload, zlib.crc32(length))) + payload
 
 
-def payload_at(data: bytes, at: int, most: int) -> tuple[bytes, int] | None:
-    """The payload of the whole record that begins at `at`, and where it ends; None if none does."""
-    if len(data) - at < FRAME.size:
+def read_record(data: bytes, offset: int, max_length: int) -> tuple[bytes, int] | None:
+    """The payload of the whole record that begins at `offset`, and where it ends; None if none does."""
+    if len(data) - offset < HEADER.size:
         return None
-    mark, length, check = FRAME.unpack_from(data, at)
-    end = at + FRAME.size + length
-    if mark != MARK or length > most or end > len(data):
+    mark, length, check = HEADER.unpack_from(data, offset)
+    end = offset + HEADER.size + length
+    if mark != MARK or length > max_length or end > len(data):
         return None
-    payload = data[at + FRAME.size : end]
+    payload = data[offset + HEADER.size : end]
     return (payload, end) if zlib.crc32(payload, zlib.crc32(LENGTH.pack(length))) == check else None
 
 
-def whole_after(data: bytes, at: int, most: int) -> int:
-    """Where the next whole record behind `at` begins; -1 if none does."""
-    after = at + 1
-    while (after := data.find(MARK, after)) >= 0 and payload_at(data, after, most) is None:
+def find_record(data: bytes, offset: int, max_length: int) -> int:
+    """Where the next whole record behind `offset` begins; -1 if none does."""
+    after = offset + 1
+    while (after := data.find(MARK, after)) >= 0 and read_record(data, after, max_length) is None:
         after += 1
     return after
 
 
-class Opened:
+class AppendFile:
     """A file that is appended to."""
 
     def __init__(self, path: str) -> None:
-        self.number = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+        self.fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
 
     def write(self, data: bytes) -> None:
         left = memoryview(data)
         while left:
-            left = left[os.write(self.number, left) :]
+            left = left[os.write(self.fd, left) :]
 
     def sync(self) -> None:
-        os.fdatasync(self.number)
+        os.fdatasync(self.fd)
 
     def close(self) -> None:
-        if self.number >= 0:
-            number, self.number = self.number, -1
-            os.close(number)
+        if self.fd >= 0:
+            fd, self.fd = self.fd, -1
+            os.close(fd)
 
 
-class Appended(Protocol):
-    """What `Opened` does, for folders of tests."""
+class AppendableFile(Protocol):
+    """What `AppendFile` does, for folders of tests."""
 
     def write(self, data: bytes) -> None: ...
 
@@ -88,11 +88,11 @@
 
     def read(self, name: str) -> bytes: ...
 
-    def read_from(self, name: str, place: int, size: int) -> bytes: ...
+    def read_from(self, name: str, offset: int, size: int) -> bytes: ...
 
     def size(self, name: str) -> int: ...
 
-    def create(self, name: str) -> Appended: ...
+    def create(self, name: str) -> AppendableFile: ...
 
     def replace(self, name: str, data: bytes) -> None: ...
 
@@ -104,24 +104,24 @@
 class Folder:
     """A directory; with `lock` no other process may have it, until `close`.
 
-    Raises InUse if another process has it, OSError if it cannot be made.
+    Raises FolderInUseError if another process has it, OSError if it cannot be made.
     """
 
     def __init__(self, path: str, lock: bool = True) -> None:
-        self.path, self.number = Path(path), -1
+        self.path, self.fd = Path(path), -1
         if lock:
             self.path.mkdir(parents=True, exist_ok=True)
-            self.number = os.open(self.path / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+            self.fd = os.open(self.path / LOCK, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
             try:
-                fcntl.flock(self.number, fcntl.LOCK_EX | fcntl.LOCK_NB)
+                fcntl.flock(self.fd, fcntl.LOCK_EX | fcntl.LOCK_NB)
             except OSError:
-                os.close(self.number)
-                raise InUse(f"{path}: another process has this folder") from None
+                os.close(self.fd)
+                raise FolderInUseError(f"{path}: another process has this folder") from None
 
     def close(self) -> None:
-        if self.number >= 0:
-            os.close(self.number)
-            self.number = -1
+        if self.fd >= 0:
+            os.close(self.fd)
+            self.fd = -1
 
     def names(self) -> list[str]:
         return os.listdir(self.path)
@@ -129,20 +129,20 @@
     def read(self, name: str) -> bytes:
         return (self.path / name).read_bytes()
 
-    def read_from(self, name: str, place: int, size: int) -> bytes:
-        """At most `size` bytes from a place on."""
+    def read_from(self, name: str, offset: int, size: int) -> bytes:
+        """At most `size` bytes from `offset` on."""
         with (self.path / name).open("rb") as file:
-            return os.pread(file.fileno(), size, place)
+            return os.pread(file.fileno(), size, offset)
 
     def size(self, name: str) -> int:
         return (self.path / name).stat().st_size
 
-    def create(self, name: str) -> Opened:
-        return Opened(str(self.path / name))
+    def create(self, name: str) -> AppendFile:
+        return AppendFile(str(self.path / name))
 
     def replace(self, name: str, data: bytes) -> None:
         """A small file's new contents, all or nothing."""
-        opened = Opened(str(self.path / f"{name}.new"))
+        opened = AppendFile(str(self.path / f"{name}.new"))
         try:
             opened.write(data)
         finally:
@@ -151,11 +151,11 @@
 
     def rename(self, name: str, new: str) -> None:
         os.replace(self.path / name, self.path / new)
-        number = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
+        fd = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            os.fsync(number)
+            os.fsync(fd)
         finally:
-            os.close(number)
+            os.close(fd)
 
     def remove(self, name: str) -> None:
         os.unlink(self.path / name)
--- a/coralvale/ledger/log.py
+++ b/coralvale/ledger/log.py
@@ -83,7 +83,7 @@
     def __init__(self, path: str, lock: bool = True) -> None:
         try:
             super().__init__(path, lock)
-        except disk.InUse:
+        except disk.FolderInUseError:
             raise LedgerError(f"{path}: another process has this ledger") from None
 
     def allocate(self, name: str, size: int) -> Mapped:
@@ -101,19 +101,19 @@
         if not HEADER.startswith(data[: len(HEADER)].rstrip(b"\0")):
             raise LedgerError(f"{name}: no segment of a ledger that this program knows")
         return None
-    first = disk.payload_at(data, len(HEADER), MOST)
+    first = disk.read_record(data, len(HEADER), MOST)
     if first is None:
-        if disk.whole_after(data, len(HEADER), MOST) >= 0:
+        if disk.find_record(data, len(HEADER), MOST) >= 0:
             raise LedgerError(f"{name}: damaged at byte {len(HEADER)}")
         return None
     payload, at = first
     found: list[Record] = []
-    while (row := disk.payload_at(data, at, MOST)) is not None:
+    while (row := disk.read_record(data, at, MOST)) is not None:
         found.append(decode(row[0]))
         at = row[1]
-    if data[at : at + 1].strip(b"\0") and disk.whole_after(data, at, MOST) >= 0:
+    if data[at : at + 1].strip(b"\0") and disk.find_record(data, at, MOST) >= 0:
         raise LedgerError(f"{name}: damaged at byte {at}")
-    if not data[at : at + 1].strip(b"\0") and (after := disk.whole_after(data, at, MOST)) >= 0:
+    if not data[at : at + 1].strip(b"\0") and (after := disk.find_record(data, at, MOST)) >= 0:
         raise LedgerError(f"{name}: nothing at byte {at}, but a record at byte {after}")
     return json.loads(payload), found
 
@@ -161,7 +161,7 @@
         """A new segment, with all that is so far."""
         state = {"ledger": self.ledger, "period": self.book.terms.period, "book": self.book.snapshot()}
         told = json.dumps(state, separators=(",", ":"))
-        data = disk.frame(told.encode())
+        data = disk.encode_record(told.encode())
         size = max(self.segment, 2 * (len(HEADER) + len(data)))
         serial = self.serial + 1
         region = self.files.allocate(f"{PREFIX}{serial:08d}", size)
@@ -175,7 +175,7 @@
     def write(self, records: Sequence[Record]) -> None:
         """Records what happened, and does it."""
         for record in records:
-            data = disk.frame(encode(record))
+            data = disk.encode_record(encode(record))
             if self.at + len(data) > self.size:
                 self._begin()
             assert self.region
--- a/coralvale/members/snapshot.py
+++ b/coralvale/members/snapshot.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from coralvale.disk import Files, frame, payload_at
+from coralvale.disk import Files, encode_record, read_record
 from coralvale.members.model import Address, MembersError
 
 NAME = "members"
@@ -44,7 +44,7 @@
         return 0, []
     except OSError as error:
         raise MembersError(f"directory: {error.strerror}") from None
-    told = payload_at(data, 0, BYTES)
+    told = read_record(data, 0, BYTES)
     if told is None:
         return 0, []
     try:
@@ -61,4 +61,4 @@
 def save(files: Files, cluster: str, name: str, incarnation: int, now: float, others: list[Address]) -> None:
     """Keeps them, all or nothing. Raises OSError; what was kept before stands then."""
     kept = Kept(cluster, name, incarnation, now, others[:MOST])
-    files.replace(NAME, frame(msgspec.msgpack.encode(kept)))
+    files.replace(NAME, encode_record(msgspec.msgpack.encode(kept)))
--- a/coralvale/plans/follower.py
+++ b/coralvale/plans/follower.py
@@ -17,7 +17,7 @@
 
 import aiohttp
 
-from coralvale.disk import Folder, InUse
+from coralvale.disk import Folder, FolderInUseError
 from coralvale.net.clock import Clock
 from coralvale.operator.model import Plans
 from coralvale.plans.book import Book
@@ -57,7 +57,7 @@
         """Takes the folder, and the book in it if there is one; without it goes on from the service alone."""
         try:
             self.folder = Folder(self.table.directory)
-        except InUse:
+        except FolderInUseError:
             return  # the process before this one: it will go
         except OSError as error:
             self._lost(error)
--- a/coralvale/plans/service.py
+++ b/coralvale/plans/service.py
@@ -31,7 +31,7 @@
 
 from aiohttp import web
 
-from coralvale.disk import Folder, InUse
+from coralvale.disk import Folder, FolderInUseError
 from coralvale.net.clock import Clock
 from coralvale.operator.model import OperatorError, PlanService, PlansTls
 from coralvale.plans import calendar
@@ -271,7 +271,7 @@
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s", stream=sys.stderr)
     try:
         asyncio.run(_serve(table, Folder(table.directory)))
-    except InUse as error:
+    except FolderInUseError as error:
         print(f"coralvale: {error}", file=sys.stderr)
         return 1
     except (PlansError, OperatorError) as error:
--- a/coralvale/plans/store.py
+++ b/coralvale/plans/store.py
@@ -18,7 +18,7 @@
 from itertools import chain, islice
 from typing import Any
 
-from coralvale.disk import Appended, Files, frame, payload_at
+from coralvale.disk import AppendableFile, Files, encode_record, read_record
 from coralvale.plans.book import Book
 from coralvale.plans.model import Entry, PlansError, entry_of, written
 
@@ -32,7 +32,7 @@
 def frames(data: bytes) -> Iterator[Any]:
     """What the frames hold, up to the first that is not whole."""
     at = 0
-    while (found := payload_at(data, at, MOST)) is not None:
+    while (found := read_record(data, at, MOST)) is not None:
         payload, at = found
         yield json.loads(payload)
 
@@ -43,7 +43,7 @@
     def __init__(self, folder: Files, sync: bool = True) -> None:
         self.folder, self.sync = folder, sync
         self.id = ""
-        self.file: Appended | None = None
+        self.file: AppendableFile | None = None
         self.number = self.length = 0
 
     def load(self) -> Book | None:
@@ -97,10 +97,10 @@
         head = {"id": id_, "serial": book.serial, "kept": len(kept), "recent": len(recent)}
         file = self.folder.create(SPARE)
         try:
-            file.write(frame(json.dumps(head).encode()))
+            file.write(encode_record(json.dumps(head).encode()))
             rows = chain(kept, recent)
             while some := [written(entry) for entry in islice(rows, ROWS)]:
-                file.write(frame(json.dumps(some, separators=(",", ":")).encode()))
+                file.write(encode_record(json.dumps(some, separators=(",", ":")).encode()))
                 yield
             if self.sync:
                 file.sync()
@@ -121,7 +121,7 @@
                 self.number += 1
                 self.file = self.folder.create(f"log.{rows[0].serial:012}.{self.number:06}")
             payloads = [json.dumps(written(entry), separators=(",", ":")).encode() for entry in rows]
-            self.file.write(b"".join(map(frame, payloads)))
+            self.file.write(b"".join(map(encode_record, payloads)))
             if self.sync:
                 self.file.sync()
         except OSError:
--- a/coralvale/syslog/service.py
+++ b/coralvale/syslog/service.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from coralvale.disk import Folder, InUse
+from coralvale.disk import Folder, FolderInUseError
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
 from coralvale.net.config import Config
@@ -366,10 +366,10 @@
         self.channel = channel
         try:
             self.folder = Folder(str(folder))
-        except InUse:  # while one process takes over from another, both have one
+        except FolderInUseError:  # while one process takes over from another, both have one
             try:
                 self.folder = Folder(f"{folder}.1")
-            except InUse:
+            except FolderInUseError:
                 raise SyslogError(f"syslog.spool: two other processes have {folder}") from None
         try:
             self.spool = Spool(self.folder, most)
--- a/coralvale/syslog/spool.py
+++ b/coralvale/syslog/spool.py
@@ -17,7 +17,7 @@
 from collections import deque
 from collections.abc import Sequence
 
-from coralvale.disk import Appended, Files, frame, payload_at, whole_after
+from coralvale.disk import AppendableFile, Files, encode_record, find_record, read_record
 
 PREFIX, DONE = "spool-", "done"
 ROOM = (0.6, 0.8, 1.0)  # share of the bound up to which each rank is taken
@@ -34,7 +34,7 @@
         self.files, self.most, self.segment = files, most, segment
         self.sizes: dict[str, int] = {n: files.size(n) for n in sorted(files.names()) if n.startswith(PREFIX)}
         self.damaged = 0  # messages or stretches that were skipped
-        self.open: Appended | None = None
+        self.open: AppendableFile | None = None
         self.open_name = ""
         self.serial = int(next(reversed(self.sizes), PREFIX + "0")[len(PREFIX) :])
         self.done = self._read_done()
@@ -65,7 +65,7 @@
             if size + len(data) + 32 > self.most * ROOM[rank] or len(data) > MOST:
                 left_out.add(sequence)
                 continue
-            parts.append(frame(data))
+            parts.append(encode_record(data))
             size += len(parts[-1])
         if parts:
             self._write(b"".join(parts))
@@ -133,9 +133,9 @@
     ) -> tuple[int, int]:
         at = 0
         while at < len(data) and got < size:
-            read = payload_at(data, at, MOST)
+            read = read_record(data, at, MOST)
             if read is None:
-                after = whole_after(data, at, MOST)
+                after = find_record(data, at, MOST)
                 if after < 0:
                     break
                 self.damaged += 1
--- a/tests/cluster/consensus_world.py
+++ b/tests/cluster/consensus_world.py
@@ -41,10 +41,10 @@
 
     def put(self, write: m.Write) -> None:
         s = self.state
-        if write.cut is not None:
-            s.entries = [e for e in s.entries if e.seq < write.cut]
+        if write.truncate_from is not None:
+            s.entries = [e for e in s.entries if e.seq < write.truncate_from]
         if write.snapshot is not None:
-            s.entries = [e for e in s.entries if e.seq >= write.trim]
+            s.entries = [e for e in s.entries if e.seq >= write.trim_below]
             s.snapshot = write.snapshot
         if write.entries:
             known = {e.seq: e for e in s.entries} | {e.seq: e for e in write.entries}
@@ -108,7 +108,7 @@
         """`more`: `desk`, the class of the order desks; `keeps_ids`: a disk that was lost has its id again."""
         self.env, self.chance = simpy.Environment(), random.Random(seed)
         # Of every second world the log is short, so that snapshots are made and brought.
-        short = {"snapshot_every": 12, "kept": 4} if seed % 2 else {}
+        short = {"snapshot_every": 12, "kept_entries": 4} if seed % 2 else {}
         self.kind = type(kind.__name__, (kind,), short) if isinstance(kind, type) else kind
         self.keeps_ids: bool = more.get("keeps_ids", False)
         self.desk_kind: type[OrderDesk] = more.get("desk", OrderDesk)
@@ -127,7 +127,7 @@
             self.add(f"10.0.0.{n}")
         first = self.places["10.0.0.0"]
         assert first.replica
-        self.act(first, first.replica.found(0.0))
+        self.act(first, first.replica.bootstrap(0.0))
 
     # Machines
 
@@ -168,8 +168,8 @@
             replica = place.replica
             self.act(place, replica.tick(self.env.now))
             if replica.due_for_snapshot():
-                self.act(place, replica.save(place.history.image()))
-            if replica.needs_seat(self.env.now) and not replica.leaving:
+                self.act(place, replica.save_snapshot(place.history.image()))
+            if replica.needs_join(self.env.now) and not replica.leaving:
                 leader = next((p for p in self.places.values() if p.replica and p.replica.leading), None)
                 if leader:
                     self.send(place, leader.ip, m.JoinRequest(replica.me))
@@ -232,7 +232,7 @@
             disk.put(write)
             yield from self.awake(place)
             if place.life == life and place.replica:
-                self.act(place, place.replica.wrote(self.env.now, write.number))
+                self.act(place, place.replica.write_completed(self.env.now, write.number))
 
     def awake(self, place: Place) -> object:
         """A process that stood still finds all that has come meanwhile in any order."""
@@ -453,7 +453,7 @@
         assert place.replica
         ends = self.env.now + grace
         self.act(place, place.replica.leave(self.env.now))
-        while place.replica and not place.replica.may_end and self.env.now < ends:
+        while place.replica and not place.replica.safe_to_stop and self.env.now < ends:
             yield self.env.timeout(0.02)
 
     def whole(self) -> object:
@@ -462,7 +462,7 @@
             yield self.env.timeout(0.05)
             replicas = [p.replica for p in self.places.values() if p.replica]
             ids = {p.disk.id for p in self.places.values()}
-            calm = [r for r in replicas if r.settled and not r.voters.old and r.in_contact(self.env.now)]
+            calm = [r for r in replicas if r.caught_up and not r.voters.old and r.in_contact(self.env.now)]
             if len(calm) != len(ids) or len({r.commit for r in calm}) != 1:
                 continue
             voters = {v.id for v in calm[0].voters.new}
@@ -505,7 +505,7 @@
         replica, now, old = leader.replica, self.env.now + 30.0, leader.replica.round
         done = replica.barrier(now, 99)
         for peer in list(replica.peers):
-            late = m.AppendReply(replica.view, peer, True, replica.last, old)
+            late = m.AppendReply(replica.view, peer, True, replica.last_seq, old)
             done += replica.receive(now, late, "10.0.0.1")
         if any(isinstance(action, m.Settled) for action in done):
             raise Broken("replies from before confirmed a reading")
@@ -533,7 +533,7 @@
         assert leader
         cut, other = (p for p in self.places.values() if p is not leader)
         self.cut_off({cut.ip}, False)
-        self.env.run(until=self.env.now + TIMING.gone + 0.5)
+        self.env.run(until=self.env.now + TIMING.replace_after + 0.5)
         new = self.add("10.0.0.9")
         self.cut_off({cut.ip}, False)
         for _ in range(20_000):
--- a/tests/cluster/coordination_desk.py
+++ b/tests/cluster/coordination_desk.py
@@ -19,13 +19,13 @@
         self.now = 100.0
         chance = random.Random(1)
         self.replica = Replica(
-            m.Member("a", "gateway-a", "10.0.0.1"), DurableState(), Timing(least=1), chance, self.now
+            m.Member("a", "gateway-a", "10.0.0.1"), DurableState(), Timing(min_voters=1), chance, self.now
         )
         self.state, self.tokens = CoordinationState(), count(1)
         self.desk = CoordinationDesk(self.replica, self.state, lambda: next(self.tokens), chance, 20.0)
         self.answers: dict[int, Outcome] = {}
         self.notices: list[Notice] = []
-        self.act([*self.replica.start(self.now), *self.replica.found(self.now)])
+        self.act([*self.replica.start(self.now), *self.replica.bootstrap(self.now)])
         self.act(self.replica.tick(self.now))
 
     def call(self, call: Call) -> Outcome | None:
@@ -44,7 +44,7 @@
             action = left.pop(0)
             match action:
                 case m.Write():
-                    left += self.replica.wrote(self.now, action.number)
+                    left += self.replica.write_completed(self.now, action.number)
                 case m.Deliver():
                     if action.entry.kind == m.COORDINATION:
                         left += self.desk.deliver(self.now, action.entry.body)
--- a/tests/cluster/coordination_scenes.py
+++ b/tests/cluster/coordination_scenes.py
@@ -36,7 +36,7 @@
     while world.env.now < ends:
         world.env.run(until=world.env.now + STEP)
         for place in world.places.values():
-            if place is not old and place.replica and place.replica.leading and place.replica.settled:
+            if place is not old and place.replica and place.replica.leading and place.replica.caught_up:
                 return place
     return None
 
--- a/tests/cluster/coordination_world.py
+++ b/tests/cluster/coordination_world.py
@@ -126,8 +126,8 @@
             self.act(place, replica.tick(self.env.now))
             self.act(place, member.desk.tick(self.env.now))
             if replica.due_for_snapshot():
-                self.act(place, replica.save(place.history.image(b"", member.state.image())))
-            if replica.needs_seat(self.env.now) and not replica.leaving and (leader := self.leader()):
+                self.act(place, replica.save_snapshot(place.history.image(b"", member.state.image())))
+            if replica.needs_join(self.env.now) and not replica.leaving and (leader := self.leader()):
                 self.send(place, leader.ip, m.JoinRequest(replica.me))
 
     def carry_out(self, place: Place, action: Any) -> None:  # noqa: ANN401
@@ -375,7 +375,7 @@
             yield self.env.timeout(0.05)
             replicas = [p.replica for p in self.places.values() if p.replica]
             ids = {p.disk.id for p in self.places.values()}
-            calm = [r for r in replicas if r.settled and not r.voters.old and r.in_contact(self.env.now)]
+            calm = [r for r in replicas if r.caught_up and not r.voters.old and r.in_contact(self.env.now)]
             commits = [r.commit for r in calm]
             if len(calm) != len(ids) or max(commits) - min(commits) > (0 if self.calm else APART):
                 continue
--- a/tests/cluster/mutants.py
+++ b/tests/cluster/mutants.py
@@ -21,9 +21,11 @@
 class VotesForAny(Replica):
     """A vote is given to a log that is older than the own."""
 
-    def _answer_vote(self, now: float, ask: m.VoteRequest) -> None:
-        newer = m.VoteRequest(ask.view, ask.sender, 1 << 40, 1 << 40, ask.pre_vote, ask.transferred)
-        super()._answer_vote(now, newer)
+    def _handle_vote_request(self, now: float, request: m.VoteRequest) -> None:
+        newer = m.VoteRequest(
+            request.view, request.sender, 1 << 40, 1 << 40, request.pre_vote, request.transferred
+        )
+        super()._handle_vote_request(now, newer)
 
 
 class CountsBeforeDisk(Replica):
@@ -31,8 +33,8 @@
 
     def _write(self, sends: list[m.Send], *args: Any, **named: Any) -> None:
         super()._write([], *args, **named)
-        self.out += sends
-        self.durable = self.last
+        self.actions += sends
+        self.durable_seq = self.last_seq
 
 
 class ForgetsVote(Replica):
@@ -40,38 +42,40 @@
 
     def _write(self, *args: Any, **named: Any) -> None:
         super()._write(*args, **named)
-        w = self.out[-1]
+        w = self.actions[-1]
         assert isinstance(w, m.Write)
         view = max(0, w.view - 1)
-        self.out[-1] = m.Write(w.number, view, "", w.commit, w.cut, w.entries, w.snapshot, w.trim)
+        self.actions[-1] = m.Write(
+            w.number, view, "", w.commit, w.truncate_from, w.entries, w.snapshot, w.trim_below
+        )
 
 
 class NeverStepsDown(Replica):
     """A leader that hears no majority goes on."""
 
-    def _lead_tick(self, now: float) -> None:
+    def _leader_tick(self, now: float) -> None:
         for peer in self.peers.values():
-            peer.heard = now
-        super()._lead_tick(now)
+            peer.last_reply_at = now
+        super()._leader_tick(now)
 
 
 class TakesOldReplies(Replica):
     """Any reply confirms a reading, whenever it was made."""
 
-    def _note_round(self, now: float, progress: Any, number: int) -> None:
-        super()._note_round(now, progress, number)
-        progress.round, progress.contact = self.round, now
+    def _record_round(self, now: float, progress: Any, number: int) -> None:
+        super()._record_round(now, progress, number)
+        progress.round, progress.contact_at = self.round, now
         self._confirm_reads()
 
 
 class CommitsAlone(Replica):
     """What is on the leader's own disk is committed."""
 
-    def _count_commit(self, now: float) -> None:
-        if self.durable > self.commit:
-            self.commit = self.durable
+    def _advance_commit(self, now: float) -> None:
+        if self.durable_seq > self.commit:
+            self.commit = self.durable_seq
             self._deliver()
-            self._voters_committed(now)
+            self._advance_voter_change(now)
 
 
 class NewAlone(m.VoterSet, frozen=True, array_like=True):
@@ -96,10 +100,10 @@
 class EmptySnapshot(Replica):
     """A snapshot takes the place of what it does not contain."""
 
-    def save(self, body: bytes) -> list[m.Action]:
+    def save_snapshot(self, body: bytes) -> list[m.Action]:
         if not self.due_for_snapshot():
             return []
-        return super().save(b"")
+        return super().save_snapshot(b"")
 
 
 class EndsAtOnce(Replica):
@@ -107,7 +111,7 @@
 
     def leave(self, now: float) -> list[m.Action]:
         done = super().leave(now)
-        self.may_end = True
+        self.safe_to_stop = True
         return done
 
 
@@ -128,7 +132,7 @@
     """An order that was taken is not known again."""
 
     def _begin(self, now: float, order: Order) -> Result:
-        if order.change.base != self.history.configuration.version and self.replica.settled:
+        if order.change.base != self.history.configuration.version and self.replica.caught_up:
             return [OrderAnswer(order.token, problem=Problem(Kind.OTHER_VERSION))]
         return super()._begin(now, order)
 
--- a/tests/cluster/quota_world.py
+++ b/tests/cluster/quota_world.py
@@ -65,14 +65,14 @@
         disk = DurableState(
             self.durable.view, self.durable.vote, self.durable.commit, None, list(self.durable.entries)
         )
-        self.replica = Replica(me, disk, Timing(least=1), chance, now)
+        self.replica = Replica(me, disk, Timing(min_voters=1), chance, now)
         self.table = ShareTable()
         tokens = itertools.count(1000).__next__
         self.desk = ShareDesk(self.replica, self.table, tokens, now, RULE.window)
         self.answers: dict[int, ShareAnswer] = {}
         self.holds = False  # settled actions are kept back
         self.kept: list[consensus.Settled] = []
-        self.do(now, self.replica.start(now) if durable else self.replica.found(now))
+        self.do(now, self.replica.start(now) if durable else self.replica.bootstrap(now))
 
     def do(self, now: float, actions: Iterable[consensus.Action | ShareAnswer]) -> None:
         """Carries out, in order; what that leads to comes after it."""
@@ -84,7 +84,7 @@
                     disk = self.durable
                     disk.view, disk.vote, disk.commit = action.view, action.vote, action.commit
                     disk.entries += action.entries
-                    queue += self.replica.wrote(now, action.number)
+                    queue += self.replica.write_completed(now, action.number)
                 case consensus.Deliver() if action.entry.kind == consensus.SHARES:
                     self.desk.deliver(now, action.entry.body)
                 case consensus.Settled():
--- a/tests/cluster/test_consensus.py
+++ b/tests/cluster/test_consensus.py
@@ -14,10 +14,15 @@
 from coralvale.cluster.configuration.history import Change
 from coralvale.cluster.consensus import messages as m
 from coralvale.cluster.consensus.replica import DurableState, Replica, Timing
-from coralvale.cluster.consensus.replication import KEPT, MOST_KEPT_BYTES, SNAPSHOT_BYTES, SNAPSHOT_EVERY
+from coralvale.cluster.consensus.replication import (
+    KEPT_ENTRIES,
+    MAX_KEPT_BYTES,
+    SNAPSHOT_EVERY_BYTES,
+    SNAPSHOT_EVERY_ENTRIES,
+)
 from coralvale.cluster.consensus.snapshot import SnapshotUpload
 from coralvale.cluster.consensus.state import Progress
-from coralvale.cluster.consensus.voters import Limits, next_voters, pack_voters
+from coralvale.cluster.consensus.voters import Limits, encode_voters, next_voters
 
 SEEDS = 80
 SECONDS = 20.0
@@ -54,7 +59,7 @@
 
 
 A, B, C, LOST = (m.Member(name, name, f"10.0.0.{i}") for i, name in enumerate(("a", "b", "c", "a-again")))
-VOTERS = m.Entry(1, 1, m.VOTERS, pack_voters(m.VoterSet((A, B, C))))
+VOTERS = m.Entry(1, 1, m.VOTERS, encode_voters(m.VoterSet((A, B, C))))
 
 
 def member(me: m.Member, entries: list[m.Entry], commit: int = 1) -> Replica:
@@ -64,7 +69,7 @@
 def votes(replica: Replica, asker: m.Member, last: int) -> bool:
     actions = replica.receive(9.0, m.VoteRequest(2, asker.id, 1, last), asker.ip)
     writes = [a for a in actions if isinstance(a, m.Write)]
-    actions += [s for w in writes for s in replica.wrote(9.0, w.number)]
+    actions += [s for w in writes for s in replica.write_completed(9.0, w.number)]
     replies = [a.message for a in actions if isinstance(a, m.Send) and isinstance(a.message, m.VoteReply)]
     return any(reply.granted for reply in replies)
 
@@ -144,7 +149,7 @@
     whole(world)
     assert len(voters_of(world)) == 3 and new.disk.id not in voters_of(world)  # it learns
     world.env.run(world.env.process(world.leave(leaves)))
-    assert leaves.replica and leaves.replica.may_end
+    assert leaves.replica and leaves.replica.safe_to_stop
     world.kill(leaves)
     del world.places[leaves.ip]
     assert leaves.disk.id not in voters_of(world) and new.disk.id in voters_of(world)
@@ -156,14 +161,14 @@
     world = whole(World(13, 4))
     first, second = [p for p in others(world) if p.replica and p.replica.is_voter][:2]
     world.kill(first)
-    world.env.run(until=world.env.now + TIMING.gone + 1.0)
+    world.env.run(until=world.env.now + TIMING.replace_after + 1.0)
     assert first.disk.id not in voters_of(world) and len(voters_of(world)) == 3
     world.kill(second)
     assert ask(world, 8.0) > 3
 
 
 M = [m.Member(str(n), f"n{n}", f"10.1.0.{n}") for n in range(9)]
-LIMITS = Limits(least=3, gone=1.5, spare=4.0)
+LIMITS = Limits(min_voters=3, replace_after=1.5, remove_spare_after=4.0)
 
 
 @pytest.mark.parametrize(
@@ -195,7 +200,7 @@
 def test_while_voters_change_majorities_of_the_old_and_the_new_are_needed() -> None:
     """a is cut off and not lost: with c it could go on by itself, if b and the new disk alone took the new one
     in."""
-    changing = m.Entry(2, 1, m.VOTERS, pack_voters(m.VoterSet((LOST, B, C), (A, B, C))))
+    changing = m.Entry(2, 1, m.VOTERS, encode_voters(m.VoterSet((LOST, B, C), (A, B, C))))
     leader = member(B, [VOTERS, changing])
     assert not leader.voters.majority({B.id, LOST.id})  # of the old, b alone
     assert not leader.voters.majority({A.id, B.id})  # of the new, b alone
@@ -226,7 +231,7 @@
     lags = member(C, [VOTERS, entry(2, b"old"), entry(3, b"old")])
     append = m.Append(2, B.id, 1, 1, 1, (entry(2, b"new", 2),))
     (write,) = [a for a in lags.receive(9.0, append, B.ip) if isinstance(a, m.Write)]
-    assert write.cut == 2 and [e.body for e in write.entries] == [b"new"] and lags.last == 2
+    assert write.truncate_from == 2 and [e.body for e in write.entries] == [b"new"] and lags.last_seq == 2
 
 
 def test_a_reply_never_names_what_is_not_on_disk() -> None:
@@ -237,7 +242,7 @@
     again = lags.receive(0.2, append, A.ip)  # the same once more, before the first is on disk
     assert [a.message for a in again if isinstance(a, m.Send)] == [m.AppendReply(1, C.id, True, 1, 7)]
     (write,) = [a for a in actions if isinstance(a, m.Write)]
-    told = [a.message for a in lags.wrote(0.3, write.number) if isinstance(a, m.Send)]
+    told = [a.message for a in lags.write_completed(0.3, write.number) if isinstance(a, m.Send)]
     assert told == [m.AppendReply(1, C.id, True, 2, 7)]
 
 
@@ -253,11 +258,13 @@
     now, old = world.env.now + 30.0, leader.round
     assert not barrier_of(leader, now)  # not decided yet
     for peer in list(leader.peers):
-        late = leader.receive(now, m.AppendReply(leader.view, peer, True, leader.last, old), "10.0.0.1")
+        late = leader.receive(now, m.AppendReply(leader.view, peer, True, leader.last_seq, old), "10.0.0.1")
         assert not [a for a in late if isinstance(a, m.Settled)]
     assert not leader.in_contact(now)
     peer = next(iter(leader.peers))
-    fresh = leader.receive(now, m.AppendReply(leader.view, peer, True, leader.last, leader.round), "10.0.0.1")
+    fresh = leader.receive(
+        now, m.AppendReply(leader.view, peer, True, leader.last_seq, leader.round), "10.0.0.1"
+    )
     assert [a for a in fresh if isinstance(a, m.Settled)] == [m.Settled(99, True)]
 
 
@@ -290,7 +297,7 @@
     place = others(world)[0]
     world.kill(place)
     place.disk = world.new_disk()
-    change_every(world, 3 * SNAPSHOT_EVERY, b" " * body)
+    change_every(world, 3 * SNAPSHOT_EVERY_ENTRIES, b" " * body)
     place.link = link
     world.start(place)
     begun = world.env.now
@@ -332,11 +339,11 @@
 def test_entries_behind_the_snapshot_are_kept_for_one_that_lags_by_little() -> None:
     world = whole(World(18, 3))
     place = others(world)[0]
-    change_every(world, SNAPSHOT_EVERY - 10)
+    change_every(world, SNAPSHOT_EVERY_ENTRIES - 10)
     world.kill(place)
     change_every(world, 40)
     leader = leader_of(world).replica
-    assert leader and leader.snapshot.seq > 0 and leader.log_start <= leader.snapshot.seq - KEPT
+    assert leader and leader.snapshot.seq > 0 and leader.log_start <= leader.snapshot.seq - KEPT_ENTRIES
     world.start(place)
     whole(world)
     assert place.replica and not place.replica.download.key[0]  # no part of a snapshot came
@@ -345,31 +352,32 @@
 
 
 def test_a_snapshot_goes_on_where_it_broke_off_and_a_spoiled_one_is_not_taken() -> None:
-    from coralvale.cluster.consensus.snapshot import PART, SnapshotDownload, SnapshotUpload
+    from coralvale.cluster.consensus.snapshot import PART_BYTES, SnapshotDownload, SnapshotUpload
 
     snapshot = m.Snapshot(9, 2, m.VoterSet((A, B, C)), bytes(range(256)) * 1000)
     upload, download = SnapshotUpload.of(snapshot), SnapshotDownload()
-    first = upload.part(0.0, 2, "a")
-    assert first and len(first.data) == PART and upload.part(0.1, 2, "a") is None  # one at a time
-    assert download.take(first) is None and len(download.data) == PART
+    first = upload.next_part(0.0, 2, "a")
+    assert first and len(first.data) == PART_BYTES and upload.next_part(0.1, 2, "a") is None  # one at a time
+    assert download.add_part(first) is None and len(download.data) == PART_BYTES
     other = SnapshotUpload.of(snapshot)  # at the next leader
-    assert other.answered(first.checksum, len(download.data))
+    assert other.acknowledge(first.checksum, len(download.data))
     sent = 1
-    while (part := other.part(1.0, 3, "b")) is not None:
+    while (part := other.next_part(1.0, 3, "b")) is not None:
         sent += 1
-        taken = download.take(part)
+        taken = download.add_part(part)
         if taken:
             assert taken == snapshot
             break
-        other.answered(part.checksum, len(download.data))
-    assert sent == -(-len(upload.data) // PART)  # no part twice
+        other.acknowledge(part.checksum, len(download.data))
+    assert sent == -(-len(upload.data) // PART_BYTES)  # no part twice
     spoiled = SnapshotUpload.of(m.Snapshot(9, 2, m.VoterSet((A,)), b"x"))
-    part = spoiled.part(0.0, 2, "a")
+    part = spoiled.next_part(0.0, 2, "a")
     assert (
-        part and download.take(m.SnapshotPart(2, "a", 9, part.checksum + 1, part.size, 0, part.data)) is None
+        part
+        and download.add_part(m.SnapshotPart(2, "a", 9, part.checksum + 1, part.size, 0, part.data)) is None
     )
     huge = m.SnapshotPart(2, "a", 9, 1, 1 << 40, 0, b"x")
-    assert download.take(huge) is None and not download.data
+    assert download.add_part(huge) is None and not download.data
 
 
 def test_a_message_of_an_older_view_is_refused_and_counted() -> None:
@@ -377,42 +385,48 @@
     replica.receive(0.1, m.Append(3, B.id, 1, 1, 1), B.ip)
     told = replica.receive(0.2, m.Append(2, A.id, 1, 1, 1, (entry(2),)), A.ip)
     assert [a.message for a in told if isinstance(a, m.Send)] == [m.AppendReply(3, C.id, False, 1, 0)]
-    assert replica.stale == 1 and replica.last == 1 and replica.leader == B.id
+    assert replica.stale_messages == 1 and replica.last_seq == 1 and replica.leader == B.id
     replica.receive(0.3, m.AppendReply(2, A.id, True, 9, 1), A.ip)
-    assert replica.stale == 2
+    assert replica.stale_messages == 2
 
 
 def test_a_message_for_a_disk_that_was_lost_is_not_taken_by_the_next_one_at_its_address() -> None:
     replica = Replica(LOST, DurableState(), TIMING, random.Random(1), 0.0)
     append = m.Append(3, B.id, 0, 0, 0, (VOTERS,))
-    assert replica.receive(0.1, append, B.ip, A.id) == [] and replica.stale == 1 and not replica.last
+    assert (
+        replica.receive(0.1, append, B.ip, A.id) == []
+        and replica.stale_messages == 1
+        and not replica.last_seq
+    )
     replica.receive(0.2, append, B.ip, LOST.id)
-    assert replica.last == 1
+    assert replica.last_seq == 1
 
 
 def test_what_is_proposed_and_not_committed_has_a_bound() -> None:
-    from coralvale.cluster.consensus.replication import MOST_IN_FLIGHT
+    from coralvale.cluster.consensus.replication import MAX_IN_FLIGHT
 
     world = whole(World(1, 3))
     leader = leader_of(world)
     world.cut_off({leader.ip}, False)
     assert leader.replica
     results: deque[Any] = deque()
-    for token in range(MOST_IN_FLIGHT + 50):
+    for token in range(MAX_IN_FLIGHT + 50):
         results.extend(leader.replica.propose(world.env.now, 10_000 + token, m.CHANGE, b""))
     assert sum(isinstance(a, m.Settled) and not a.accepted for a in results) == 50
 
 
 def test_a_peer_that_never_takes_its_snapshot_does_not_let_the_log_grow_past_its_bytes() -> None:
     alone = m.VoterSet((m.Member("a", "gateway-a", "10.0.0.1"),))
-    replica = Replica(alone.new[0], DurableState(), Timing(least=1), random.Random(1), 0.0)
-    actions = replica.found(0.0)
+    replica = Replica(alone.new[0], DurableState(), Timing(min_voters=1), random.Random(1), 0.0)
+    actions = replica.bootstrap(0.0)
     size = 300_000
     for number in range(2, 120):
         actions += replica.propose(0.0, number, m.CHANGE, bytes(size))
         for write in [a for a in actions if isinstance(a, m.Write)]:
-            actions = replica.wrote(0.0, write.number)
+            actions = replica.write_completed(0.0, write.number)
         if replica.due_for_snapshot():
             replica.peers["b"] = Progress(1, upload=SnapshotUpload.of(m.Snapshot(1, 1, alone, b"")))
-            replica.save(b"")
-    assert sum(len(entry.body) for entry in replica.entries) < MOST_KEPT_BYTES + SNAPSHOT_BYTES + 2 * size
+            replica.save_snapshot(b"")
+    assert (
+        sum(len(entry.body) for entry in replica.entries) < MAX_KEPT_BYTES + SNAPSHOT_EVERY_BYTES + 2 * size
+    )
--- a/tests/cluster/test_coordination_kills.py
+++ b/tests/cluster/test_coordination_kills.py
@@ -10,8 +10,8 @@
 from attrs import define, field
 from test_coordination_processes import play, rpc
 
-from coralvale.cluster.consensus.replication import SNAPSHOT_BYTES
-from coralvale.cluster.storage.keeper import look
+from coralvale.cluster.consensus.replication import SNAPSHOT_EVERY_BYTES
+from coralvale.cluster.storage.keeper import inspect_state
 from coralvale.standins.cluster import CTL, LocalCluster, call, configuration
 
 LONG_MS = 60_000  # longer than the test takes, however busy the machine is
@@ -208,7 +208,7 @@
 
 def only_in_snapshot(cluster: LocalCluster, gateway: int) -> bool:
     """Whether what a killed gateway's disk has of coordination is in its snapshot, none of it behind it."""
-    disk = look(cluster.path / f"data-{gateway}")
+    disk = inspect_state(cluster.path / f"data-{gateway}")
     behind = {entry["kind"] for entry in disk["entries"] if entry["seq"] > disk["snapshot"]}
     return disk["snapshot"] > 0 and "coordination" not in behind
 
@@ -225,7 +225,7 @@
 
         version = 1
         for rounds in range(MOST_ROUNDS):  # a member that is killed may be about to save
-            for _ in range(1 if rounds else SNAPSHOT_BYTES // CHANGE_BYTES + 1):
+            for _ in range(1 if rounds else SNAPSHOT_EVERY_BYTES // CHANGE_BYTES + 1):
                 await change(cluster, version := version + 1)
             for gateway in range(len(cluster.ips)):
                 await cluster.kill(gateway)
--- a/tests/cluster/test_coordination_operators.py
+++ b/tests/cluster/test_coordination_operators.py
@@ -82,15 +82,15 @@
 def test_renewals_reads_and_lists_write_nothing() -> None:
     lone = LoneDesk()
     assert lone.call(c.Acquire("l1", "a", HOLD_MS)) == c.Granted(1)
-    written = lone.replica.last
+    written = lone.replica.last_seq
     for _ in range(100):
         lone.wait(0.1)
         assert lone.call(c.Renew("l1", "a", 1, HOLD_MS)) == c.Renewed()
         assert lone.call(c.Get("g1.a")) == c.NotFound()
         assert len(listed(lone, c.ListNames(c.Kind.LOCKS))) == 1
-    assert lone.replica.last == written
+    assert lone.replica.last_seq == written
     assert lone.call(c.Renew("l1", "a", 1, HOLD_MS + 1)) == c.Renewed()
-    assert lone.replica.last == written + 1  # a longer hold is in the log
+    assert lone.replica.last_seq == written + 1  # a longer hold is in the log
 
 
 def test_a_takeover_is_told_once_and_what_the_sweep_drops_is_not() -> None:
--- a/tests/cluster/test_coordination_state.py
+++ b/tests/cluster/test_coordination_state.py
@@ -144,12 +144,12 @@
 
     def __init__(self) -> None:
         self.replica = Replica(
-            m.Member("d1", "n1", "10.0.0.1"), DurableState(), Timing(least=1), random.Random(1), 0.0
+            m.Member("d1", "n1", "10.0.0.1"), DurableState(), Timing(min_voters=1), random.Random(1), 0.0
         )
         self.state, self.answers, self.tokens = CoordinationState(), dict[int, c.Outcome](), 0
         self.desk = CoordinationDesk(self.replica, self.state, self.token, random.Random(1), 20.0)
         self.disk: list[m.Write] = []
-        self.do(0.0, self.replica.found(0.0))
+        self.do(0.0, self.replica.bootstrap(0.0))
         self.sync(0.0)
 
     def token(self) -> int:
@@ -171,7 +171,7 @@
 
     def sync(self, now: float) -> None:
         while self.disk:
-            self.do(now, self.replica.wrote(now, self.disk.pop(0).number))
+            self.do(now, self.replica.write_completed(now, self.disk.pop(0).number))
 
     def call(self, now: float, call: c.Call, sync: bool = True) -> c.Outcome | None:
         token = self.token()
--- a/tests/cluster/test_explore.py
+++ b/tests/cluster/test_explore.py
@@ -72,9 +72,9 @@
 
     def key(self) -> Any:
         members = tuple(
-            (x.me.id, x.view, x.vote, x.leader, x.leading, tuple(x.entries), x.commit, x.durable, x.may_end,
-             frozenset(x.pre_votes or ()), frozenset(x.votes or ()),
-             tuple((i, p.match) for i, p in x.peers.items()), tuple(x.learners), tuple(x.departing))
+            (x.me.id, x.view, x.vote, x.leader, x.leading, tuple(x.entries), x.commit, x.durable_seq,
+             x.safe_to_stop, frozenset(x.pre_votes or ()), frozenset(x.votes or ()),
+             tuple((i, p.match_seq) for i, p in x.peers.items()), tuple(x.learners), tuple(x.departing))
             for x in self.members.values()
         )  # fmt: skip
         disks = tuple((d.id, d.state.view, d.state.vote, tuple(d.state.entries)) for d in self.disks.values())
@@ -123,7 +123,7 @@
             write, *rest = self.writes[which]
             self.writes[which] = tuple(rest)
             self.disks[which].put(write)
-            self.act(which, self.members[which].wrote(self.now, write.number))
+            self.act(which, self.members[which].write_completed(self.now, write.number))
         elif what in ("silence", "thaw"):
             self.silences -= 1
             self.now += 5.0
@@ -153,7 +153,7 @@
     state.step("silence", A.ip)
     settle(state)
     leader = state.members[A.ip]
-    assert leader.leading and leader.settled
+    assert leader.leading and leader.caught_up
     state.silences, state.trace = 2, ()
     for token in range(changes):
         state.act(A.ip, leader.propose(state.now, token, m.CHANGE, b"change %d" % token))
--- a/tests/cluster/test_founding.py
+++ b/tests/cluster/test_founding.py
@@ -4,7 +4,7 @@
 
 import random
 
-from coralvale.cluster.bootstrap.founding import OLD, Founding
+from coralvale.cluster.bootstrap.founding import MIN_UPTIME_S, CoreBootstrap
 
 IPS = tuple(f"10.0.0.{n}" for n in range(6))
 SEEDS = (IPS[4], IPS[1], IPS[2])  # the nominator is 10.0.0.1
@@ -13,7 +13,7 @@
 class Start:
     """Six gateways that start at once, the words between them late, lost and doubled."""
 
-    def __init__(self, seed: int, disks: set[str], kind: type[Founding] = Founding) -> None:
+    def __init__(self, seed: int, disks: set[str], kind: type[CoreBootstrap] = CoreBootstrap) -> None:
         self.chance, self.kind, self.disks = random.Random(seed), kind, disks
         self.now = 0.0
         self.founders: list[str] = []
@@ -22,7 +22,7 @@
         self.words: list[tuple[float, str, str, str]] = []  # when, to, what, of whom
         self.knows: dict[str, float] = {}  # when a gateway hears of the core
 
-    def begin(self, ip: str, bootstrap: bool) -> Founding:
+    def begin(self, ip: str, bootstrap: bool) -> CoreBootstrap:
         return self.kind(ip, SEEDS, bootstrap, ip in self.disks, self.now)
 
     def core_known(self, ip: str) -> bool:
@@ -31,9 +31,9 @@
     def step(self) -> None:
         self.now += 0.05
         for ip, one in self.gateways.items():
-            if ip in self.disks and not one.me and self.chance.random() < 0.2:
-                one.me = f"disk-{ip}"
-            if one.may_ask(self.core_known(ip)) and self.chance.random() < 0.25:
+            if ip in self.disks and not one.disk_id and self.chance.random() < 0.2:
+                one.disk_id = f"disk-{ip}"
+            if one.should_ask(self.core_known(ip)) and self.chance.random() < 0.25:
                 self.words.append((self.now + self.chance.random(), one.nominator, "ask", ip))
         due = [w for w in self.words if w[0] <= self.now]
         self.words = [w for w in self.words if w[0] > self.now]
@@ -42,10 +42,10 @@
             if self.chance.random() < 0.3:
                 continue  # lost
             if what == "ask":
-                named = self.gateways[to].asked(self.now, f"disk-{of}", self.core_known(to))
+                named = self.gateways[to].answer_request(self.now, f"disk-{of}", self.core_known(to))
                 for _ in range(self.chance.choice((1, 1, 2))):
                     self.words.append((self.now + self.chance.random(), of, named, to))
-            elif self.gateways[to].told(what, self.core_known(to)):
+            elif self.gateways[to].accept_answer(what, self.core_known(to)):
                 self.founders.append(to)
                 for ip in IPS:  # words tell of it every half second, and some are lost
                     late = 0.0 if ip == to else 0.5 * (1 + self.chance.choice((0, 0, 0, 1)))
@@ -57,7 +57,7 @@
         if self.founders:
             self.knows[ip] = self.now + 0.5 + self.chance.random()
         if ip in self.founders:
-            one.me, one.founded = f"disk-{ip}", True  # its disk says so: its log is not empty
+            one.disk_id, one.bootstrapped = f"disk-{ip}", True  # its disk says so: its log is not empty
 
     def play(self, restarts: int) -> None:
         for _ in range(restarts):
@@ -78,28 +78,28 @@
                 assert len(start.founders) == 1, (seed, disks)
 
 
-class NamesWhoAsks(Founding):
+class NamesWhoAsks(CoreBootstrap):
     """A nominator names each that asks."""
 
-    def asked(self, now: float, candidate: str, core_known: bool) -> str:
-        self.named = ""
-        return super().asked(now, candidate, core_known)
+    def answer_request(self, now: float, candidate: str, core_known: bool) -> str:
+        self.nominated = ""
+        return super().answer_request(now, candidate, core_known)
 
 
-class NamesAtOnce(Founding):
+class NamesAtOnce(CoreBootstrap):
     """One without a disk that starts again names another, before it has heard of the core."""
 
-    def asked(self, now: float, candidate: str, core_known: bool) -> str:
-        return super().asked(now + OLD, candidate, core_known)
+    def answer_request(self, now: float, candidate: str, core_known: bool) -> str:
+        return super().answer_request(now + MIN_UPTIME_S, candidate, core_known)
 
 
-class NamesBeforeItsDisk(Founding):
+class NamesBeforeItsDisk(CoreBootstrap):
     """One names another while its own disk is not read."""
 
-    def asked(self, now: float, candidate: str, core_known: bool) -> str:
-        had, self.has_disk = self.has_disk, bool(self.me)
+    def answer_request(self, now: float, candidate: str, core_known: bool) -> str:
+        had, self.has_disk = self.has_disk, bool(self.disk_id)
         try:
-            return super().asked(now + OLD, candidate, core_known)
+            return super().answer_request(now + MIN_UPTIME_S, candidate, core_known)
         finally:
             self.has_disk = had
 
@@ -120,10 +120,14 @@
 
 
 def test_a_lost_disk_neither_names_nor_founds_and_one_that_knows_a_core_joins_it() -> None:
-    lost = Founding(IPS[1], SEEDS, False, True, 0.0, me="new")
-    assert lost.asked(9.0, "other", False) == "" and not lost.may_ask(False) and not lost.told("new", False)
-    damaged = Founding(IPS[1], SEEDS, True, True, 0.0, me="new")
-    damaged.lost_disk()
-    assert damaged.asked(9.0, "other", False) == "" and not damaged.told("new", False)
-    late = Founding(IPS[2], SEEDS, True, True, 0.0, me="late")
-    assert not late.may_ask(True) and not late.told("late", True)
+    lost = CoreBootstrap(IPS[1], SEEDS, False, True, 0.0, disk_id="new")
+    assert (
+        lost.answer_request(9.0, "other", False) == ""
+        and not lost.should_ask(False)
+        and not lost.accept_answer("new", False)
+    )
+    damaged = CoreBootstrap(IPS[1], SEEDS, True, True, 0.0, disk_id="new")
+    damaged.mark_disk_lost()
+    assert damaged.answer_request(9.0, "other", False) == "" and not damaged.accept_answer("new", False)
+    late = CoreBootstrap(IPS[2], SEEDS, True, True, 0.0, disk_id="late")
+    assert not late.should_ask(True) and not late.accept_answer("late", True)
--- a/tests/cluster/test_power.py
+++ b/tests/cluster/test_power.py
@@ -21,9 +21,9 @@
 
 from coralvale.cluster.consensus import messages as m
 from coralvale.cluster.consensus.replica import DurableState
-from coralvale.cluster.consensus.voters import pack_voters
+from coralvale.cluster.consensus.voters import encode_voters
 from coralvale.cluster.registry.register import Row
-from coralvale.cluster.storage.store import NAME, Store
+from coralvale.cluster.storage.store import DATABASE_FILE, Store
 
 Operation = tuple[str, str, int, bytes]  # what, file, where, bytes
 recorders: list[Recorder] = []
@@ -108,11 +108,13 @@
             saved = m.Snapshot(seq, step, VOTERS, chance.randbytes(9000))
             found.append(m.Write(step + 1, step, "a", seq, None, (), saved))
         elif step % 5 == 3 and (step - 1) % 9:
-            entry = m.Entry(seq, step, m.OPENING)  # in place of the last
+            entry = m.Entry(seq, step, m.NO_OP)  # in place of the last
             found.append(m.Write(step + 1, step, "b", max(0, seq - 1), seq, (entry,)))
         else:
             seq += 1
-            kind, body = (m.VOTERS, pack_voters(VOTERS)) if seq == 1 else (m.CHANGE, chance.randbytes(30000))
+            kind, body = (
+                (m.VOTERS, encode_voters(VOTERS)) if seq == 1 else (m.CHANGE, chance.randbytes(30000))
+            )
             found.append(m.Write(step + 1, step, "a", seq, None, (m.Entry(seq, step, kind, body),)))
         if step % 7 == 3:
             found.append(rows[: 5 + step % 30])
@@ -126,7 +128,7 @@
     store, answered, led = kind(str(folder)), [len(recorder.trace)], [DurableState()]
     for write in writes():
         if isinstance(write, list):
-            store.put_hosts(write)
+            store.save_hosts(write)
             continue
         store.write([write])
         answered.append(len(recorder.trace))
@@ -207,8 +209,10 @@
     trace, answered, led = used(folder / "used", kind)
     again, disk, count = folder / "again", Disk(), 0
     again.mkdir()
-    assert {"write", "sync"} <= {op[0] for op in trace} and {NAME, f"{NAME}-wal"} <= {op[1] for op in trace}
-    assert any(op[:2] == ("write", NAME) for op in trace[answered[5] :])  # a checkpoint came
+    assert {"write", "sync"} <= {op[0] for op in trace} and {DATABASE_FILE, f"{DATABASE_FILE}-wal"} <= {
+        op[1] for op in trace
+    }
+    assert any(op[:2] == ("write", DATABASE_FILE) for op in trace[answered[5] :])  # a checkpoint came
     for place, op in enumerate(trace):
         disk.do(op)
         done = sum(at <= place + 1 for at in answered) - 1  # the newest that was answered
--- a/tests/cluster/test_storage.py
+++ b/tests/cluster/test_storage.py
@@ -16,18 +16,18 @@
 from coralvale.cluster import commands
 from coralvale.cluster.configuration.history import Change, Image, pack
 from coralvale.cluster.consensus import messages as m
-from coralvale.cluster.consensus.voters import pack_voters
+from coralvale.cluster.consensus.voters import encode_voters
 from coralvale.cluster.coordination.state import CoordinationState
 from coralvale.cluster.registry.register import Row
-from coralvale.cluster.storage.keeper import SKIPPED, KeeperError, export, look, restore
-from coralvale.cluster.storage.store import NAME, Store, StoreError
+from coralvale.cluster.storage.keeper import COUNTER_SKIP, DiskStateError, export, inspect_state, restore
+from coralvale.cluster.storage.store import DATABASE_FILE, Store, StoreError
 
 VOTERS = m.VoterSet((m.Member("a", "gateway-a", "10.0.0.1"),))
 
 
 def filled(folder: Path, upto: int = 3) -> Store:
     store = Store(str(folder))
-    first = m.Entry(1, 1, m.VOTERS, pack_voters(VOTERS))
+    first = m.Entry(1, 1, m.VOTERS, encode_voters(VOTERS))
     change = m.Entry(2, 1, m.CHANGE, pack(Change(0, True, body(WHOLE))))
     later = body({"Ver": 7, "Remove": {"Routes": ["deep"]}})
     last = m.Entry(3, 1, m.CHANGE, pack(Change(2, False, later)))
@@ -49,7 +49,7 @@
     store.write(
         [
             m.Write(4, 2, "b", 3, None, (), saved, 2),
-            m.Write(5, 2, "b", 3, 3, (m.Entry(3, 2, m.OPENING),)),
+            m.Write(5, 2, "b", 3, 3, (m.Entry(3, 2, m.NO_OP),)),
         ]
     )
     store.close()
@@ -67,10 +67,10 @@
     store = filled(tmp_path)
     bad = m.Entry(4, 1, m.CHANGE, object())  # type: ignore[arg-type]
     with pytest.raises(sqlite3.Error):
-        store.write([m.Write(4, 9, "z", 3, 2, (m.Entry(2, 9, m.OPENING), bad))])
+        store.write([m.Write(4, 9, "z", 3, 2, (m.Entry(2, 9, m.NO_OP), bad))])
     record = store.load()
     assert (record.view, [(e.seq, e.view) for e in record.entries]) == (1, [(1, 1), (2, 1), (3, 1)])
-    store.write([m.Write(4, 1, "a", 3, None, (m.Entry(4, 1, m.OPENING),))])  # and it goes on
+    store.write([m.Write(4, 1, "a", 3, None, (m.Entry(4, 1, m.NO_OP),))])  # and it goes on
     assert len(store.load().entries) == 4
 
 
@@ -79,7 +79,7 @@
     beginning of what was written, and never less than what the torn write came after."""
     source, seen = tmp_path / "source", []
     store = filled(source)
-    log = source / f"{NAME}-wal"
+    log = source / f"{DATABASE_FILE}-wal"
     size = log.stat().st_size
     for cut in range(0, size, max(1, size // 60)):
         copy = tmp_path / "copy"
@@ -114,8 +114,8 @@
 
 def test_what_is_not_ours_or_newer_is_refused_by_name(tmp_path: Path) -> None:
     (tmp_path / "foreign").mkdir()
-    (tmp_path / "foreign" / NAME).write_bytes(b"not a database at all" * 400)
-    with pytest.raises(StoreError, match=NAME):
+    (tmp_path / "foreign" / DATABASE_FILE).write_bytes(b"not a database at all" * 400)
+    with pytest.raises(StoreError, match=DATABASE_FILE):
         Store(str(tmp_path / "foreign"))
     store = filled(tmp_path / "newer")
     store.db.execute("UPDATE fact SET value = 99 WHERE name = 'layout'")
@@ -131,33 +131,33 @@
 def test_hosts_are_remembered_and_no_harm_if_not(tmp_path: Path) -> None:
     store = filled(tmp_path)
     rows = [Row(f"i-{n}", "s", "10.0.0.1", 80 + n, "z", "v", 4, 0, 0.0, n) for n in range(30)]
-    assert store.hosts() == []
-    store.put_hosts(rows)
-    store.put_hosts(rows[:20])
+    assert store.load_hosts() == []
+    store.save_hosts(rows)
+    store.save_hosts(rows[:20])
     store.close()
     again = Store(str(tmp_path))
-    assert sorted(again.hosts(), key=lambda r: r.port) == rows[:20] and len(again.load().entries) == 3
+    assert sorted(again.load_hosts(), key=lambda r: r.port) == rows[:20] and len(again.load().entries) == 3
     again.db.execute("UPDATE host SET row = 'torn'")
-    assert again.hosts() == []
+    assert again.load_hosts() == []
 
 
 def test_an_export_begins_a_new_core_on_an_empty_disk_alone(tmp_path: Path) -> None:
     filled(tmp_path / "old").close()
-    found = look(tmp_path / "old")
+    found = inspect_state(tmp_path / "old")
     assert found["version"] == 7 and set(found["config"]["Routes"]) == {"r"}
     kept = json.loads(json.dumps(export(tmp_path / "old")))
-    with pytest.raises(KeeperError, match="there already"):
+    with pytest.raises(DiskStateError, match="there already"):
         restore(kept, tmp_path / "old", "gateway-b", "10.0.0.2")
     name = restore(kept, tmp_path / "new", "gateway-b", "10.0.0.2")
-    again = look(tmp_path / "new")
+    again = inspect_state(tmp_path / "new")
     assert again["config"] == found["config"] and again["view"] > found["view"]
     image = msgspec.msgpack.decode(base64.b64decode(again["image"]), type=Image)
     coordination = CoordinationState()
     coordination.restore(image.coordination)
-    assert coordination.fence >= SKIPPED  # what the lost core may have given is not given again
+    assert coordination.fence >= COUNTER_SKIP  # what the lost core may have given is not given again
     assert [x["id"] for x in again["members"]] == [name]
     for wrong in ({}, {**kept, "image": "!"}, {**kept, "format": 2}):
-        with pytest.raises(KeeperError):
+        with pytest.raises(DiskStateError):
             restore(wrong, tmp_path / "third", "gateway-c", "10.0.0.3")
 
 
--- a/tests/syslog/test_spool.py
+++ b/tests/syslog/test_spool.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 from memory_disk import Disk
 
-from coralvale.disk import Folder, frame
+from coralvale.disk import Folder, encode_record
 from coralvale.syslog.spool import HEADER, Spool
 
 
@@ -103,7 +103,7 @@
     assert len(names) > 2
     first, last = tmp_path / names[0], tmp_path / names[-1]
     data = bytearray(first.read_bytes())
-    one = len(frame(rows(0, 1)[0][2]))
+    one = len(encode_record(rows(0, 1)[0][2]))
     data[len(HEADER) + 3 * one + 20] ^= 0xFF  # in the message of number 3
     first.write_bytes(bytes(data))
     with last.open("r+b") as file:
