--- a/coralvale/cluster/bootstrap/__init__.py
+++ b/coralvale/cluster/bootstrap/__init__.py
@@ -1,1 +1,1 @@
-"""Duties that one gateway does."""
+"""The first start of a system: which gateway creates the core."""
--- a/coralvale/cluster/bootstrap/founding.py
+++ b/coralvale/cluster/bootstrap/founding.py
@@ -1,46 +1,53 @@
-"""Who founds the core: on the very first start all disks are empty, and nobody knows how many others there are.
-
-All get the same seeds then, so all know the same nominator: the seed with the lowest address. It names one
-disk, once. What holds at every moment: at most one disk is ever told that it is the founder.
-
-- One with a disk names its own, and no other: so it says the same after a restart. While its disk cannot be read
-  it names nobody.
-- One without a disk remembers whom it named in memory alone; one that starts again names nobody until it is old
-  enough to have heard of a core that is there (`MIN_UPTIME_S`).
-- A disk that was lost (`Bootstrap` false) neither names nor founds; one that knows a core asks it for a seat.
-- Nobody else is named in the place of one that was named and is silent: it may have founded the core behind a
-  cut. The operator begins anew then (docs/operate/cluster.md), nothing was acknowledged yet.
+"""The bootstrap of the core (the group of replicas): the choice of the one disk that creates it.
+
+On the very first start all disks are empty, and no gateway knows how many others there are. All have the same
+seeds, so all know the same nominator: the seed with the lowest address. It nominates one disk, once.
+Invariant: at most one disk is ever told that it is the founder.
+
+- A nominator with a disk nominates only its own, so it gives the same answer after a restart. While its disk
+  cannot be read it nominates nobody.
+- A nominator without a disk keeps the nomination in memory only. After a restart it nominates nobody until it
+  has run long enough to have heard of an existing core (`MIN_UPTIME_S`).
+- A gateway whose disk was lost (`Bootstrap` false) neither nominates nor founds. A gateway that knows a core
+  asks it to join.
+- A nominated disk that is silent is not replaced by another: it may have founded the core on the other side
+  of a network partition. The operator then starts over (docs/operate/cluster.md); nothing was acknowledged
+  yet.
 """
 
 from __future__ import annotations
 
 from attrs import define
 
-MIN_UPTIME_S = 2.0  # s: a word of the core comes every half second, to all
+MIN_UPTIME_S = 2.0  # messages about the core reach all gateways every 0.5 s
 
 
 @define
 class CoreBootstrap:
+    """The bootstrap rules at one gateway. Times are seconds of a monotonic clock."""
+
     ip: str
-    seeds: tuple[str, ...]  # their IP numbers
+    seeds: tuple[str, ...]  # IP addresses
     bootstrap: bool  # the whole system starts for the first time
     has_disk: bool
-    started_at: float
-    disk_id: str = ""  # the own disk's id, once it was read
-    nominated: str = ""  # whom this gateway has named
-    bootstrapped: bool = False  # here
+    started_at: float  # when this process started
+    disk_id: str = ""  # id of the own disk, "" until it was read
+    nominated: str = ""  # id of the disk that this gateway has nominated
+    bootstrapped: bool = False  # whether this gateway has founded the core
 
     @property
     def nominator(self) -> str:
-        """Whom to ask."""
+        """Address of the gateway that nominates the founder."""
         return min(self.seeds, default=self.ip)
 
     def mark_disk_lost(self) -> None:
-        """What the disk held cannot be used: it may have been the founder's."""
+        """The contents of the disk cannot be used: it may have been the founder's, so this gateway must not
+        found."""
         self.bootstrap = False
 
     def answer_request(self, now: float, candidate: str, core_known: bool) -> str:
-        """Another's disk asks who founds the core: its id, "" while nobody is named."""
+        """Answers a gateway that asks who founds the core: the founder's disk id, "" while none is
+        nominated."""
         if self.nominated:
             return self.nominated
         if not self.bootstrap or core_known or self.ip != self.nominator:
@@ -52,11 +59,11 @@
         return self.nominated
 
     def should_ask(self, core_known: bool) -> bool:
-        """Whether this gateway's disk has to ask the nominator, or itself, who founds the core."""
+        """Whether this gateway should ask the nominator (possibly itself) who founds the core."""
         return self.bootstrap and bool(self.disk_id) and not core_known and not self.bootstrapped
 
     def accept_answer(self, named: str, core_known: bool) -> bool:
-        """The nominator's answer; whether to found the core now, which is said once."""
+        """Takes the nominator's answer; whether to found the core now, which is true only once."""
         if named != self.disk_id or not self.should_ask(core_known):
             return False
         self.bootstrapped = True
--- a/coralvale/cluster/consensus/__init__.py
+++ b/coralvale/cluster/consensus/__init__.py
@@ -1,1 +1,1 @@
-"""Views and the one order of changes among the members with disks."""
+"""Consensus: one replicated, totally ordered log among the gateways that have disks."""
--- a/coralvale/cluster/consensus/election.py
+++ b/coralvale/cluster/consensus/election.py
@@ -1,4 +1,4 @@
-"""Elections: pre-votes, votes, the begin and the end of a leadership."""
+"""Elections: pre-votes, votes, the start and the end of a leadership."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class Elections(ReplicaState):
-    """Sources: the pre-vote and the votes of Ongaro and Ousterhout (ATC 2014)."""
+    """Leader election with pre-votes, after Ongaro and Ousterhout (ATC 2014)."""
 
-    pre_votes: set[str] | None = None  # who would vote for this replica; None: it does not ask
-    votes: set[str] | None = None
-    vote_write_number = 0  # the write that has the own vote
+    pre_votes: set[str] | None = None  # ids that would vote for this replica; None while it does not ask
+    votes: set[str] | None = None  # ids that voted for this replica; None while it is no candidate
+    vote_write_number = 0  # number of the write with this replica's own vote
 
     def _enter_view(self, now: float, view: int, leader: str) -> None:
-        """Takes up a newer view, or its leader; what was going on in the one before ends."""
+        """Enters a newer view, or follows its leader; ends an own leadership or candidacy."""
         if self.leading or self.tokens:
             self._step_down(now)
         if view > self.view:
@@ -30,7 +30,8 @@
         self.pre_votes = self.votes = None
 
     def _step_down(self, now: float) -> None:
-        """What was proposed here is no longer this replica's to settle."""
+        """Ends a leadership. Proposals made here are answered as not accepted: their outcome is not known
+        here."""
         self.leading, self.leader = False, ""
         self.leader_heard_at, self.election_wait = now, self._random_election_wait()
         self.peers.clear()
@@ -66,7 +67,7 @@
             self._campaign(self.leader_heard_at)
 
     def _campaign(self, now: float, transferred: bool = False) -> None:
-        """The own vote counts when it is on disk; the requests go out then, so that answers come after it."""
+        """Starts an election. The own vote counts, and the requests go out, once the vote is on disk."""
         self.view, self.vote, self.leader = self.view + 1, self.me.id, ""
         self.leader_heard_at, self.election_wait = now, self._random_election_wait()
         self.pre_votes, self.votes = None, {self.me.id}
@@ -96,7 +97,7 @@
             self._become_leader(now)
 
     def _become_leader(self, now: float) -> None:
-        """Leads the view, and goes on from all that this disk has."""
+        """Becomes the leader of this view, with all entries of the own log."""
         self.pre_votes = self.votes = None
         self.leading, self.leader = True, self.me.id
         self.peers = {
@@ -127,7 +128,7 @@
     # A leader that leaves
 
     def _transfer_leadership(self, now: float) -> None:
-        """Names the voter in contact whose disk has the most."""
+        """Hands leadership to the reachable voter that has the most entries on disk."""
         voters = self.voters.all()
         there = [
             (p.match_seq, i)
--- a/coralvale/cluster/consensus/membership.py
+++ b/coralvale/cluster/consensus/membership.py
@@ -1,8 +1,8 @@
-"""Changes of the voters by agreement: learners, replacement, and a replica that leaves in order.
+"""Membership changes: learners, the replacement of voters, and the orderly leave of a replica.
 
-Each change is a joint configuration: while it is on its way majorities of the old and the new set are needed
-for all, the end of the change itself too; one change at a time, and none before an entry of the leader's own
-view is committed.
+Each change goes through a joint configuration. While it is in progress, every decision, including the end of
+the change itself, needs majorities of both the old and the new set. Only one change is in progress at a time,
+and none starts before an entry of the leader's own view is committed.
 """
 
 from __future__ import annotations
@@ -21,18 +21,19 @@
 from coralvale.cluster.consensus.voters import Limits, encode_voters, next_voters
 
 MAX_LEARNERS = 16
-LEARNER_TIMEOUT_S = 3.0  # s without a request
-LEAVE_TIMEOUT_S = 1.5  # s: the process has ended, or its leave was taken back
-LEAVE_REQUEST_INTERVAL_S = 0.2  # s between a leaving replica's requests
-READY_MAX_SILENT_HEARTBEATS = 4  # heartbeats without a reply after which a learner is not taken
+LEARNER_TIMEOUT_S = 3.0  # without a join request until a learner is dropped
+LEAVE_TIMEOUT_S = 1.5  # without a leave request: the process has ended, or no longer wants to leave
+LEAVE_REQUEST_INTERVAL_S = 0.2  # between the requests of a leaving replica
+READY_MAX_SILENT_HEARTBEATS = 4  # a learner silent for longer is not made a voter
 
 
 class Membership(Replication):
-    """At the leader: who learns, who leaves, which voters follow. At one that leaves: whether it may end."""
+    """At the leader: learners, leaving replicas and the next voters. At a leaving replica: whether it may
+    stop."""
 
-    learners: dict[str, tuple[Member, float]]  # and when they asked last
-    departing: dict[str, float]  # replicas that ask to leave, and when they did last
-    safe_to_stop = False  # this replica leaves, and what is committed is safe without it
+    learners: dict[str, tuple[Member, float]]  # by id, with the time of the last join request
+    departing: dict[str, float]  # ids of replicas that ask to leave, with the time of the last request
+    safe_to_stop = False  # this replica is leaving, and all that is committed is safe without it
     leave_requested_at = -1e9
 
     def _begin_membership(self) -> None:
@@ -72,7 +73,7 @@
                 del self.departing[name]
 
     def _ready_learners(self, now: float) -> list[Member]:
-        """Those that hold all that is committed, and answer."""
+        """Learners that hold all that is committed, and reply."""
         ready = []
         for name, (member, _) in self.learners.items():
             progress = self.peers.get(name)
@@ -90,7 +91,7 @@
     # Changes
 
     def _voters_changing(self) -> bool:
-        """Whether a change of voters is on its way, or this view's first entry is."""
+        """Whether a change of voters is in progress, or no entry of this view is committed yet."""
         if self.voters.old or self._view_of(self.commit) != self.view:
             return True
         return bool(self.voter_log) and self.voter_log[-1][0] > self.commit
@@ -107,7 +108,8 @@
             self._append(now, VOTERS, encode_voters(VoterSet(planned, self.voters.new)))
 
     def _advance_voter_change(self, now: float) -> None:
-        """A change that all know of is ended; a leader that has no vote any more steps down."""
+        """Ends a joint configuration once it is committed; a leader that has lost its vote by it steps
+        down."""
         voters = self.voters
         for name in [name for name in self.learners if name in voters.all()]:
             del self.learners[name]
@@ -121,12 +123,13 @@
     # Leaving
 
     def _leave_tick(self, now: float) -> None:
-        """A replica that is being stopped: a leader names another, the others ask whether they may end."""
+        """While this replica is leaving: as the leader, hands over; else asks the leader whether it may
+        stop."""
         if not self.leaving or now - self.leave_requested_at < LEAVE_REQUEST_INTERVAL_S:
             return
         self.leave_requested_at = now
         if self.leading and len(self.voters.all()) == 1:
-            self.safe_to_stop = True  # there is nobody else
+            self.safe_to_stop = True  # it is the only voter
         elif self.leading:
             self._transfer_leadership(now)
         elif self.leader:
--- a/coralvale/cluster/consensus/messages.py
+++ b/coralvale/cluster/consensus/messages.py
@@ -1,7 +1,7 @@
-"""Types of the consensus among replicas: members, entries, messages between replicas, actions for the caller.
+"""Types of the consensus protocol: members, entries, messages between replicas, and actions for the caller.
 
-The wire between replicas is msgspec's array form: a field that a newer program adds stands at the end with a
-default. Times are seconds of a clock that never steps back.
+Messages between replicas are encoded as msgspec arrays, so a field added by a newer version must come last
+and have a default. Times are seconds of a monotonic clock.
 """
 
 from __future__ import annotations
@@ -9,13 +9,14 @@
 import msgspec
 from attrs import frozen
 
-# Kinds of entries. READ was written by earlier versions for each reading; it has no effect.
+# Kinds of entries. Earlier versions wrote READ for each read; it has no effect.
 NO_OP, CHANGE, VOTERS, READ, SHARES, COORDINATION = 0, 1, 2, 3, 4, 5
-ROUND_UNKNOWN = -1  # instead of a round, from a version that does not tell it
+ROUND_UNKNOWN = -1  # stands for the round in replies from a version that does not send it
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """One disk's life: `id` is drawn when an empty disk is first used, so a disk that was lost is nobody's."""
+    """A replica's identity. `id` is drawn when an empty disk is first used, so the id of a lost disk is never
+    used again."""
 
     id: str
     name: str
@@ -23,21 +24,25 @@
 
 
 class VoterSet(msgspec.Struct, frozen=True, array_like=True):
-    """Who votes. While it changes (a joint configuration), majorities of both `old` and `new` are needed."""
+    """The voters. During a change (a joint configuration), majorities of both `old` and `new` are needed."""
 
     new: tuple[Member, ...]
     old: tuple[Member, ...] = ()
 
     def all(self) -> dict[str, Member]:
+        """All members of both sets, by id."""
         return {m.id: m for m in (*self.old, *self.new)}
 
     def majority(self, ids: set[str]) -> bool:
-        """Whether these members are enough, in each of the sets that count."""
+        """Whether these ids are a majority of each set in force."""
         groups = [group for group in (self.old, self.new) if group]
         return bool(groups) and all(2 * sum(m.id in ids for m in group) > len(group) for group in groups)
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
+    """An entry of the log: its sequence number, the view that it was proposed in, its kind and its encoded
+    body."""
+
     seq: int
     view: int
     kind: int
@@ -45,7 +50,7 @@
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """All that the entries up to `seq` led to."""
+    """The state after all entries up to `seq`, and the voters then."""
 
     seq: int
     view: int
@@ -53,11 +58,14 @@
     body: bytes
 
 
-# Messages. Each names the disk that sends it, and the view that its sender is in.
+# Messages. `sender` is the id of the sending replica, `view` the view that it is in.
 
 
 class VoteRequest(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """`pre_vote`: only asks whether a vote would be given. `transferred`: the leader named this candidate."""
+    """Asks for a vote.
+
+    `pre_vote`: only asks whether a vote would be granted. `transferred`: the leader named this candidate.
+    """
 
     view: int
     sender: str
@@ -68,6 +76,8 @@
 
 
 class VoteReply(msgspec.Struct, frozen=True, array_like=True, tag=2):
+    """Grants or refuses a vote, or a pre-vote."""
+
     view: int
     sender: str
     granted: bool
@@ -75,7 +85,7 @@
 
 
 class Append(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """From the leader: what follows the entry before, and up to where all is committed.
+    """From the leader: the entries after `before_seq`, and the commit index.
 
     `round` counts the leader's broadcasts in its view: a reply that echoes it was made after that broadcast.
     """
@@ -90,8 +100,11 @@
 
 
 class AppendReply(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """`seq`: up to where the sender's disk agrees with the leader's log; if not `accepted`, from where to try
-    again. `round`: the one of the `Append` that it answers, 0 for none; `ROUND_UNKNOWN` where it is not told."""
+    """Answers an `Append`.
+
+    `seq`: the sender's disk agrees with the leader's log up to here; if not `accepted`, the position to retry
+    from. `round`: that of the `Append`, 0 for none, `ROUND_UNKNOWN` if the sender's version does not send it.
+    """
 
     view: int
     sender: str
@@ -101,32 +114,32 @@
 
 
 class TransferLeadership(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """The leader leaves, and names the replica that is to follow it."""
+    """The leader gives up leadership, and asks the receiver to start an election."""
 
     view: int
     sender: str
 
 
 class JoinRequest(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """A disk without a vote asks to be kept up to date, and to vote when one more is needed."""
+    """A replica without a vote asks to be kept up to date, and to vote when another voter is needed."""
 
     member: Member
 
 
 class SnapshotPart(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """Bytes of an encoded `Snapshot`, from the leader to one that lacks entries which are no longer kept."""
+    """A part of an encoded `Snapshot`, for a replica that lacks entries which the leader no longer keeps."""
 
     view: int
     sender: str
     seq: int
-    checksum: int  # crc32 of all of it; with `seq` and `size` it tells one snapshot from another
+    checksum: int  # crc32 of the whole; identifies the snapshot, together with `seq` and `size`
     size: int
     offset: int
     data: bytes
 
 
 class SnapshotPartReply(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """`offset`: up to where the snapshot has come."""
+    """`offset`: number of bytes of the snapshot received so far."""
 
     view: int
     sender: str
@@ -135,14 +148,14 @@
 
 
 class LeaveRequest(msgspec.Struct, frozen=True, array_like=True, tag=10):
-    """A replica that is being stopped asks whether it may end."""
+    """A replica that is being stopped asks whether it may stop now."""
 
     view: int
     sender: str
 
 
 class LeaveReply(msgspec.Struct, frozen=True, array_like=True, tag=11):
-    """`safe`: all that is committed is on disk at a majority of those that stay."""
+    """`safe`: all that is committed is on disk at a majority of the replicas that stay."""
 
     view: int
     sender: str
@@ -168,41 +181,45 @@
 
 @frozen
 class Send:
+    """A message to send to another replica."""
+
     to: Member
     message: Message
 
 
 @frozen
 class Write:
-    """To be put on disk and synced, in the order given; `Replica.write_completed(number)` answers it."""
+    """Data to write to disk and sync, in the order given; then `Replica.write_completed(number)` must be
+    called."""
 
     number: int
     view: int
     vote: str
     commit: int
-    truncate_from: int | None = None  # entries from this seq on are taken out first
+    truncate_from: int | None = None  # entries from this seq on are deleted first
     entries: tuple[Entry, ...] = ()
-    snapshot: Snapshot | None = None  # takes the place of the one before
-    trim_below: int = 0  # entries below this seq are not needed any more
+    snapshot: Snapshot | None = None  # replaces the previous one
+    trim_below: int = 0  # with a snapshot, entries below this seq are deleted
 
 
 @frozen
 class Deliver:
-    """An entry that all replicas deliver, in this order."""
+    """A committed entry. All replicas deliver the same entries in the same order."""
 
     entry: Entry
 
 
 @frozen
 class Restore:
-    """All that was delivered until now is replaced by this."""
+    """Replaces the state built from all earlier deliveries."""
 
     snapshot: Snapshot
 
 
 @frozen
 class Settled:
-    """A proposal or a barrier is decided: `accepted`, or not known to be, by this replica's doing."""
+    """The result of a proposal or a barrier. If it is not `accepted`, a proposal may still be committed
+    later."""
 
     token: int
     accepted: bool
--- a/coralvale/cluster/consensus/replica.py
+++ b/coralvale/cluster/consensus/replica.py
@@ -1,25 +1,26 @@
-"""One replica of the ordered log of changes, without I/O.
-
-Sources: K. Birman, T. Joseph, "Exploiting virtual synchrony in distributed systems" (SOSP 1987), for views that
-stop, trim and go on; B. Liskov, J. Cowling, "Viewstamped Replication Revisited" (2012) and D. Ongaro,
-J. Ousterhout, "In search of an understandable consensus algorithm" (ATC 2014), for what is compared when a view
-ends, the pre-vote, joint majorities, and the read index.
-
-Invariants; each is a section of docs/design/control-state.md, with its test and its mutant:
-
-1. A view has at most one leader: a vote is on disk before it is sent, and majorities meet.
-2. What was delivered is in the log of every later leader: an entry is committed only when it is on disk at a
-   majority, and a vote is given only to a log that is at least as new.
-3. A disk that was lost is nobody's: a member's id is drawn with its disk, so a lost one can neither vote again
-   nor be counted; its machine comes back under a new id, and votes only after it holds all that is committed.
-4. While voters change, majorities of the old and of the new set are needed for all.
-5. A leader that hears no majority for `silence` steps down.
-6. An answer that depends on the newest state is given only behind a read barrier: a majority has answered a
-   broadcast that was sent after the question, in this view.
-7. A snapshot takes the place only of what it contains, whole and as it was sent; entries behind it stay, so
-   that one that lags by little needs none.
-8. A replica that leaves ends when all that is committed is on disk at a majority of those that stay, or when
-   its time is up.
+"""One replica of the replicated log, as a state machine without I/O.
+
+Sources: K. Birman, T. Joseph, "Exploiting virtual synchrony in distributed systems" (SOSP 1987), for view
+changes that stop, discard what is unfinished and go on; B. Liskov, J. Cowling, "Viewstamped Replication
+Revisited" (2012) and D. Ongaro, J. Ousterhout, "In search of an understandable consensus algorithm" (ATC
+2014), for the comparison of logs when a view ends, the pre-vote, joint majorities, and the read index.
+
+Invariants. Each has a section in docs/design/control-state.md, a test and a mutant:
+
+1. A view has at most one leader: a vote is written to disk before it is sent, and any two majorities overlap.
+2. What was delivered is in the log of every later leader: an entry is committed only once it is on disk at a
+   majority, and a vote is granted only to a candidate whose log is at least as new.
+3. The identity of a lost disk is never used again: a member's id is drawn with its disk, so a lost disk can
+   neither vote again nor be counted. Its machine comes back under a new id, and votes only once it holds all
+   that is committed.
+4. While the voters change, every decision needs majorities of both the old and the new set.
+5. A leader that hears from no majority for `Timing.quorum_timeout` steps down.
+6. An answer that depends on the newest state is given only after a read barrier: a majority has answered a
+   broadcast that was sent after the request, in this view.
+7. A snapshot replaces only what it contains, and is installed only if complete and as it was sent. Entries
+   behind it are kept, so that a replica that lags by little needs no snapshot.
+8. A replica that leaves stops once all that is committed is on disk at a majority of the replicas that stay,
+   or when its time is up.
 """
 
 from __future__ import annotations
@@ -56,7 +57,11 @@
 
 
 class Replica(Membership):
-    """`tick` is to be called at least every heartbeat; each call returns actions to carry out in order."""
+    """One member of the replicated log: elections, replication and changes of the voters.
+
+    The caller must call `tick` at least once per heartbeat interval, and carry out the actions that each call
+    returns, in order. `now` is always the time in seconds of a monotonic clock.
+    """
 
     def __init__(
         self, me: Member, durable: DurableState, timing: Timing, rng: random.Random, now: float
@@ -67,21 +72,27 @@
         self._begin_membership()
 
     def start(self, now: float) -> list[Action]:
-        """Delivers again what was delivered before this process began."""
+        """Restores the snapshot and delivers again the entries that were known to be committed at the last
+        stop."""
         if self.snapshot.seq or self.snapshot.voters.new:
             self.actions.append(Restore(self.snapshot))
         self._deliver()
         return self._take_actions()
 
     def bootstrap(self, now: float) -> list[Action]:
-        """The first replica of all: there is nobody else yet. To be called once in a system's life."""
+        """Starts a new cluster with this replica as its only voter. May be called only once in the life
+        of a system."""
         assert not self.bootstrapped and not self.last_seq and not self.view
         self.view, self.vote, self.leader, self.leading = 1, self.me.id, self.me.id, True
         self._append(now, VOTERS, encode_voters(VoterSet((self.me,))))
         return self._take_actions()
 
     def propose(self, now: float, token: int, kind: int, body: bytes) -> list[Action]:
-        """To be ordered; `Settled(token)` answers it, once."""
+        """Proposes an entry. Exactly one `Settled(token)` action tells whether it was committed.
+
+        It is refused at once if this replica is not the leader, if too many entries are in flight, or, for
+        the kinds CHANGE, SHARES and COORDINATION, if there are fewer voters than `Timing.min_voters`.
+        """
         too_few = kind in (CHANGE, SHARES, COORDINATION) and len(self.voters.new) < self.timing.min_voters
         if not self.leading or too_few or self.last_seq - self.commit >= MAX_IN_FLIGHT:
             self.actions.append(Settled(token, False))
@@ -91,7 +102,10 @@
         return self._take_actions()
 
     def barrier(self, now: float, token: int) -> list[Action]:
-        """`Settled(token, True)` says: what is delivered here by then is no older than this call."""
+        """Starts a read barrier.
+
+        `Settled(token, True)` means that the state delivered here by then is no older than this call.
+        """
         if not self.leading or not self.caught_up:
             self.actions.append(Settled(token, False))
         else:
@@ -99,14 +113,15 @@
         return self._take_actions()
 
     def leave(self, now: float) -> list[Action]:
-        """The process is being stopped: `may_end` turns true when that is safe."""
+        """Starts to leave, since the process is being stopped; `safe_to_stop` becomes true when that is
+        safe."""
         self.leaving = True
         self.leave_requested_at = -1e9
         self._leave_tick(now)
         return self._take_actions()
 
     def write_completed(self, now: float, number: int) -> list[Action]:
-        """A `Write` is on disk, and so are all before it."""
+        """Reports that the `Write` with this number, and all before it, are on disk."""
         self.written_number = max(self.written_number, number)
         while self.pending_sends and self.pending_sends[0][0] <= number:
             _, durable, sends = self.pending_sends.popleft()
@@ -119,12 +134,16 @@
         return self._take_actions()
 
     def save_snapshot(self, body: bytes) -> list[Action]:
-        """All that was delivered led to `body`: entries that are far behind need not be kept any more."""
+        """Takes a snapshot, if one is due, and trims the log.
+
+        `body`: the encoded state after all entries delivered so far.
+        """
         if self.due_for_snapshot():
             self._save_snapshot(body)
         return self._take_actions()
 
     def tick(self, now: float) -> list[Action]:
+        """Does what is due: heartbeats, elections, changes of voters, requests to leave."""
         if self.leading:
             self._leader_tick(now)
         else:
@@ -141,13 +160,17 @@
             return
         self._expire_requests(now)
         self._change_voters(now)
-        if self.last_seq - self.durable_seq > MAX_IN_FLIGHT:  # the own disk stands still
+        if self.last_seq - self.durable_seq > MAX_IN_FLIGHT:  # this replica's own disk makes no progress
             self._transfer_leadership(now)
         if self.leading and now >= self.heartbeat_at:
             self._broadcast(now)
 
     def receive(self, now: float, message: Message, ip: str, to: str = "") -> list[Action]:
-        """A message has come from an address. `to`: the disk that it is meant for; another may be here now."""
+        """Handles a message from the address `ip`.
+
+        `to`: id of the disk that the message is meant for, "" if not stated. A message for another disk than
+        the one that is at this address now is counted as stale and ignored.
+        """
         if to and to != self.me.id:
             self.stale_messages += 1
         elif isinstance(message, JoinRequest):
--- a/coralvale/cluster/consensus/replication.py
+++ b/coralvale/cluster/consensus/replication.py
@@ -1,4 +1,4 @@
-"""Replication: entries and snapshots from the leader to the others, what is committed, and the read barrier."""
+"""Replication: entries and snapshots from the leader to the others, commits, and the read barrier."""
 
 from __future__ import annotations
 
@@ -20,28 +20,29 @@
 from coralvale.cluster.consensus.snapshot import SnapshotDownload, SnapshotUpload
 from coralvale.cluster.consensus.state import Progress
 
-KEPT_ENTRIES = 512  # entries kept behind a snapshot: a replica that lags by less needs no snapshot
-KEPT_BYTES = 2 * 1024 * 1024  # of their bodies
-SNAPSHOT_EVERY_ENTRIES = 512  # entries
-SNAPSHOT_EVERY_BYTES = 4 * 1024 * 1024  # of entries' bodies: the disk has room for 64 MB
-MAX_KEPT_ENTRIES = 2048  # entries, for replicas that are getting a snapshot
-MAX_KEPT_BYTES = 8 * 1024 * 1024  # of their bodies
-MAX_BATCH_ENTRIES = 64  # entries in one message
-MAX_BATCH_BYTES = 256 * 1024  # of their bodies, unless one alone is larger
-MIN_LINK_BYTES_PER_S = 64 * 1024  # bytes a second of a link, below which a long entry may be sent twice
-MAX_IN_FLIGHT = 256  # entries proposed and not committed
-REMEMBERED_ROUNDS = 64  # broadcasts whose time is remembered
-NO_ROUND = 0  # a reply to something else than a broadcast
+KEPT_ENTRIES = 512  # kept behind a snapshot: a replica that lags by less needs no snapshot
+KEPT_BYTES = 2 * 1024 * 1024  # of the bodies of these entries
+SNAPSHOT_EVERY_ENTRIES = 512
+SNAPSHOT_EVERY_BYTES = 4 * 1024 * 1024  # of entry bodies: the disk has room for 64 MB
+MAX_KEPT_ENTRIES = 2048  # while replicas are receiving a snapshot
+MAX_KEPT_BYTES = 8 * 1024 * 1024  # of the bodies of these entries
+MAX_BATCH_ENTRIES = 64  # in one message
+MAX_BATCH_BYTES = 256 * 1024  # of entry bodies in one message, unless a single entry is larger
+MIN_LINK_BYTES_PER_S = 64 * 1024  # on a slower link a long entry may be sent twice
+MAX_IN_FLIGHT = 256  # entries proposed and not yet committed
+REMEMBERED_ROUNDS = 64  # broadcasts whose send time is remembered
+NO_ROUND = 0  # in a reply to anything but a broadcast
 
 
 class Replication(Elections):
-    """A follower's disk speaks through its replies; only what a majority's disks have is committed."""
+    """Log replication. Replies tell what a follower has on disk; what is on a majority's disks is
+    committed."""
 
     kept_entries = KEPT_ENTRIES
     snapshot_every = SNAPSHOT_EVERY_ENTRIES
-    round = 0  # broadcasts of this view's leader
-    read_rounds: deque[tuple[int, int]]  # barriers: the round that a majority has to answer, the token
-    round_times: deque[tuple[int, float]]
+    round = 0  # number of the leader's last broadcast
+    read_rounds: deque[tuple[int, int]]  # read barriers: the round that a majority must answer, the token
+    round_times: deque[tuple[int, float]]  # recent rounds and when they were sent
     download: SnapshotDownload
 
     def _begin_replication(self) -> None:
@@ -92,7 +93,7 @@
         self.actions.append(Send(member, append))
 
     def _batch(self, first: int) -> tuple[Entry, ...]:
-        """Entries from `first` on, bounded in number and bytes; at least one where there is any."""
+        """Entries from `first` on, bounded in number and bytes, but at least one if there is any."""
         found: list[Entry] = []
         size = 0
         for at in range(
@@ -141,8 +142,11 @@
             self._send_append(member, progress, progress.match_seq, ())
 
     def _record_round(self, now: float, progress: Progress, number: int) -> None:
-        """A reply was made after the broadcast that it echoes: contact counts from when that was sent, so that
-        old replies, read late by a process that stood still, prove nothing."""
+        """Notes which broadcast a reply answers.
+
+        Contact counts from the time when that broadcast was sent, so that old replies which a suspended
+        process reads late prove nothing.
+        """
         if number == ROUND_UNKNOWN:
             progress.contact_at = now
         elif number > progress.round:
@@ -151,7 +155,8 @@
             self._confirm_reads()
 
     def _advance_commit(self, now: float) -> None:
-        """What is on disk at a majority is committed; only an entry of this view tells of those before it."""
+        """Commits what is on disk at a majority. Entries of earlier views are committed only by one of this
+        view."""
         for seq in range(self.last_seq, self.commit, -1):
             if self._view_of(seq) != self.view:
                 return
@@ -167,12 +172,12 @@
                 return
 
     def _advance_voter_change(self, now: float) -> None:
-        """More is committed: a change of voters may have to go on."""
+        """Called when the commit index advances: a change of voters may have to proceed."""
 
     # The read barrier
 
     def _read_barrier(self, now: float, token: int) -> None:
-        """Settled once a majority has answered a broadcast that was sent after this call."""
+        """Starts a barrier that succeeds once a majority has answered a broadcast sent after this call."""
         self._broadcast(now)
         self.read_rounds.append((self.round, token))
         self._confirm_reads()
@@ -191,7 +196,7 @@
     def _handle_append(self, now: float, append: Append) -> None:
         at = self._view_of(append.before_seq)
         if append.before_seq < self.log_start:
-            # Its beginning is part of what was delivered here long ago.
+            # The append begins before this log, within what was delivered here earlier.
             self._answer_append(append, True, min(self.commit, self.durable_seq))
             return
         if at is None or at != append.before_view:
@@ -204,13 +209,16 @@
         if fresh or truncate_from is not None:
             self._write(self._append_reply(append, upto), truncate_from=truncate_from, entries=tuple(fresh))
         else:
-            # Of what is not on disk yet nothing is said; what is to be said of it waits with its write.
+            # Only entries on disk are acknowledged; the reply for the others waits for their write.
             self._answer_append(append, True, min(upto, self.durable_seq))
         if self.commit > before:
             self._deliver()
 
     def _merge_entries(self, entries: tuple[Entry, ...]) -> tuple[int | None, list[Entry]]:
-        """Takes what is new, and trims what the view before left unsettled: from where on, and the new ones."""
+        """Adds new entries, after removing uncommitted ones of an earlier view that conflict with them.
+
+        Returns where the removal began (None if nothing was removed) and the new entries.
+        """
         truncate_from: int | None = None
         fresh: list[Entry] = []
         for entry in entries:
@@ -265,7 +273,8 @@
             self._replicate_to(now, member, progress, heartbeat=False)
 
     def due_for_snapshot(self) -> bool:
-        """Whether `save` is to be called: so many entries were delivered since the last time."""
+        """Whether `save_snapshot` should be called: enough entries or bytes were delivered since the last
+        snapshot."""
         many = self.applied - self.snapshot.seq > self.snapshot_every
         large = self.applied_bytes > SNAPSHOT_EVERY_BYTES
         return (many or large) and self.applied == self.commit
@@ -280,7 +289,8 @@
         self._write([], snapshot=self.snapshot, trim_below=self.log_start)
 
     def _trim_start(self, seq: int, most: int, most_bytes: int) -> int:
-        """The entry behind which at most so many entries, of so many bytes, stand up to `seq`."""
+        """The entry after which at most `most` entries, with at most `most_bytes` of bodies, follow up to
+        `seq`."""
         size = 0
         for start in range(seq, max(self.log_start, seq - most), -1):
             size += len(self.entries[start - self.log_start - 1].body)
@@ -289,7 +299,7 @@
         return seq - most
 
     def _trim(self, start: int) -> None:
-        """Forgets entries up to `start`, and voter sets that the snapshot has."""
+        """Removes entries up to `start`, and voter sets that the snapshot contains."""
         while self.entries and self.entries[0].seq <= start:
             first = self.entries.popleft()
             self.log_start, self.log_start_view = first.seq, first.view
--- a/coralvale/cluster/consensus/state.py
+++ b/coralvale/cluster/consensus/state.py
@@ -1,4 +1,5 @@
-"""What every part of a replica shares: its log, its view, what is on disk, and the actions to be carried out."""
+"""State shared by all parts of a replica: its log, its view, what is on disk, and the actions to carry
+out."""
 
 from __future__ import annotations
 
@@ -29,28 +30,27 @@
 from coralvale.cluster.consensus.snapshot import SnapshotUpload
 from coralvale.cluster.consensus.voters import decode_voters
 
-MAX_KNOWN_SENDERS = 64  # senders without a vote whose address is kept, to answer them
+MAX_KNOWN_SENDERS = 64  # senders without a vote whose addresses are kept, to reply to them
 NO_VOTERS = VoterSet(())
 
 
 @frozen
 class Timing:
-    """Times in seconds."""
+    """Timeouts and intervals, in seconds, and the smallest number of voters."""
 
-    heartbeat_interval: float = 0.15  # between broadcasts of the leader
-    election_timeout: float = (
-        0.6  # without a message of the leader until a replica campaigns, to twice this by lot
-    )
-    quorum_timeout: float = 0.9  # without a majority's replies until a leader steps down
-    replace_after: float = 1.5  # without a reply until a voter's place may go to a learner
-    remove_spare_after: float = 4.0  # the same until a voter that the budget does not need is removed
-    resend_after: float = 0.4  # until what was not answered is sent again
-    min_voters: int = 3  # voters below which nothing is acknowledged: what the fault budget needs
+    heartbeat_interval: float = 0.15  # between the leader's broadcasts
+    # Without a message from the leader until a replica campaigns; drawn at random, up to twice this.
+    election_timeout: float = 0.6
+    quorum_timeout: float = 0.9  # without replies from a majority until a leader steps down
+    replace_after: float = 1.5  # without a reply until a learner may replace a voter
+    remove_spare_after: float = 4.0  # without a reply until a voter beyond `min_voters` is removed
+    resend_after: float = 0.4  # until unanswered entries are sent again
+    min_voters: int = 3  # fewer voters than the fault budget needs: nothing is acknowledged
 
 
 @define
 class DurableState:
-    """What is on disk when a replica starts. Entries may begin before the snapshot."""
+    """What is on disk when a replica starts. The entries may begin before the snapshot."""
 
     view: int = 0
     vote: str = ""
@@ -61,21 +61,21 @@
 
 @define
 class Progress:
-    """What the leader knows of another replica."""
-
-    next_seq: int  # the first entry to be sent
-    match_seq: int = 0  # up to where its disk agrees
-    last_reply_at: float = 0.0  # when its last reply came
-    contact_at: float = -1e9  # when the newest broadcast was sent that it has answered
-    round: int = 0  # of that broadcast
-    resend_at: float = 0.0  # when what is outstanding is taken for lost
-    in_flight_seq: int = 0  # up to where entries are sent and not answered; 0: none are
-    commit_sent: int = 0  # up to where it knows that all is committed
+    """What the leader knows about another replica."""
+
+    next_seq: int  # the first entry to send
+    match_seq: int = 0  # up to here its disk is known to agree with the leader's log
+    last_reply_at: float = 0.0  # time of its last reply
+    contact_at: float = -1e9  # send time of the newest broadcast that it has answered
+    round: int = 0  # number of that broadcast
+    resend_at: float = 0.0  # when entries in flight are considered lost
+    in_flight_seq: int = 0  # the last entry sent and not answered, 0 if there is none
+    commit_sent: int = 0  # the highest commit index that was sent to it
     upload: SnapshotUpload | None = None
 
 
 class ReplicaState(ABC):
-    """The log and the volatile state of one replica, with the helpers that all of its parts use."""
+    """The log and the volatile state of one replica, with helpers shared by its parts."""
 
     def __init__(
         self, me: Member, durable: DurableState, timing: Timing, rng: random.Random, now: float
@@ -86,26 +86,29 @@
         self._load_log(durable.entries)
         self.commit = max(self.snapshot.seq, min(durable.commit, self.last_seq))
         self.applied = self.snapshot.seq
-        self.applied_bytes = 0  # of the entries since the snapshot
-        self.leader = ""  # of this view, "" while there is none
+        self.applied_bytes = 0  # bytes of entry bodies applied since the snapshot
+        self.leader = ""  # id of this view's leader, "" while there is none
         self.leading = False
         self.leaving = False  # this process is being stopped
-        self.leader_heard_at = now  # the leader's last message
-        # One that starts asks soon: where there is a leader, a pre-vote does no harm.
+        self.leader_heard_at = now  # time of the last message from the leader
+        # The first wait after a start is short: if there is a leader, a pre-vote does no harm.
         self.election_wait = timing.election_timeout * (0.2 + 0.5 * rng.random())
-        self.known_senders: dict[str, Member] = {}  # without a vote, by what they sent
+        self.known_senders: dict[str, Member] = {}  # senders of recent messages, by id
         self.peers: dict[str, Progress] = {}
-        self.tokens: dict[int, int] = {}  # seq: token of what was proposed here in this view
+        self.tokens: dict[int, int] = {}  # token of each entry proposed here in this view, by seq
         self.durable_seq = self.last_seq
         self.write_number = self.written_number = 0
-        self.pending_sends: deque[tuple[int, int, list[Send]]] = (
-            deque()
-        )  # write, entries on disk by it, what it lets go
+        # For each unfinished write: its number, the last entry on disk after it, messages that wait for it.
+        self.pending_sends: deque[tuple[int, int, list[Send]]] = deque()
         self.actions: list[Action] = []
-        self.stale_messages = 0  # messages of an older view that were refused
+        self.stale_messages = 0  # messages refused because of an older view or a lost disk
 
     def _load_log(self, entries: list[Entry]) -> None:
-        """Where the log goes back behind the snapshot its first entry only tells the view before the second."""
+        """Sets up the log.
+
+        If the entries begin at or before the snapshot, the first one only gives the view that precedes the
+        second.
+        """
         self.entries = deque(entries)
         self.log_start, self.log_start_view = self.snapshot.seq, self.snapshot.view
         if entries and entries[0].seq <= self.snapshot.seq:
@@ -119,10 +122,11 @@
 
     @property
     def last_seq(self) -> int:
+        """Sequence number of the last entry of the log."""
         return self.entries[-1].seq if self.entries else self.log_start
 
     def _view_of(self, seq: int) -> int | None:
-        """The view of an entry, None where it is not known."""
+        """The view of an entry, None if it is not known."""
         if seq == self.log_start:
             return self.log_start_view
         at = seq - self.log_start - 1
@@ -130,7 +134,7 @@
 
     @property
     def voters(self) -> VoterSet:
-        """Of the newest entry that names them, whether it is committed or not."""
+        """The voters by the newest entry that sets them, whether that is committed or not."""
         return self.voter_log[-1][1] if self.voter_log else self.snapshot.voters
 
     def _voters_at(self, seq: int) -> VoterSet:
@@ -138,28 +142,36 @@
 
     @property
     def is_voter(self) -> bool:
+        """Whether this replica is in the old or the new set of voters."""
         return self.me.id in self.voters.all()
 
     @property
     def bootstrapped(self) -> bool:
+        """Whether this replica knows of any voters."""
         return bool(self.voters.new)
 
     @property
     def caught_up(self) -> bool:
-        """Whether this replica knows that it has delivered all that was committed when its view began."""
+        """Whether this replica knows that it has delivered everything that was committed when its view
+        began."""
         return bool(self.leader) and self._view_of(self.commit) == self.view
 
     def in_contact(self, now: float) -> bool:
-        """Whether this replica is, as far as it can know, on the side that goes on: a leader by broadcasts that
-        a majority answered, another by its leader's messages."""
+        """Whether this replica is, as far as it can know, on the majority side of a partition.
+
+        A leader judges by the broadcasts that a majority has answered, a follower by its leader's messages.
+        """
         if self.leading:
             heard = {i for i, p in self.peers.items() if now - p.contact_at < self.timing.quorum_timeout}
             return self.voters.majority(heard | {self.me.id})
         return bool(self.leader) and now - self.leader_heard_at < self.timing.election_timeout
 
     def needs_join(self, now: float) -> bool:
-        """Whether this disk has to ask to be kept up to date: it has no vote, or hears no leader, and may have
-        lost its vote while it was away. A leader passes over those that vote."""
+        """Whether this replica should send join requests.
+
+        It should if it has no vote, or hears no leader: it may have lost its vote while it was away. The
+        leader ignores join requests from voters.
+        """
         return not self.is_voter or (not self.leading and not self.in_contact(now))
 
     def _add_entry(self, entry: Entry) -> None:
@@ -168,7 +180,7 @@
             self.voter_log.append((entry.seq, decode_voters(entry.body)))
 
     def _truncate_from(self, seq: int) -> None:
-        """Takes entries out that a view before left unsettled."""
+        """Removes uncommitted entries of an earlier view, from `seq` on."""
         while self.entries and self.entries[-1].seq >= seq:
             self.entries.pop()
         while self.voter_log and self.voter_log[-1][0] >= seq:
@@ -179,7 +191,7 @@
         )
 
     def _install_snapshot(self, snapshot: Snapshot) -> None:
-        """All that is here gives way to a snapshot. On disk only what was committed is known to agree with it."""
+        """Replaces the whole log by a snapshot. Only committed entries on disk are known to agree with it."""
         self.durable_seq = min(self.durable_seq, self.commit)
         self.snapshot, self.entries = snapshot, deque()
         self.log_start, self.log_start_view = snapshot.seq, snapshot.view
@@ -215,7 +227,7 @@
         snapshot: Snapshot | None = None,
         trim_below: int = 0,
     ) -> None:
-        """`sends` wait until this, and all before it, is on disk."""
+        """Requests a write. `sends` go out once it, and all writes before it, are on disk."""
         self.write_number += 1
         self.actions.append(
             Write(
@@ -232,7 +244,7 @@
         self.pending_sends.append((self.write_number, self.last_seq, sends))
 
     def _append(self, now: float, kind: int, body: bytes = b"") -> None:
-        """By the leader: one entry more."""
+        """Appends an entry as the leader, and replicates it."""
         entry = Entry(self.last_seq + 1, self.view, kind, body)
         self._add_entry(entry)
         self._write([], entries=(entry,))
@@ -246,15 +258,16 @@
             self.actions.append(Send(member, message))
 
     def _other_replicas(self) -> dict[str, Member]:
-        """All that the leader keeps up to date."""
+        """All other replicas that the leader keeps up to date."""
         others = self.voters.all() | self._learners()
         others.pop(self.me.id, None)
         return others
 
     @abstractmethod
     def _replicate(self, now: float, heartbeat: bool = False) -> None:
-        """Sends to each other replica what it lacks; with `heartbeat` something to all of them."""
+        """Sends each other replica the entries that it lacks; with `heartbeat`, sends a message to all of
+        them."""
 
     @abstractmethod
     def _learners(self) -> dict[str, Member]:
-        """Disks without a vote that are kept up to date."""
+        """Replicas without a vote that are kept up to date, by id."""
--- a/coralvale/cluster/consensus/voters.py
+++ b/coralvale/cluster/consensus/voters.py
@@ -1,8 +1,8 @@
-"""Who votes: voter sets as bytes of an entry, and which set is to follow the one in force.
+"""The encoding of voter sets, and the choice of the next set of voters.
 
-The number of voters is odd at rest: an even one needs as large a majority as the next odd one, and bears no
-more losses. A disk beyond it is kept up to date as a learner, and takes the place of a voter that is lost or
-leaves.
+The number of voters is odd at rest: an even number needs as large a majority as the next odd number, and
+tolerates no more losses. A further replica is kept up to date as a learner, and replaces a voter that is lost
+or leaves.
 """
 
 from __future__ import annotations
@@ -19,20 +19,22 @@
 
 
 def encode_voters(voters: VoterSet) -> bytes:
+    """The body of a VOTERS entry."""
     return _encode(voters)
 
 
 def decode_voters(body: bytes) -> VoterSet:
+    """The voter set in the body of a VOTERS entry."""
     return _decode(body)
 
 
 @frozen
 class Limits:
-    """Times in seconds without a reply; `least`: voters that the fault budget needs."""
+    """Limits for changes of the voters. Times are seconds without a reply."""
 
-    min_voters: int
+    min_voters: int  # that the fault budget needs
     replace_after: float  # after which a learner may take a voter's place
-    remove_spare_after: float  # after which a voter beyond `least` is removed with nobody in its place
+    remove_spare_after: float  # after which a voter beyond `min_voters` is removed without a replacement
 
 
 def next_voters(
@@ -42,10 +44,11 @@
     leaving: Set[str],
     limits: Limits,
 ) -> tuple[Member, ...] | None:
-    """The set that is to follow `voters`, None if it is to stay.
+    """The set that should follow `voters`, None if it should stay.
 
-    `learners`: those that hold all that is committed; `silent`: seconds since a voter's last reply. Rules in
-    their order; each step is one joint configuration.
+    `learners`: those that hold all that is committed; `silent`: seconds since each voter's last reply;
+    `leaving`: ids of replicas that ask to leave. The first rule that applies decides; each step is one joint
+    configuration.
     """
     same = _same_machine(voters, learners)
     if same:
@@ -66,7 +69,8 @@
 
 
 def _same_machine(voters: Sequence[Member], learners: Sequence[Member]) -> tuple[Member, Member] | None:
-    """A voter at whose address another disk is now: its own is lost for good."""
+    """A voter whose address or name now belongs to a learner, and that learner: the voter's disk is lost for
+    good."""
     for learner in learners:
         for voter in voters:
             if voter.ip == learner.ip or voter.name == learner.name:
@@ -81,9 +85,12 @@
 def _without_spare(
     voters: Sequence[Member], silent: Mapping[str, float], leaving: Set[str], limits: Limits
 ) -> tuple[Member, ...] | None:
-    """A voter beyond the budget's need goes: of an even number the one that was silent for longest, which
-    becomes a learner if it is there; else one that leaves while the budget would not be borne without it, or
-    that was silent for long."""
+    """The voters without one that the fault budget does not need, None if all stay.
+
+    Of an even number, a voter that leaves is removed, else the one that was silent for longest; if it is
+    still running it becomes a learner. Of an odd number, a voter is removed if it leaves and the voters that
+    stay could not tolerate the losses of the fault budget, or if it was silent for `remove_spare_after`.
+    """
     if len(voters) % 2 == 0:
         quietest = max(voters, key=lambda m: (m.id in leaving, silent.get(m.id, 0.0)))
         return tuple(m for m in voters if m.id != quietest.id)
--- a/coralvale/cluster/storage/__init__.py
+++ b/coralvale/cluster/storage/__init__.py
@@ -1,1 +1,1 @@
-"""What stands on disk: the log of changes, the view, a snapshot."""
+"""Durable storage: the replicated log, the view with its vote, and the snapshot."""
--- a/coralvale/cluster/storage/keeper.py
+++ b/coralvale/cluster/storage/keeper.py
@@ -1,4 +1,5 @@
-"""Offline operations on a gateway's database while its process is stopped: inspect, check, export, restore."""
+"""Offline operations on a gateway's database while its process is stopped: inspect, check, export,
+restore."""
 
 from __future__ import annotations
 
@@ -28,9 +29,10 @@
 from coralvale.cluster.rate_limit.shares import ShareTable
 from coralvale.cluster.storage.store import DATABASE_FILE, Store, StoreError
 
-EXPORT_FORMAT = 1  # of an export
-VIEW_SKIP = 1000  # views by which a restored core is ahead of the one that was lost
-COUNTER_SKIP = 2**32  # fences, numbers and revisions: more than the lost one can have given since the export
+EXPORT_FORMAT = 1
+VIEW_SKIP = 1000  # added to the exported view, so that a restored core is ahead of the lost one
+# Added to fences, counters and revisions: more than the lost core can have given out since the export.
+COUNTER_SKIP = 2**32
 ENTRY_KIND_NAMES = {
     NO_OP: "opening",
     CHANGE: "change",
@@ -43,7 +45,7 @@
 
 
 class DiskStateError(Exception):
-    """Cannot be done; one line that names the place."""
+    """The operation is not possible; the message is one line that names the file or field."""
 
 
 def _open(folder: Path) -> Store:
@@ -56,7 +58,8 @@
 
 
 def inspect_state(folder: Path) -> dict[str, Any]:
-    """All that a disk holds, in words. Raises DiskStateError where it cannot be read."""
+    """The contents of a gateway's database, as a dictionary for JSON. Raises DiskStateError if it cannot be
+    read."""
     store = _open(folder)
     try:
         state = store.load()
@@ -110,7 +113,7 @@
 
 
 def export(folder: Path) -> dict[str, Any]:
-    """What `restore` takes: the newest configuration that this disk knows to be delivered."""
+    """The input for `restore`: the newest state that this disk knows to be committed."""
     found = inspect_state(folder)
     return {"format": EXPORT_FORMAT} | {
         name: found[name] for name in ("disk", "view", "delivered", "version", "image")
@@ -118,8 +121,11 @@
 
 
 def _image_for_restore(body: bytes) -> bytes:
-    """The image for a core that begins with it: what the lost one may have given since is left out. Raises
-    ValueError or msgspec.MsgspecError where it cannot be used."""
+    """The image for a new core, with fences, counters and revisions that the lost core may have given out
+    skipped.
+
+    Raises ValueError or msgspec.MsgspecError if the image cannot be used.
+    """
     msgspec.msgpack.decode(body, type=Image)
     history, coordination = ChangeHistory(), CoordinationState()
     image = history.restore(body)
@@ -129,9 +135,9 @@
 
 
 def restore(kept: dict[str, Any], folder: Path, hostname: str, ip: str) -> str:
-    """Makes an empty disk the only member of a new core that begins with an export; its id.
+    """Makes an empty disk the only member of a new core that starts from an export; returns the disk's id.
 
-    For a loss beyond the budget only: members of the old core that are still there would not know of it.
+    Only for losses beyond the fault budget: surviving members of the old core would not know of the new one.
     """
     if kept.get("format") != EXPORT_FORMAT:
         raise DiskStateError(f"format: {kept.get('format')!r}, expected {EXPORT_FORMAT}")
--- a/coralvale/cluster/storage/store.py
+++ b/coralvale/cluster/storage/store.py
@@ -1,10 +1,14 @@
-"""The disk of one member: a sqlite database in write-ahead mode, synced at every write.
+"""Durable state of one member: a sqlite database in WAL mode, synced at every write.
 
-Three tables. `host`: the register of hosts as it was lately, so that after the loss of all processes hosts
-are known before their next beats. `entry`: the order's entries that are kept one by one. `fact`: the disk's
-id, the layout's number, the view with the vote in it, up to where all is delivered, and the snapshot that
-takes the place of older entries. A `Write` is one transaction: it is there whole, or not at all, whatever is
-lost with the power.
+It has three tables:
+
+- `host`: a recent copy of the host register, so that after the loss of all processes hosts are known before
+  their next heartbeats;
+- `entry`: the entries of the replicated log;
+- `fact`: the id of the disk, the layout number, the view and the vote in it, the commit index, and the
+  snapshot that replaces older entries.
+
+A `Write` is applied within one transaction: after a loss of power it is there as a whole or not at all.
 """
 
 from __future__ import annotations
@@ -20,23 +24,24 @@
 from coralvale.cluster.registry.register import Row
 
 DATABASE_FILE = "orchard.sqlite"
-# Of the tables; a newer program reads older ones, and refuses what is newer than itself. 2: entries may begin
-# before the snapshot. 3: entries, and the snapshot, hold the table of shares. 4: and locks, numbers and keys.
+# Number of the tables' layout. Older layouts are read, layouts newer than this program are refused.
+# 2: entries may begin before the snapshot. 3: entries and the snapshot contain the table of quota shares.
+# 4: entries and the snapshot also contain locks, counters and keys.
 LAYOUT_VERSION = 4
 _row = msgspec.msgpack.Decoder(Row).decode
 _snapshot = msgspec.msgpack.Decoder(Snapshot).decode
 
 
 class StoreError(OSError):
-    """The disk's contents cannot be used; the message names the file."""
+    """The contents of the disk cannot be used; the message names the file."""
 
 
 class DamagedStoreError(StoreError):
-    """It is no database of ours, or what it holds does not hang together: as good as lost."""
+    """The file is not a database of this program, or its contents are inconsistent: it is treated as lost."""
 
 
 def set_aside(folder: str) -> str:
-    """Takes a damaged database out of the way, for later analysis; returns its new name."""
+    """Renames a damaged database, so that it is kept for analysis; returns its new name."""
     path = Path(folder) / DATABASE_FILE
     number = 1 + len(list(path.parent.glob(f"{DATABASE_FILE}.refused-*")))
     aside = path.with_name(f"{DATABASE_FILE}.refused-{number}")
@@ -47,8 +52,11 @@
 
 
 class Store:
-    """Opens the database, or makes it. Raises StoreError if it is there and is not ours, OSError
-    otherwise."""
+    """The database of one member; opening creates it if it does not exist.
+
+    Raises StoreError if the file is damaged or of a newer layout, sqlite3.OperationalError or OSError if it
+    cannot be opened at the moment.
+    """
 
     def __init__(self, folder: str) -> None:
         self.path = Path(folder) / DATABASE_FILE
@@ -57,13 +65,13 @@
             self.db = self._open()
             self.id = self._prepare()
         except sqlite3.OperationalError:
-            raise  # of the disk, and it may pass
+            raise  # a fault of the disk, which may be temporary
         except sqlite3.DatabaseError as error:
             raise DamagedStoreError(f"{self.path}: {error}") from error
 
     def _open(self) -> sqlite3.Connection:
         db = sqlite3.connect(self.path, isolation_level=None, check_same_thread=False, timeout=1.0)
-        db.execute("PRAGMA locking_mode=EXCLUSIVE")  # no file of shared memory is needed then
+        db.execute("PRAGMA locking_mode=EXCLUSIVE")  # avoids the shared-memory file
         db.execute("PRAGMA journal_mode=WAL")
         db.execute("PRAGMA synchronous=FULL")
         db.execute("PRAGMA wal_autocheckpoint=200")
@@ -82,9 +90,8 @@
             self._set_fact("layout", LAYOUT_VERSION)
         elif int(str(layout)) > LAYOUT_VERSION:
             raise StoreError(f"{self.path}: layout {layout}, this program knows up to {LAYOUT_VERSION}")
-        elif (
-            int(str(layout)) < LAYOUT_VERSION
-        ):  # what is there is read as it is; the version before refuses it from now on
+        elif int(str(layout)) < LAYOUT_VERSION:
+            # Older data needs no conversion; older versions of the program refuse the file from now on.
             self._set_fact("layout", LAYOUT_VERSION)
         name = self._get_fact("id")
         if name is None:
@@ -111,8 +118,8 @@
     def load(self) -> DurableState:
         """Reads the stored state.
 
-        Raises DamagedStoreError if the contents are not what was written, sqlite3.OperationalError if the disk
-        cannot be read at the moment.
+        Raises DamagedStoreError if the contents are not what was written, sqlite3.OperationalError if the
+        disk cannot be read at the moment.
         """
         try:
             saved = self._get_fact("saved")
@@ -125,21 +132,22 @@
                 [Entry(*row) for row in rows],
             )
         except sqlite3.OperationalError:
-            raise  # of the disk, and it may pass
+            raise  # a fault of the disk, which may be temporary
         except (sqlite3.DatabaseError, msgspec.MsgspecError) as error:
             raise DamagedStoreError(f"{self.path}: {error}") from error
         self._check(state)
         return state
 
     def _check(self, state: DurableState) -> None:
-        """Raises DamagedStoreError if entries are missing within the log, or between the snapshot and the log."""
+        """Raises DamagedStoreError if entries are missing within the log, or between the snapshot and the
+        log."""
         following = (state.snapshot.seq if state.snapshot else 0) + 1
         first = min(following, state.entries[0].seq) if state.entries else following
         if [e.seq for e in state.entries] != list(range(first, first + len(state.entries))):
             raise DamagedStoreError(f"{self.path}: entries are missing between {first} and the last")
 
     def write(self, writes: list[Write]) -> None:
-        """All of them in one transaction, synced. Raises sqlite3.Error if it is not there then."""
+        """Applies all writes in one synced transaction. Raises sqlite3.Error if it was not committed."""
         db = self.db
         if db.in_transaction:
             db.execute("ROLLBACK")
@@ -167,7 +175,7 @@
             self._set_fact(name, value)
 
     def load_hosts(self) -> list[Row]:
-        """The register as it was last put here: a help at the start, nothing that must be right."""
+        """The hosts of the last `save_hosts`, none if they cannot be read: they only help at the start."""
         try:
             found = self.db.execute("SELECT row FROM host").fetchall()
             return [_row(row) for (row,) in found]
@@ -175,7 +183,7 @@
             return []
 
     def save_hosts(self, rows: list[Row]) -> None:
-        """All that are known, in place of those put here before. Raises sqlite3.Error."""
+        """Replaces the stored hosts by `rows`. Raises sqlite3.Error."""
         db = self.db
         if db.in_transaction:
             db.execute("ROLLBACK")
@@ -185,4 +193,5 @@
         db.execute("COMMIT")
 
     def close(self) -> None:
+        """Closes the database."""
         self.db.close()
--- a/coralvale/disk.py
+++ b/coralvale/disk.py
@@ -1,10 +1,12 @@
-"""Files of a folder that one process has, and records in them that carry their own check.
+"""Access to a folder that one process locks, and checksummed records within its files.
+
+Layout of a record:
 
   record   MARK, length (4 bytes, little-endian), CRC-32 of length and payload (4), payload
 
-A damaged record is skipped up to the next position at which a whole one begins: MARK finds candidates, length and
-checksum decide. Files are always an argument of what decides (the journal of attempts, the spool), so that a test
-can put a faulty folder in their place.
+A damaged record is skipped up to the next position at which a valid one begins: MARK finds candidates, length
+and checksum decide. The code that uses files (the journal of attempts, the spool) takes the folder as an
+argument, so that a test can pass a faulty one.
 """
 
 from __future__ import annotations
@@ -22,17 +24,20 @@
 
 
 class FolderInUseError(OSError):
-    """Another process has this folder."""
+    """Another process has locked this folder."""
 
 
 def encode_record(payload: bytes) -> bytes:
-    """A record that holds a payload."""
+    """A record with this payload."""
     length = LENGTH.pack(len(payload))
     return HEADER.pack(MARK, len(payload), zlib.crc32(payload, zlib.crc32(length))) + payload
 
 
 def read_record(data: bytes, offset: int, max_length: int) -> tuple[bytes, int] | None:
-    """The payload of the whole record that begins at `offset`, and where it ends; None if none does."""
+    """The payload of the valid record at `offset`, and the offset of its end; None if there is none.
+
+    `max_length`: bytes of the longest payload that is accepted.
+    """
     if len(data) - offset < HEADER.size:
         return None
     mark, length, check = HEADER.unpack_from(data, offset)
@@ -44,7 +49,7 @@
 
 
 def find_record(data: bytes, offset: int, max_length: int) -> int:
-    """Where the next whole record behind `offset` begins; -1 if none does."""
+    """Offset of the next valid record after `offset`, -1 if there is none."""
     after = offset + 1
     while (after := data.find(MARK, after)) >= 0 and read_record(data, after, max_length) is None:
         after += 1
@@ -52,7 +57,7 @@
 
 
 class AppendFile:
-    """A file that is appended to."""
+    """A new file, opened for appending."""
 
     def __init__(self, path: str) -> None:
         self.fd = os.open(path, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
@@ -72,7 +77,7 @@
 
 
 class AppendableFile(Protocol):
-    """What `AppendFile` does, for folders of tests."""
+    """The interface of `AppendFile`, also implemented by test doubles."""
 
     def write(self, data: bytes) -> None: ...
 
@@ -82,7 +87,7 @@
 
 
 class Files(Protocol):
-    """What `Folder` does, for folders of tests. Every call may raise OSError."""
+    """The interface of `Folder`, also implemented by test doubles. Every call may raise OSError."""
 
     def names(self) -> list[str]: ...
 
@@ -102,9 +107,9 @@
 
 
 class Folder:
-    """A directory; with `lock` no other process may have it, until `close`.
+    """A directory; with `lock`, other processes are excluded until `close`.
 
-    Raises FolderInUseError if another process has it, OSError if it cannot be made.
+    Raises FolderInUseError if another process has locked it, OSError if it cannot be created.
     """
 
     def __init__(self, path: str, lock: bool = True) -> None:
@@ -141,7 +146,7 @@
         return AppendFile(str(self.path / name))
 
     def replace(self, name: str, data: bytes) -> None:
-        """A small file's new contents, all or nothing."""
+        """Replaces the contents of a small file atomically."""
         opened = AppendFile(str(self.path / f"{name}.new"))
         try:
             opened.write(data)
@@ -150,6 +155,7 @@
         os.replace(self.path / f"{name}.new", self.path / name)
 
     def rename(self, name: str, new: str) -> None:
+        """Renames a file, and syncs the directory."""
         os.replace(self.path / name, self.path / new)
         fd = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY)
         try:
