--- a/coralvale/cluster/consensus/election.py
+++ b/coralvale/cluster/consensus/election.py
@@ -130,13 +130,13 @@
     def _transfer_leadership(self, now: float) -> None:
         """Hands leadership to the reachable voter that has the most entries on disk."""
         voters = self.voters.all()
-        there = [
+        reachable = [
             (p.match_seq, i)
             for i, p in self.peers.items()
             if i in voters and now - p.last_reply_at < self.timing.quorum_timeout and not self._is_leaving(i)
         ]
-        if there:
-            self.actions.append(Send(voters[max(there)[1]], TransferLeadership(self.view, self.me.id)))
+        if reachable:
+            self.actions.append(Send(voters[max(reachable)[1]], TransferLeadership(self.view, self.me.id)))
 
     def _is_leaving(self, name: str) -> bool:
         return False
--- a/coralvale/cluster/consensus/membership.py
+++ b/coralvale/cluster/consensus/membership.py
@@ -147,11 +147,11 @@
         """Whether all that is committed is on disk at a majority of the voters that stay."""
         if self._voters_changing():
             return False
-        stay = [m.id for m in self.voters.new if m.id not in self.departing]
-        has = {i for i, p in self.peers.items() if p.match_seq >= self.commit}
+        remaining = [m.id for m in self.voters.new if m.id not in self.departing]
+        holders = {i for i, p in self.peers.items() if p.match_seq >= self.commit}
         if self.durable_seq >= self.commit:
-            has.add(self.me.id)
-        return 2 * sum(i in has for i in stay) > len(stay)
+            holders.add(self.me.id)
+        return 2 * sum(i in holders for i in remaining) > len(remaining)
 
     def _handle_leave_reply(self, reply: LeaveReply) -> None:
         if self.leaving and reply.view == self.view:
--- a/coralvale/cluster/consensus/replica.py
+++ b/coralvale/cluster/consensus/replica.py
@@ -152,10 +152,10 @@
         return self._take_actions()
 
     def _leader_tick(self, now: float) -> None:
-        heard = {i for i, p in self.peers.items() if now - p.last_reply_at < self.timing.quorum_timeout} | {
-            self.me.id
-        }
-        if not self.voters.majority(heard):
+        responsive = {
+            i for i, p in self.peers.items() if now - p.last_reply_at < self.timing.quorum_timeout
+        } | {self.me.id}
+        if not self.voters.majority(responsive):
             self._step_down(now)
             return
         self._expire_requests(now)
--- a/coralvale/cluster/consensus/replication.py
+++ b/coralvale/cluster/consensus/replication.py
@@ -74,8 +74,8 @@
                 self._send_append(member, progress, self.log_start, ())
             return
         progress.upload = None
-        free = not progress.in_flight_seq or now >= progress.resend_at
-        entries = self._batch(progress.next_seq) if free else ()
+        may_send = not progress.in_flight_seq or now >= progress.resend_at
+        entries = self._batch(progress.next_seq) if may_send else ()
         if not entries and not heartbeat:
             return
         self._send_append(member, progress, progress.next_seq - 1, entries)
@@ -94,17 +94,17 @@
 
     def _batch(self, first: int) -> tuple[Entry, ...]:
         """Entries from `first` on, bounded in number and bytes, but at least one if there is any."""
-        found: list[Entry] = []
+        batch: list[Entry] = []
         size = 0
-        for at in range(
+        for index in range(
             first - self.log_start - 1, min(first - self.log_start - 1 + MAX_BATCH_ENTRIES, len(self.entries))
         ):
-            entry = self.entries[at]
+            entry = self.entries[index]
             size += len(entry.body)
-            if found and size > MAX_BATCH_BYTES:
+            if batch and size > MAX_BATCH_BYTES:
                 break
-            found.append(entry)
-        return tuple(found)
+            batch.append(entry)
+        return tuple(batch)
 
     def _send_snapshot_part(self, now: float, member: Member, progress: Progress) -> None:
         if progress.upload is None or progress.upload.seq < self.log_start:
@@ -160,10 +160,10 @@
         for seq in range(self.last_seq, self.commit, -1):
             if self._view_of(seq) != self.view:
                 return
-            has = {i for i, p in self.peers.items() if p.match_seq >= seq}
+            holders = {i for i, p in self.peers.items() if p.match_seq >= seq}
             if self.durable_seq >= seq:
-                has.add(self.me.id)
-            if self.voters.majority(has):
+                holders.add(self.me.id)
+            if self.voters.majority(holders):
                 self.commit = seq
                 self._deliver()
                 self._advance_voter_change(now)
@@ -194,23 +194,25 @@
     # A follower
 
     def _handle_append(self, now: float, append: Append) -> None:
-        at = self._view_of(append.before_seq)
+        own_view = self._view_of(append.before_seq)
         if append.before_seq < self.log_start:
             # The append begins before this log, within what was delivered here earlier.
             self._answer_append(append, True, min(self.commit, self.durable_seq))
             return
-        if at is None or at != append.before_view:
-            hint = min(self.last_seq, append.before_seq - 1) if at is None else self.commit
+        if own_view is None or own_view != append.before_view:
+            hint = min(self.last_seq, append.before_seq - 1) if own_view is None else self.commit
             self._answer_append(append, False, hint)
             return
         truncate_from, fresh = self._merge_entries(append.entries)
-        upto = append.before_seq + len(append.entries)
-        self.commit, before = max(self.commit, min(append.commit, upto)), self.commit
+        last_seq = append.before_seq + len(append.entries)
+        self.commit, before = max(self.commit, min(append.commit, last_seq)), self.commit
         if fresh or truncate_from is not None:
-            self._write(self._append_reply(append, upto), truncate_from=truncate_from, entries=tuple(fresh))
+            self._write(
+                self._append_reply(append, last_seq), truncate_from=truncate_from, entries=tuple(fresh)
+            )
         else:
             # Only entries on disk are acknowledged; the reply for the others waits for their write.
-            self._answer_append(append, True, min(upto, self.durable_seq))
+            self._answer_append(append, True, min(last_seq, self.durable_seq))
         if self.commit > before:
             self._deliver()
 
@@ -222,10 +224,10 @@
         truncate_from: int | None = None
         fresh: list[Entry] = []
         for entry in entries:
-            mine = self._view_of(entry.seq)
-            if not fresh and (mine == entry.view or entry.seq <= self.commit):
+            own_view = self._view_of(entry.seq)
+            if not fresh and (own_view == entry.view or entry.seq <= self.commit):
                 continue
-            if mine is not None and not fresh:
+            if own_view is not None and not fresh:
                 truncate_from = entry.seq
                 self._truncate_from(entry.seq)
             fresh.append(entry)
@@ -283,8 +285,8 @@
         seq = self.applied
         self.applied_bytes = 0
         self.snapshot = Snapshot(seq, self._view_of(seq) or 0, self._voters_at(seq), body)
-        wanted = [p.upload.seq for p in self.peers.values() if p.upload]
-        start = min([self._trim_start(seq, self.kept_entries, KEPT_BYTES), *wanted])
+        upload_seqs = [p.upload.seq for p in self.peers.values() if p.upload]
+        start = min([self._trim_start(seq, self.kept_entries, KEPT_BYTES), *upload_seqs])
         self._trim(max(start, self._trim_start(seq, MAX_KEPT_ENTRIES, MAX_KEPT_BYTES)))
         self._write([], snapshot=self.snapshot, trim_below=self.log_start)
 
--- a/coralvale/cluster/consensus/state.py
+++ b/coralvale/cluster/consensus/state.py
@@ -45,7 +45,7 @@
     replace_after: float = 1.5  # without a reply until a learner may replace a voter
     remove_spare_after: float = 4.0  # without a reply until a voter beyond `min_voters` is removed
     resend_after: float = 0.4  # until unanswered entries are sent again
-    min_voters: int = 3  # fewer voters than the fault budget needs: nothing is acknowledged
+    min_voters: int = 3  # with fewer, nothing is acknowledged: the fault budget needs them
 
 
 @define
@@ -129,8 +129,8 @@
         """The view of an entry, None if it is not known."""
         if seq == self.log_start:
             return self.log_start_view
-        at = seq - self.log_start - 1
-        return self.entries[at].view if 0 <= at < len(self.entries) else None
+        index = seq - self.log_start - 1
+        return self.entries[index].view if 0 <= index < len(self.entries) else None
 
     @property
     def voters(self) -> VoterSet:
@@ -162,8 +162,8 @@
         A leader judges by the broadcasts that a majority has answered, a follower by its leader's messages.
         """
         if self.leading:
-            heard = {i for i, p in self.peers.items() if now - p.contact_at < self.timing.quorum_timeout}
-            return self.voters.majority(heard | {self.me.id})
+            responsive = {i for i, p in self.peers.items() if now - p.contact_at < self.timing.quorum_timeout}
+            return self.voters.majority(responsive | {self.me.id})
         return bool(self.leader) and now - self.leader_heard_at < self.timing.election_timeout
 
     def needs_join(self, now: float) -> bool:
--- a/tests/cluster/consensus_world.py
+++ b/tests/cluster/consensus_world.py
@@ -1,9 +1,8 @@
-"""Replicas on a virtual clock: their disks, the messages between them, operators, and what befalls them all.
+"""A simulation of replicas on a virtual clock: their disks, the messages between them, operators, and faults.
 
-A schedule is data from a seed. Operators send orders and readings to any replica, again and again until they get
-a clear answer, as PROTOCOL has it; the real `OrderDesk` and `ChangeHistory` stand behind each replica. After
-each step the invariants are checked by an observer that sees what was delivered and what was answered, nothing
-else.
+The schedule follows from a seed. Operators send orders and reads to any replica and retry until they get a
+clear answer, as the protocol requires. Each replica has a real `OrderDesk` and `ChangeHistory`. After each
+step the invariants are checked only against what was delivered and what was answered.
 """
 
 from __future__ import annotations
@@ -23,23 +22,23 @@
 from coralvale.cluster.orders import OrderAnswer, OrderDesk
 
 TIMING = Timing()
-PATIENCE = 0.9  # s for one answer
+ANSWER_TIMEOUT_S = 0.9  # for one answer
 OPERATORS = 3
-CALLS = 3  # of one operator, under way at once
+CALLS = 3  # of one operator, in flight at once
 
 
-class Broken(AssertionError):
+class InvariantViolation(AssertionError):
     """An invariant does not hold."""
 
 
 @define(eq=False)
 class Disk:
-    """What is synced; a write that is under way when the power goes is lost."""
+    """The synced data; a write that is in progress when power is lost is lost."""
 
     id: str
     state: DurableState = field(factory=DurableState)
 
-    def put(self, write: m.Write) -> None:
+    def apply(self, write: m.Write) -> None:
         s = self.state
         if write.truncate_from is not None:
             s.entries = [e for e in s.entries if e.seq < write.truncate_from]
@@ -57,7 +56,7 @@
 
 
 def history_on(disk: Disk) -> ChangeHistory:
-    """What all entries on a disk lead to, committed or not."""
+    """The history after all entries on a disk, committed or not."""
     state, history = disk.read(), ChangeHistory()
     if state.snapshot:
         history.restore(state.snapshot.body)
@@ -68,8 +67,8 @@
 
 
 @define(eq=False)
-class Place:
-    """A machine: its process, if one runs, its disk, its link."""
+class Machine:
+    """A machine: its process, if one runs, its disk and its link."""
 
     ip: str
     disk: Disk
@@ -78,9 +77,9 @@
     history: ChangeHistory = field(factory=ChangeHistory)
     life: int = 0
     busy_until: float = 0.0  # of the disk
-    full_until: float = 0.0  # it takes no write
-    frozen_until: float = 0.0  # its process stands still; what comes meanwhile is read afterwards
-    link: float = 0.0  # bytes a second that it can take, 0 for any number
+    full_until: float = 0.0  # it takes no writes until then
+    frozen_until: float = 0.0  # its process is suspended; messages are read afterwards
+    link: float = 0.0  # bytes per second, 0 for no limit
     link_until: float = 0.0
     pending: deque[m.Action | OrderAnswer] = field(factory=deque)
     acting: bool = False
@@ -88,208 +87,218 @@
 
 @define(eq=False)
 class Call:
-    """An order, or (change None) a reading, until it has a clear answer."""
+    """One call by an operator: an order, or a read if `change` is None."""
 
     change: Change | None
     begun: float
-    least: int  # the newest version that was acknowledged before it began
-    answered: Callable[[OrderAnswer], None]
+    min_version: int  # newest version acknowledged before the call
+    on_answer: Callable[[OrderAnswer], None]
 
 
-def size_of(message: m.Message) -> int:
-    """Bytes, about."""
+def message_size(message: m.Message) -> int:
+    """The approximate size of a message in bytes."""
     if isinstance(message, m.Append):
         return 60 + sum(len(e.body) + 20 for e in message.entries)
     return 60 + (len(message.data) if isinstance(message, m.SnapshotPart) else 0)
 
 
 class World:
-    def __init__(self, seed: int, members: int, kind: Callable[..., Replica] = Replica, **more: Any) -> None:
-        """`more`: `desk`, the class of the order desks; `keeps_ids`: a disk that was lost has its id again."""
+    def __init__(
+        self, seed: int, members: int, replica_class: Callable[..., Replica] = Replica, **more: Any
+    ) -> None:
+        """`more`: `desk`: class of the order desks; `keeps_ids`: a lost disk comes back under the same id."""
         self.env, self.chance = simpy.Environment(), random.Random(seed)
-        # Of every second world the log is short, so that snapshots are made and brought.
+        # In every second world the log is short, so that snapshots are taken and transferred.
         short = {"snapshot_every": 12, "kept_entries": 4} if seed % 2 else {}
-        self.kind = type(kind.__name__, (kind,), short) if isinstance(kind, type) else kind
+        self.replica_class = (
+            type(replica_class.__name__, (replica_class,), short)
+            if isinstance(replica_class, type)
+            else replica_class
+        )
         self.keeps_ids: bool = more.get("keeps_ids", False)
-        self.desk_kind: type[OrderDesk] = more.get("desk", OrderDesk)
-        self.places: dict[str, Place] = {}
-        self.cut: set[tuple[str, str]] = set()  # from, to
+        self.desk_class: type[OrderDesk] = more.get("desk", OrderDesk)
+        self.machines: dict[str, Machine] = {}
+        self.blocked_links: set[tuple[str, str]] = set()  # from, to
         self.delivered: dict[int, m.Entry] = {}
-        self.effective: dict[int, bytes] = {}  # version: digest of the change that led to it
-        self.bases: dict[int, int] = {}  # base: version of the change that was taken on it
+        self.effective: dict[int, bytes] = {}  # digest of the change that led to each version
+        self.bases: dict[int, int] = {}  # by base, the version of the change accepted on it
         self.acknowledged: dict[bytes, Change] = {}
-        self.newest = self.acked = 0  # versions: delivered anywhere; acknowledged
-        self.moved_at = 0.0  # when `newest` rose last
+        self.newest_version = self.newest_acknowledged = 0  # delivered anywhere; acknowledged
+        self.newest_changed_at = 0.0  # when `newest_version` last increased
         self.leaders: dict[int, str] = {}
         self.calls: dict[int, Call] = {}
         self.tokens = self.disks = self.steps = self.reads = self.refusals = self.repeats = 0
         for n in range(members):
             self.add(f"10.0.0.{n}")
-        first = self.places["10.0.0.0"]
+        first = self.machines["10.0.0.0"]
         assert first.replica
         self.act(first, first.replica.bootstrap(0.0))
 
     # Machines
 
-    def add(self, ip: str) -> Place:
-        place = self.places[ip] = Place(ip, self.new_disk())
-        self.start(place)
-        return place
+    def add(self, ip: str) -> Machine:
+        machine = self.machines[ip] = Machine(ip, self.new_disk())
+        self.start(machine)
+        return machine
 
     def new_disk(self) -> Disk:
         self.disks += 1
         return Disk(f"disk-{self.disks}")
 
-    def start(self, place: Place) -> None:
-        place.life += 1
-        me = m.Member(place.disk.id, f"n-{place.ip}", place.ip)
+    def start(self, machine: Machine) -> None:
+        machine.life += 1
+        me = m.Member(machine.disk.id, f"n-{machine.ip}", machine.ip)
         chance = random.Random(self.chance.random())
-        place.replica = self.kind(me, place.disk.read(), TIMING, chance, self.env.now)
-        place.history = ChangeHistory()
-        place.desk = self.desk_kind(place.replica, place.history)
-        place.pending.clear()
-        place.busy_until, place.frozen_until = self.env.now, 0.0
-        self.act(place, place.replica.start(self.env.now))
-        self.env.process(self.run(place, place.life))
-
-    def kill(self, place: Place) -> None:
-        place.replica, place.desk, place.life = None, None, place.life + 1
-
-    def wipe(self, place: Place) -> None:
-        self.kill(place)
-        place.disk = Disk(place.disk.id) if self.keeps_ids else self.new_disk()
-
-    def run(self, place: Place, life: int) -> object:
-        while place.life == life and place.replica:
+        machine.replica = self.replica_class(me, machine.disk.read(), TIMING, chance, self.env.now)
+        machine.history = ChangeHistory()
+        machine.desk = self.desk_class(machine.replica, machine.history)
+        machine.pending.clear()
+        machine.busy_until, machine.frozen_until = self.env.now, 0.0
+        self.act(machine, machine.replica.start(self.env.now))
+        self.env.process(self.run(machine, machine.life))
+
+    def kill(self, machine: Machine) -> None:
+        machine.replica, machine.desk, machine.life = None, None, machine.life + 1
+
+    def wipe(self, machine: Machine) -> None:
+        self.kill(machine)
+        machine.disk = Disk(machine.disk.id) if self.keeps_ids else self.new_disk()
+
+    def run(self, machine: Machine, life: int) -> object:
+        while machine.life == life and machine.replica:
             yield self.env.timeout(0.04 + 0.02 * self.chance.random())
-            yield from self.awake(place)
-            if place.life != life or not place.replica:
+            yield from self.wait_while_frozen(machine)
+            if machine.life != life or not machine.replica:
                 return
-            replica = place.replica
-            self.act(place, replica.tick(self.env.now))
+            replica = machine.replica
+            self.act(machine, replica.tick(self.env.now))
             if replica.due_for_snapshot():
-                self.act(place, replica.save_snapshot(place.history.image()))
+                self.act(machine, replica.save_snapshot(machine.history.image()))
             if replica.needs_join(self.env.now) and not replica.leaving:
-                leader = next((p for p in self.places.values() if p.replica and p.replica.leading), None)
+                leader = next((p for p in self.machines.values() if p.replica and p.replica.leading), None)
                 if leader:
-                    self.send(place, leader.ip, m.JoinRequest(replica.me))
+                    self.send(machine, leader.ip, m.JoinRequest(replica.me))
 
-    def act(self, place: Place, actions: list[Any]) -> None:
+    def act(self, machine: Machine, actions: list[Any]) -> None:
         self.steps += 1
-        place.pending.extend(actions)
-        if place.acting:
+        machine.pending.extend(actions)
+        if machine.acting:
             return
-        place.acting = True
+        machine.acting = True
         try:
-            while place.pending:
-                self.carry_out(place, place.pending.popleft())
+            while machine.pending:
+                self.carry_out(machine, machine.pending.popleft())
         finally:
-            place.acting = False
-        replica = place.replica
+            machine.acting = False
+        replica = machine.replica
         if (
             replica
             and replica.leading
-            and self.leaders.setdefault(replica.view, place.disk.id) != place.disk.id
+            and self.leaders.setdefault(replica.view, machine.disk.id) != machine.disk.id
         ):
-            raise Broken(f"two leaders of view {replica.view}")
+            raise InvariantViolation(f"two leaders of view {replica.view}")
 
-    def carry_out(self, place: Place, action: m.Action | OrderAnswer) -> None:
+    def carry_out(self, machine: Machine, action: m.Action | OrderAnswer) -> None:
         match action:
             case m.Send():
-                self.send(place, action.to.ip, action.message, action.to.id)
+                self.send(machine, action.to.ip, action.message, action.to.id)
             case m.Write():
                 took = self.chance.choice((0.001, 0.003, 0.02))
-                place.busy_until = max(place.busy_until, place.full_until, self.env.now) + took
-                self.env.process(self.write(place, place.life, place.disk, action, place.busy_until))
+                machine.busy_until = max(machine.busy_until, machine.full_until, self.env.now) + took
+                self.env.process(self.write(machine, machine.life, machine.disk, action, machine.busy_until))
             case m.Deliver():
-                self.see(place, action.entry)
+                self.check_delivered(machine, action.entry)
             case m.Restore():
-                place.history.restore(action.snapshot.body)
-                self.took(place.history)
+                machine.history.restore(action.snapshot.body)
+                self.check_history(machine.history)
             case m.Settled():
-                if place.desk:
-                    place.pending.extend(place.desk.settled(self.env.now, action.token, action.accepted))
+                if machine.desk:
+                    machine.pending.extend(machine.desk.settled(self.env.now, action.token, action.accepted))
             case OrderAnswer():
-                self.answer(action)
+                self.check_answer(action)
 
-    def see(self, place: Place, entry: m.Entry) -> None:
+    def check_delivered(self, machine: Machine, entry: m.Entry) -> None:
         if self.delivered.setdefault(entry.seq, entry) != entry:
-            raise Broken(f"two entries were delivered as {entry.seq}")
-        if entry.kind == m.CHANGE and place.history.deliver(entry.body):
-            self.took(place.history)
+            raise InvariantViolation(f"two entries were delivered as {entry.seq}")
+        if entry.kind == m.CHANGE and machine.history.deliver(entry.body):
+            self.check_history(machine.history)
 
-    def took(self, history: ChangeHistory) -> None:
+    def check_history(self, history: ChangeHistory) -> None:
         version = history.configuration.version
-        if version > self.newest:
-            self.newest, self.moved_at = version, self.env.now
+        if version > self.newest_version:
+            self.newest_version, self.newest_changed_at = version, self.env.now
         for digest, to in history.taken.items():
             if self.effective.setdefault(to, digest) != digest:
-                raise Broken(f"two changes led to version {to}")
+                raise InvariantViolation(f"two changes led to version {to}")
 
-    def write(self, place: Place, life: int, disk: Disk, write: m.Write, at: float) -> object:
+    def write(self, machine: Machine, life: int, disk: Disk, write: m.Write, at: float) -> object:
         yield self.env.timeout(at - self.env.now)
-        if place.life == life and place.replica:
-            disk.put(write)
-            yield from self.awake(place)
-            if place.life == life and place.replica:
-                self.act(place, place.replica.write_completed(self.env.now, write.number))
-
-    def awake(self, place: Place) -> object:
-        """A process that stood still finds all that has come meanwhile in any order."""
-        while place.frozen_until > self.env.now:
-            yield self.env.timeout(place.frozen_until - self.env.now + 0.004 * self.chance.random())
-
-    def send(self, place: Place, ip: str, message: m.Message, to: str = "") -> None:
+        if machine.life == life and machine.replica:
+            disk.apply(write)
+            yield from self.wait_while_frozen(machine)
+            if machine.life == life and machine.replica:
+                self.act(machine, machine.replica.write_completed(self.env.now, write.number))
+
+    def wait_while_frozen(self, machine: Machine) -> object:
+        """A suspended process finds all that arrived meanwhile, in any order."""
+        while machine.frozen_until > self.env.now:
+            yield self.env.timeout(machine.frozen_until - self.env.now + 0.004 * self.chance.random())
+
+    def send(self, machine: Machine, ip: str, message: m.Message, to: str = "") -> None:
         lot = self.chance.random()
-        if (place.ip, ip) in self.cut or lot < 0.02:
+        if (machine.ip, ip) in self.blocked_links or lot < 0.02:
             return
         for _ in range(2 if lot > 0.98 else 1):
             after = 0.001 + 0.02 * self.chance.random() ** 3
-            other = self.places.get(ip)
+            other = self.machines.get(ip)
             if other and other.link:
-                other.link_until = max(other.link_until, self.env.now) + size_of(message) / other.link
+                other.link_until = max(other.link_until, self.env.now) + message_size(message) / other.link
                 after += other.link_until - self.env.now
-            self.env.process(self.carry(place.ip, ip, message, to, after))
+            self.env.process(self.transmit(machine.ip, ip, message, to, after))
 
-    def carry(self, source: str, ip: str, message: m.Message, to: str, after: float) -> object:
+    def transmit(self, source: str, ip: str, message: m.Message, to: str, after: float) -> object:
         yield self.env.timeout(after)
-        place = self.places.get(ip)
-        if place is None or (source, ip) in self.cut:
+        machine = self.machines.get(ip)
+        if machine is None or (source, ip) in self.blocked_links:
             return
-        life = place.life
-        yield from self.awake(place)
-        if place.replica and place.life == life:
-            self.act(place, place.replica.receive(self.env.now, message, source, to))
+        life = machine.life
+        yield from self.wait_while_frozen(machine)
+        if machine.replica and machine.life == life:
+            self.act(machine, machine.replica.receive(self.env.now, message, source, to))
 
     # Operators
 
-    def call(self, place: Place, change: Change | None, answered: Callable[[OrderAnswer], None]) -> None:
-        """One call at one machine, which passes it on to the leader that it knows of."""
-        replica = place.replica
+    def call(self, machine: Machine, change: Change | None, on_answer: Callable[[OrderAnswer], None]) -> None:
+        """Sends one call to a machine, which forwards it to the leader that it knows."""
+        replica = machine.replica
         if replica and not replica.leading:
             leader = replica.voters.all().get(replica.leader)
-            other = self.places.get(leader.ip) if leader else None
-            if other is None or (place.ip, other.ip) in self.cut or (other.ip, place.ip) in self.cut:
+            other = self.machines.get(leader.ip) if leader else None
+            if (
+                other is None
+                or (machine.ip, other.ip) in self.blocked_links
+                or (other.ip, machine.ip) in self.blocked_links
+            ):
                 return
-            place, replica = other, other.replica
-        if replica is None or place.desk is None:
+            machine, replica = other, other.replica
+        if replica is None or machine.desk is None:
             return
         self.tokens += 1
         token = self.tokens
-        self.calls[token] = Call(change, self.env.now, self.acked, answered)
-        self.env.process(self.arrive(place, place.life, token))
+        self.calls[token] = Call(change, self.env.now, self.newest_acknowledged, on_answer)
+        self.env.process(self.deliver_call(machine, machine.life, token))
 
-    def arrive(self, place: Place, life: int, token: int) -> object:
-        yield from self.awake(place)
-        if place.life == life and place.desk and place.replica and place.replica.leading:
+    def deliver_call(self, machine: Machine, life: int, token: int) -> object:
+        yield from self.wait_while_frozen(machine)
+        if machine.life == life and machine.desk and machine.replica and machine.replica.leading:
             change = self.calls[token].change
-            desk = place.desk
+            desk = machine.desk
             self.act(
-                place, desk.order(self.env.now, token, change) if change else desk.read(self.env.now, token)
+                machine, desk.order(self.env.now, token, change) if change else desk.read(self.env.now, token)
             )
 
-    def answer(self, answer: OrderAnswer) -> None:
-        """Checks an answer against what all that was seen allows."""
+    def check_answer(self, answer: OrderAnswer) -> None:
+        """Checks an answer against everything that was delivered and answered so far."""
         call = self.calls.pop(answer.token, None)
         if call is None:
             return
@@ -300,41 +309,50 @@
             self.check_acknowledged(call.change)
         elif answer.status != 503:
             self.check_refused(call, answer)
-        if self.env.now - call.begun < PATIENCE:
-            call.answered(answer)
+        if self.env.now - call.begun < ANSWER_TIMEOUT_S:
+            call.on_answer(answer)
 
     def check_read(self, call: Call, version: int) -> None:
         self.reads += 1
-        if version < call.least:
-            raise Broken(f"a reading went back: {version}, and {call.least} was acknowledged before it")
-        self.acked = max(self.acked, version)
+        if version < call.min_version:
+            raise InvariantViolation(
+                f"stale read of version {version}: {call.min_version} was acknowledged before it"
+            )
+        self.newest_acknowledged = max(self.newest_acknowledged, version)
 
     def check_acknowledged(self, change: Change) -> None:
         digest = change.digest()
         versions = [to for to, taken in self.effective.items() if taken == digest]
         if len(versions) != 1:
-            raise Broken(f"a change that was acknowledged has {len(versions)} effects")
+            raise InvariantViolation(f"a change that was acknowledged has {len(versions)} effects")
         self.repeats += digest in self.acknowledged
         self.acknowledged[digest] = change
         if self.bases.setdefault(change.base, versions[0]) != versions[0]:
-            raise Broken(f"two changes on top of {change.base} were acknowledged")
-        self.acked = max(self.acked, versions[0])
+            raise InvariantViolation(f"two changes on top of {change.base} were acknowledged")
+        self.newest_acknowledged = max(self.newest_acknowledged, versions[0])
 
     def check_refused(self, call: Call, answer: OrderAnswer) -> None:
         self.refusals += 1
         assert call.change
         if call.change.digest() in self.effective.values():
-            raise Broken(f"a change that was taken was refused with {answer.status}")
-        if call.change.base == self.newest and self.moved_at < call.begun and answer.status == 412:
-            raise Broken(f"a change on top of {self.newest}, the newest, was refused by an older version")
+            raise InvariantViolation(f"a change that was taken was refused with {answer.status}")
+        if (
+            call.change.base == self.newest_version
+            and self.newest_changed_at < call.begun
+            and answer.status == 412
+        ):
+            raise InvariantViolation(
+                f"a change on top of {self.newest_version}, the newest, was refused by an older version"
+            )
 
     def operator(self, until: float) -> object:
-        """Sends changes on top of the newest version that it knows of, each until it gets a clear answer."""
+        """Sends changes based on the newest version that it knows, retrying each until it gets a clear
+        answer."""
         known = 0
         while self.env.now < until:
             yield self.env.timeout(self.chance.random() * 0.15)
             if self.chance.random() < 0.3:
-                answer = yield self.env.process(self.until_clear(None, until))
+                answer = yield self.env.process(self.call_until_clear(None, until))
                 if answer:
                     known = json.loads(answer.body).get("Ver", 0)
                 continue
@@ -343,44 +361,45 @@
                 {"Ver": version, "Routes": {}, "Svcs": {}, "Note": self.chance.random()}
             ).encode()
             change = Change(known, True, body)
-            answer = yield self.env.process(self.until_clear(change, until))
+            answer = yield self.env.process(self.call_until_clear(change, until))
             if answer and answer.status == 200:
                 known = max(known, version)
-                if self.chance.random() < 0.2:  # the answer was lost on its way
-                    self.env.process(self.until_clear(change, until))
+                if self.chance.random() < 0.2:  # as if the answer was lost
+                    self.env.process(self.call_until_clear(change, until))
 
-    def until_clear(self, change: Change | None, until: float) -> Any:
+    def call_until_clear(self, change: Change | None, until: float) -> Any:
         found: list[OrderAnswer] = []
         while self.env.now < until:
-            place = self.chance.choice(list(self.places.values()))
-            self.call(place, change, lambda answer: found.append(answer) if answer.status != 503 else None)
+            machine = self.chance.choice(list(self.machines.values()))
+            self.call(machine, change, lambda answer: found.append(answer) if answer.status != 503 else None)
             for _ in range(20):
-                yield self.env.timeout(PATIENCE / 20)
+                yield self.env.timeout(ANSWER_TIMEOUT_S / 20)
                 if found:
                     return found[0]
             yield self.env.timeout(0.05)
         return None
 
-    def asking(self, until: float) -> object:
+    def run_operators(self, until: float) -> object:
         yield self.env.all_of([self.env.process(self.operator(until)) for _ in range(OPERATORS)])
 
-    # What befalls
+    # Faults
 
-    def cut_off(self, inside: set[str], one_way: bool) -> None:
-        for a in self.places:
-            for b in self.places:
+    def isolate(self, inside: set[str], one_way: bool) -> None:
+        for a in self.machines:
+            for b in self.machines:
                 if (a in inside) != (b in inside) and (not one_way or a in inside):
-                    self.cut.add((a, b))
+                    self.blocked_links.add((a, b))
 
-    def leader(self) -> Place | None:
-        return next((p for p in self.places.values() if p.replica and p.replica.leading), None)
+    def leader(self) -> Machine | None:
+        return next((p for p in self.machines.values() if p.replica and p.replica.leading), None)
 
-    def trouble(self, until: float) -> object:
-        """Within a budget of one: the next thing is lost only when what was lost before is whole again."""
+    def inject_faults(self, until: float) -> object:
+        """Injects faults within a fault budget of one: each only after the cluster has recovered from the
+        last."""
         serial = 100
         while self.env.now < until:
             yield self.env.timeout(0.3 + self.chance.random() * 2)
-            place = self.chance.choice(list(self.places.values()))
+            machine = self.chance.choice(list(self.machines.values()))
             what = self.chance.choice(
                 (
                     "kill",
@@ -397,71 +416,72 @@
                 )
             )
             down = 0.2 + self.chance.random() * 3
-            leader = self.leader() or place
-            if what == "acked":  # right after an acknowledgement
+            leader = self.leader() or machine
+            if what == "acked":  # a loss right after an acknowledgement
                 before = len(self.acknowledged)
                 for _ in range(400):
                     yield self.env.timeout(0.001)
                     if len(self.acknowledged) > before:
                         break
-                place, what = leader, self.chance.choice(("kill", "wipe"))
+                machine, what = leader, self.chance.choice(("kill", "wipe"))
                 if self.chance.random() < 0.5:  # the others lose power too
-                    for other in self.places.values():
-                        if other is not place:
+                    for other in self.machines.values():
+                        if other is not machine:
                             self.kill(other)
                             self.start(other)
             if what == "leave" and leader.replica:
                 yield from self.leave(leader)
-                place, what = leader, "kill"
+                machine, what = leader, "kill"
             if what == "all":
-                for other in self.places.values():
+                for other in self.machines.values():
                     self.kill(other)
                 yield self.env.timeout(down / 3)
-                for other in self.places.values():
+                for other in self.machines.values():
                     self.start(other)
             elif what == "cut":
-                self.cut_off({self.chance.choice((place, leader)).ip}, self.chance.random() < 0.4)
+                self.isolate({self.chance.choice((machine, leader)).ip}, self.chance.random() < 0.4)
                 yield self.env.timeout(down)
-                self.cut.clear()
+                self.blocked_links.clear()
             elif what == "full":
-                place.full_until = self.env.now + down
+                machine.full_until = self.env.now + down
                 yield self.env.timeout(down)
             elif what == "freeze":
-                self.chance.choice((place, leader)).frozen_until = self.env.now + down
+                self.chance.choice((machine, leader)).frozen_until = self.env.now + down
                 yield self.env.timeout(down)
-            elif what == "planned":  # the new one first; the old one is gone once it may end
+            elif what == "planned":  # the new machine joins first; the old one stops once that is safe
                 serial += 1
                 self.add(f"10.0.0.{serial}")
-                yield from self.whole()
-                yield from self.leave(place)
-                self.kill(place)
-                del self.places[place.ip]
+                yield from self.wait_until_recovered()
+                yield from self.leave(machine)
+                self.kill(machine)
+                del self.machines[machine.ip]
             elif what == "replace":
-                self.kill(place)
-                del self.places[place.ip]
+                self.kill(machine)
+                del self.machines[machine.ip]
                 serial += 1
                 yield self.env.timeout(down / 2)
                 self.add(f"10.0.0.{serial}")
             else:
-                self.wipe(place) if what == "wipe" else self.kill(place)
+                self.wipe(machine) if what == "wipe" else self.kill(machine)
                 yield self.env.timeout(down)
-                self.start(place)
-            yield from self.whole()
+                self.start(machine)
+            yield from self.wait_until_recovered()
 
-    def leave(self, place: Place, grace: float = 5.0) -> object:
-        """SIGTERM: the replica is asked to leave, and ends when it may, or when its time is up."""
-        assert place.replica
+    def leave(self, machine: Machine, grace: float = 5.0) -> object:
+        """As after SIGTERM: asks the replica to leave, and waits until it may stop or its time is up."""
+        assert machine.replica
         ends = self.env.now + grace
-        self.act(place, place.replica.leave(self.env.now))
-        while place.replica and not place.replica.safe_to_stop and self.env.now < ends:
+        self.act(machine, machine.replica.leave(self.env.now))
+        while machine.replica and not machine.replica.safe_to_stop and self.env.now < ends:
             yield self.env.timeout(0.02)
 
-    def whole(self) -> object:
-        """Waits until all that run hold all, and as many of them vote as are to: the largest odd number."""
+    def wait_until_recovered(self) -> object:
+        """Waits until all replicas run and have the same commit index, and the largest odd number of them
+        vote."""
         for _ in range(400):
             yield self.env.timeout(0.05)
-            replicas = [p.replica for p in self.places.values() if p.replica]
-            ids = {p.disk.id for p in self.places.values()}
+            replicas = [p.replica for p in self.machines.values() if p.replica]
+            ids = {p.disk.id for p in self.machines.values()}
             calm = [r for r in replicas if r.caught_up and not r.voters.old and r.in_contact(self.env.now)]
             if len(calm) != len(ids) or len({r.commit for r in calm}) != 1:
                 continue
@@ -469,37 +489,38 @@
             expected = len(ids) - 1 + len(ids) % 2
             if voters <= ids and len(voters) == expected and len({r.voters for r in calm}) == 1:
                 return
-        raise Broken(f"not whole again after 20 s at {self.env.now:.1f}")
+        raise InvariantViolation(f"not recovered after 20 s at {self.env.now:.1f}")
 
     def play(self, seconds: float) -> int:
-        """Plays a schedule; how many changes were acknowledged. Raises Broken."""
-        self.env.run(self.env.process(self.whole()))
-        asking = self.env.process(self.asking(seconds))
-        self.env.run(self.env.process(self.trouble(seconds)))
+        """Runs a schedule; returns the number of acknowledged changes. Raises InvariantViolation."""
+        self.env.run(self.env.process(self.wait_until_recovered()))
+        asking = self.env.process(self.run_operators(seconds))
+        self.env.run(self.env.process(self.inject_faults(seconds)))
         self.env.run(asking)
-        self.env.run(self.env.process(self.whole()))
+        self.env.run(self.env.process(self.wait_until_recovered()))
         self.check_end()
         return len(self.acknowledged)
 
-    def only_copy(self) -> None:
-        """The one that leaves and the leader alone have the newest changes; it ends, and the leader's disk is
-        lost right after it: what was acknowledged must be on the third's disk. Raises Broken."""
-        self.env.run(self.env.process(self.whole()))
+    def check_only_copy_on_leave(self) -> None:
+        """The newest changes are only on the leader and on a replica that leaves. It stops, and right after
+        it the leader's disk is lost: the third disk must hold all acknowledged changes. Raises
+        InvariantViolation."""
+        self.env.run(self.env.process(self.wait_until_recovered()))
         leader = self.leader()
-        leaves, lags = (p for p in self.places.values() if p is not leader)
+        leaves, lags = (p for p in self.machines.values() if p is not leader)
         assert leader
         lags.full_until = self.env.now + 2.0
-        self.env.run(self.env.process(self.asking(self.env.now + 1.0)))
+        self.env.run(self.env.process(self.run_operators(self.env.now + 1.0)))
         self.env.run(self.env.process(self.leave(leaves)))
         self.kill(leaves)
         self.wipe(leader)
         if set(self.acknowledged) - set(history_on(lags.disk).taken):
-            raise Broken("the one that left had the only copy")
+            raise InvariantViolation("the replica that left had the only copy of an acknowledged change")
 
-    def late_replies(self) -> None:
-        """A leader finds replies to broadcasts from before it stood still, right after it was asked to read.
-        Raises Broken where they confirm the reading."""
-        self.env.run(self.env.process(self.whole()))
+    def check_late_replies(self) -> None:
+        """A suspended leader is asked to read, and then receives replies to broadcasts from before. Raises
+        InvariantViolation if they confirm the read."""
+        self.env.run(self.env.process(self.wait_until_recovered()))
         leader = self.leader()
         assert leader and leader.replica
         replica, now, old = leader.replica, self.env.now + 30.0, leader.replica.round
@@ -508,53 +529,60 @@
             late = m.AppendReply(replica.view, peer, True, replica.last_seq, old)
             done += replica.receive(now, late, "10.0.0.1")
         if any(isinstance(action, m.Settled) for action in done):
-            raise Broken("replies from before confirmed a reading")
+            raise InvariantViolation("replies to earlier broadcasts confirmed a read")
 
-    def frozen_leader(self) -> None:
-        """Again and again a leader stands still just when it has sent a broadcast; it finds the replies, and what
-        operators asked it, when the others have gone on. Raises Broken."""
+    def check_frozen_leader(self) -> None:
+        """Repeatedly suspends a leader right after it sent a broadcast; it finds the replies and the
+        operators' calls when the others have gone on. Raises InvariantViolation."""
         for _ in range(6):
-            self.env.run(self.env.process(self.whole()))
+            self.env.run(self.env.process(self.wait_until_recovered()))
             leader = self.leader()
             assert leader and leader.replica
             sent = leader.replica.round
             while leader.replica.round == sent:
                 self.env.run(until=self.env.now + 0.001)
             leader.frozen_until = self.env.now + 3.0
-            self.env.run(self.env.process(self.asking(self.env.now + 3.2)))
-        self.env.run(self.env.process(self.whole()))
+            self.env.run(self.env.process(self.run_operators(self.env.now + 3.2)))
+        self.env.run(self.env.process(self.wait_until_recovered()))
         self.check_end()
 
-    def parted(self) -> bool:
-        """One member is cut off, its vote goes to a new disk; while it does, the other goes to the cut off
-        one's side. Whether any change was acknowledged while they were apart. Raises Broken."""
-        self.env.run(self.env.process(self.whole()))
+    def check_partition_during_change(self) -> bool:
+        """One member is cut off and a new disk replaces it as a voter; during this change the other follower
+        moves to the side of the one that is cut off. Returns whether any change was acknowledged during the
+        partition. Raises InvariantViolation."""
+        self.env.run(self.env.process(self.wait_until_recovered()))
         leader = self.leader()
         assert leader
-        cut, other = (p for p in self.places.values() if p is not leader)
-        self.cut_off({cut.ip}, False)
+        cut, other = (p for p in self.machines.values() if p is not leader)
+        self.isolate({cut.ip}, False)
         self.env.run(until=self.env.now + TIMING.replace_after + 0.5)
         new = self.add("10.0.0.9")
-        self.cut_off({cut.ip}, False)
+        self.isolate({cut.ip}, False)
         for _ in range(20_000):
             self.env.run(until=self.env.now + 0.001)
             if leader.replica and new.disk.id in leader.replica.voters.all():
                 break
-        self.cut.clear()
-        self.cut_off({cut.ip, other.ip}, False)
-        self.env.run(self.env.process(self.asking(self.env.now + 6.0)))
+        self.blocked_links.clear()
+        self.isolate({cut.ip, other.ip}, False)
+        self.env.run(self.env.process(self.run_operators(self.env.now + 6.0)))
         went_on = bool(self.acknowledged)
-        self.cut.clear()
+        self.blocked_links.clear()
         self.env.run(until=self.env.now + 6.0)
-        for place in self.places.values():
-            if place.replica and place.replica.is_voter and set(self.acknowledged) - set(place.history.taken):
-                raise Broken("what was acknowledged is gone")
+        for machine in self.machines.values():
+            if (
+                machine.replica
+                and machine.replica.is_voter
+                and set(self.acknowledged) - set(machine.history.taken)
+            ):
+                raise InvariantViolation("an acknowledged change is lost")
         return went_on
 
     def check_end(self) -> None:
-        for place in self.places.values():
-            lost = set(self.acknowledged) - set(place.history.taken)
+        for machine in self.machines.values():
+            lost = set(self.acknowledged) - set(machine.history.taken)
             if lost:
-                raise Broken(f"{place.ip} lacks {len(lost)} changes that were acknowledged")
-            if place.history.configuration.version != self.newest:
-                raise Broken(f"{place.ip} is at {place.history.configuration.version}, not {self.newest}")
+                raise InvariantViolation(f"{machine.ip} lacks {len(lost)} changes that were acknowledged")
+            if machine.history.configuration.version != self.newest_version:
+                raise InvariantViolation(
+                    f"{machine.ip} is at {machine.history.configuration.version}, not {self.newest_version}"
+                )
--- a/tests/cluster/coordination_mutants.py
+++ b/tests/cluster/coordination_mutants.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from attrs import frozen
-from consensus_world import Broken
+from consensus_world import InvariantViolation
 from coordination_scenes import (
     late_put,
     late_release,
@@ -221,7 +221,7 @@
             world = CoordinationWorld(seed, 3, self.desk, self.state)
             try:
                 self.scene(world)
-            except Broken as error:
+            except InvariantViolation as error:
                 if re.search(self.rules, str(error)):
                     return seed, str(error)
         return -1, ""
--- a/tests/cluster/coordination_scenes.py
+++ b/tests/cluster/coordination_scenes.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from consensus_world import Place
+from consensus_world import Machine
 from coordination_world import CoordinationWorld, Process
 
 from coralvale.cluster.coordination import model as c
@@ -15,39 +15,39 @@
 NEW_LEADER = 3.0  # s within which another leads
 
 
-def two_leaders(world: CoordinationWorld) -> tuple[Place, Place | None]:
+def two_leaders(world: CoordinationWorld) -> tuple[Machine, Machine | None]:
     """Cuts the leader off: it, and the one that leads the others, None if it stepped down before."""
     old = whole_leader(world)
-    others = {ip for ip in world.places if ip != old.ip}
-    world.cut |= {(old.ip, ip) for ip in others} | {(ip, old.ip) for ip in others}
+    others = {ip for ip in world.machines if ip != old.ip}
+    world.blocked_links |= {(old.ip, ip) for ip in others} | {(ip, old.ip) for ip in others}
     return old, other_leader(world, old)
 
 
-def whole_leader(world: CoordinationWorld) -> Place:
+def whole_leader(world: CoordinationWorld) -> Machine:
     world.calm = True
-    world.env.run(world.env.process(world.whole()))
+    world.env.run(world.env.process(world.wait_until_recovered()))
     leader = world.leader()
     assert leader
     return leader
 
 
-def other_leader(world: CoordinationWorld, old: Place) -> Place | None:
+def other_leader(world: CoordinationWorld, old: Machine) -> Machine | None:
     ends = world.env.now + NEW_LEADER
     while world.env.now < ends:
         world.env.run(until=world.env.now + STEP)
-        for place in world.places.values():
+        for place in world.machines.values():
             if place is not old and place.replica and place.replica.leading and place.replica.caught_up:
                 return place
     return None
 
 
-def ask(world: CoordinationWorld, caller: str, call: c.Call, at: Place) -> c.Outcome | None:
+def ask(world: CoordinationWorld, caller: str, call: c.Call, at: Machine) -> c.Outcome | None:
     outcome: c.Outcome | None = world.env.run(world.env.process(world.ask(caller, call, at)))
     return outcome
 
 
 def together_again(world: CoordinationWorld) -> None:
-    world.cut.clear()
+    world.blocked_links.clear()
     world.finish()
 
 
@@ -74,7 +74,7 @@
             world.env.process(world.ask("a", c.Renew("l1", "a", granted.fence, HOLD_MS), leader))
             yield world.env.timeout(4 * STEP)
 
-    def taking(at: Place) -> Process:
+    def taking(at: Machine) -> Process:
         while world.env.now < until:
             outcome = yield from world.ask("b", c.Acquire("l1", "b", HOLD_MS), at)
             if isinstance(outcome, c.Granted):
@@ -91,7 +91,7 @@
 def unheard_leader(world: CoordinationWorld) -> None:
     """What a leader proposes reaches the others, their replies do not come back, and it steps down."""
     leader = whole_leader(world)
-    world.cut |= {(ip, leader.ip) for ip in world.places if ip != leader.ip}
+    world.blocked_links |= {(ip, leader.ip) for ip in world.machines if ip != leader.ip}
 
     def putting() -> Process:
         for n in range(20):
@@ -107,7 +107,7 @@
     """What a leader proposes does not reach the others, while a watch waits at it; another puts after it."""
     leader = whole_leader(world)
     ask(world, "p", c.Put("g1.a", "v1"), leader)
-    world.cut |= {(leader.ip, ip) for ip in world.places if ip != leader.ip}
+    world.blocked_links |= {(leader.ip, ip) for ip in world.machines if ip != leader.ip}
     watching = world.env.process(world.ask("w", c.Watch("g1.", 1, 1000), leader))
     world.env.run(until=world.env.now + STEP)
     world.env.process(world.ask("p", c.Put("g1.a", "v2"), leader))
@@ -141,7 +141,7 @@
     ask(world, "p", put, leader)
     for n in range(30):
         ask(world, "q", c.Put("g1.a", f"w{n}"), leader)
-    for place in list(world.places.values()):
+    for place in list(world.machines.values()):
         world.kill(place)
         world.start(place)
     again = whole_leader(world)
--- a/tests/cluster/coordination_world.py
+++ b/tests/cluster/coordination_world.py
@@ -22,7 +22,7 @@
 
 import simpy
 from attrs import define, frozen
-from consensus_world import Broken, Place, World
+from consensus_world import InvariantViolation, Machine, World
 from coordination_checker import Record, check
 
 from coralvale.cluster.configuration.history import Change
@@ -70,7 +70,7 @@
 class Waiting:
     """A call at the leader."""
 
-    gateway: Edge | Place
+    gateway: Edge | Machine
     reply: simpy.Event
 
 
@@ -87,7 +87,7 @@
         self.members: dict[str, Member] = {}
         self.at_leader: dict[int, Waiting] = {}
         self.history: list[Record] = []
-        self.asks_at: dict[str, Edge | Place] = {}  # by caller
+        self.asks_at: dict[str, Edge | Machine] = {}  # by caller
         self.saved: dict[str, int] = {}  # by group: a revision from which to resume at the end
         self.edges = [Edge(f"10.9.0.{n}") for n in range(EDGES)]
         self.values = self.late = 0
@@ -96,14 +96,14 @@
 
     # Machines
 
-    def member(self, place: Place) -> Member:
+    def member(self, place: Machine) -> Member:
         """Of the process that runs now."""
         known = self.members.get(place.ip)
         if known is None or known.life != place.life:
             known = self.members[place.ip] = self.new_member(place)
         return known
 
-    def new_member(self, place: Place) -> Member:
+    def new_member(self, place: Machine) -> Member:
         assert place.replica
         state = self.state_kind()
         chance = random.Random(self.chance.random())
@@ -115,11 +115,11 @@
         self.tokens += 1
         return self.tokens
 
-    def run(self, place: Place, life: int) -> Process:
+    def run(self, place: Machine, life: int) -> Process:
         while place.life == life and place.replica:
             late = 0.3 if not self.calm and self.chance.random() < 0.01 else 0.0
             yield self.env.timeout(0.04 + 0.02 * self.chance.random() + late)
-            yield from self.awake(place)
+            yield from self.wait_while_frozen(place)
             if place.life != life or not place.replica:
                 return
             replica, member = place.replica, self.member(place)
@@ -130,11 +130,11 @@
             if replica.needs_join(self.env.now) and not replica.leaving and (leader := self.leader()):
                 self.send(place, leader.ip, m.JoinRequest(replica.me))
 
-    def carry_out(self, place: Place, action: Any) -> None:  # noqa: ANN401
+    def carry_out(self, place: Machine, action: Any) -> None:  # noqa: ANN401
         now = self.env.now
         match action:
             case m.Deliver() if action.entry.kind == m.COORDINATION:
-                self.see(place, action.entry)
+                self.check_delivered(place, action.entry)
                 place.pending.extend(self.member(place).desk.deliver(now, action.entry.body))
             case m.Restore():
                 image = place.history.restore(action.snapshot.body)
@@ -149,7 +149,7 @@
 
     # A call's way
 
-    def ask(self, caller: str, call: c.Call, at: Edge | Place | None = None) -> Process:
+    def ask(self, caller: str, call: c.Call, at: Edge | Machine | None = None) -> Process:
         """One call, at any gateway or at one; its outcome, None if none came in time. It stands in the
         history."""
         reply, sent = self.env.event(), self.env.now
@@ -169,18 +169,20 @@
             self.acknowledged[b"%d" % record] = Change(0, True, b"")
         return outcome
 
-    def gateway_of(self, caller: str) -> Edge | Place:
+    def gateway_of(self, caller: str) -> Edge | Machine:
         """A caller stays at one gateway until it gets a failure, or nothing, from it."""
         known = self.asks_at.get(caller)
-        if known is None or (isinstance(known, Place) and self.places.get(known.ip) is not known):
-            known = self.asks_at[caller] = self.chance.choice([*self.places.values(), *self.edges])
+        if known is None or (isinstance(known, Machine) and self.machines.get(known.ip) is not known):
+            known = self.asks_at[caller] = self.chance.choice([*self.machines.values(), *self.edges])
         return known
 
-    def through(self, gateway: Edge | Place, call: c.Call, reply: simpy.Event) -> Process:
+    def through(self, gateway: Edge | Machine, call: c.Call, reply: simpy.Event) -> Process:
         """From the caller to the gateway, and on to the leader that it knows of."""
         yield self.env.timeout(0.001 + 0.004 * self.chance.random())
-        yield from self.awake(gateway)
-        if isinstance(gateway, Place) and (not gateway.replica or self.places.get(gateway.ip) is not gateway):
+        yield from self.wait_while_frozen(gateway)
+        if isinstance(gateway, Machine) and (
+            not gateway.replica or self.machines.get(gateway.ip) is not gateway
+        ):
             self.tell(reply, c.Unknown("it is down"))
             return
         leader = self.known_leader(gateway)
@@ -191,13 +193,13 @@
         else:
             yield from self.pass_on(gateway, leader, call, reply)
 
-    def known_leader(self, gateway: Edge | Place) -> Place | None:
-        knows = gateway if isinstance(gateway, Place) else self.chance.choice(list(self.places.values()))
+    def known_leader(self, gateway: Edge | Machine) -> Machine | None:
+        knows = gateway if isinstance(gateway, Machine) else self.chance.choice(list(self.machines.values()))
         if not knows.replica or not (named := knows.replica.voters.all().get(knows.replica.leader)):
             return None
-        return self.places.get(named.ip)
+        return self.machines.get(named.ip)
 
-    def pass_on(self, gateway: Edge | Place, leader: Place, call: c.Call, reply: simpy.Event) -> Process:
+    def pass_on(self, gateway: Edge | Machine, leader: Machine, call: c.Call, reply: simpy.Event) -> Process:
         life = leader.life
         yield self.env.timeout(0.001 + 0.01 * self.chance.random() ** 3)
         if not self.calm and self.chance.random() < LATE:
@@ -205,21 +207,21 @@
             yield self.env.timeout(LATEST * self.chance.random())
         if not (yield from self.path(gateway.ip, leader.ip)):
             return
-        yield from self.awake(leader)
+        yield from self.wait_while_frozen(leader)
         if leader.life != life and self.chance.random() < 0.7:
             return  # its connection broke; else it stood in the queue for the next one
         self.arrive_at(leader, gateway, call, reply)
 
     def path(self, source: str, to: str) -> Process:
         """Whether something gets there: a cut loses it, or holds it up until it is over."""
-        if (source, to) in self.cut and self.chance.random() < 0.5:
+        if (source, to) in self.blocked_links and self.chance.random() < 0.5:
             return False
-        while (source, to) in self.cut:
+        while (source, to) in self.blocked_links:
             yield self.env.timeout(0.01)
         return True
 
-    def arrive_at(self, place: Place, gateway: Edge | Place, call: c.Call, reply: simpy.Event) -> None:
-        if not place.replica or self.places.get(place.ip) is not place:
+    def arrive_at(self, place: Machine, gateway: Edge | Machine, call: c.Call, reply: simpy.Event) -> None:
+        if not place.replica or self.machines.get(place.ip) is not place:
             return
         token = self.next_token()
         self.at_leader[token] = Waiting(gateway, reply)
@@ -228,10 +230,10 @@
             return
         self.act(place, self.member(place).desk.call(self.env.now, token, call))
 
-    def answer_back(self, leader: Place, waiting: Waiting, outcome: c.Outcome) -> Process:
+    def answer_back(self, leader: Machine, waiting: Waiting, outcome: c.Outcome) -> Process:
         yield self.env.timeout(0.001 + 0.01 * self.chance.random() ** 3)
         if waiting.gateway is leader or (yield from self.path(leader.ip, waiting.gateway.ip)):
-            yield from self.awake(waiting.gateway)
+            yield from self.wait_while_frozen(waiting.gateway)
             self.tell(waiting.reply, outcome)
 
     def tell(self, reply: simpy.Event, outcome: c.Outcome) -> None:
@@ -240,7 +242,7 @@
 
     # Callers
 
-    def until_clear(self, caller: str, call: c.Call, seconds: float = RESENT) -> Process:
+    def call_until_clear(self, caller: str, call: c.Call, seconds: float = RESENT) -> Process:
         """Sent again, for some seconds, until there is a clear answer other than a failure."""
         ends, outcome = self.env.now + seconds, None
         while self.env.now < ends:
@@ -273,7 +275,7 @@
                 yield from self.ask(owner, c.Renew(name, owner, outcome.fence, hold_ms))
             release = c.Release(name, owner, outcome.fence)
             if self.chance.random() < 0.7:
-                yield from self.until_clear(owner, release)
+                yield from self.call_until_clear(owner, release)
             else:  # it asks for it anew, whatever becomes of the release
                 self.env.process(self.ask(owner, release))
 
@@ -301,11 +303,11 @@
             self.values += 1
             expected = self.chance.choice((None, known.get(key, 0), known.get(key, 0)))
             put = c.Put(key, f"{caller}-{self.values}", expected)
-            outcome = yield from self.until_clear(caller, put)
+            outcome = yield from self.call_until_clear(caller, put)
             if isinstance(outcome, c.Stored | c.Conflict):
                 known[key] = outcome.revision
             if self.chance.random() < 0.05:  # its answer was lost
-                self.env.process(self.until_clear(caller, put))
+                self.env.process(self.call_until_clear(caller, put))
 
     def reading(self, caller: str, until: float) -> Process:
         while self.env.now < until:
@@ -323,7 +325,7 @@
             slept = self.chance.choice((0.01, 0.01, 0.01, 0.01, 0.8 * RETAIN_S, 4 * RETAIN_S))
             yield self.env.timeout(slept * self.chance.random())
 
-    def asking(self, until: float) -> Process:
+    def run_operators(self, until: float) -> Process:
         callers = [self.holder(f"holder-{n}", until) for n in range(5)]
         callers += [self.counting(f"counts-{n}", until) for n in range(2)]
         callers += [self.putting(f"puts-{n}", until) for n in range(3)]
@@ -337,7 +339,7 @@
         calls += [c.NextNumber(name) for name in NUMBERS]
         for group in {c.group_of(key) for key in KEYS}:
             calls += [c.Watch(group, 0, 0), c.Watch(group, self.saved.get(group, 0), 200)]
-        asked = [self.env.process(self.until_clear("last", call, READ_BACK)) for call in calls]
+        asked = [self.env.process(self.call_until_clear("last", call, READ_BACK)) for call in calls]
         yield self.env.all_of(asked)
 
     # What befalls, beside `trouble`
@@ -346,7 +348,7 @@
         """Short ones, on top of what is lost: gateways stand still, disks stall, leaders are cut off."""
         while self.env.now < until:
             yield self.env.timeout(0.5 + 2 * self.chance.random())
-            place, seconds = self.chance.choice(list(self.places.values())), self.chance.random()
+            place, seconds = self.chance.choice(list(self.machines.values())), self.chance.random()
             match self.chance.choice(("edge", "place", "disk", "leader", "cut", "cut")):
                 case "edge":
                     self.chance.choice(self.edges).frozen_until = self.env.now + 4 * seconds
@@ -360,21 +362,21 @@
                 case "cut":
                     yield from self.part(self.leader() or place, 0.6 + seconds)
 
-    def part(self, place: Place, seconds: float) -> Process:
+    def part(self, place: Machine, seconds: float) -> Process:
         """Cuts a replica off from the others, both ways, or what it sends, or what it gets."""
-        others = [ip for ip in self.places if ip != place.ip]
+        others = [ip for ip in self.machines if ip != place.ip]
         ways = {(place.ip, ip) for ip in others}, {(ip, place.ip) for ip in others}
-        fresh = self.chance.choice((ways[0] | ways[1], *ways)) - self.cut
-        self.cut |= fresh
+        fresh = self.chance.choice((ways[0] | ways[1], *ways)) - self.blocked_links
+        self.blocked_links |= fresh
         yield self.env.timeout(seconds)
-        self.cut -= fresh
+        self.blocked_links -= fresh
 
-    def whole(self) -> Process:
+    def wait_until_recovered(self) -> Process:
         """As in `World`; while callers ask, replicas may be some entries apart."""
         for _ in range(600):
             yield self.env.timeout(0.05)
-            replicas = [p.replica for p in self.places.values() if p.replica]
-            ids = {p.disk.id for p in self.places.values()}
+            replicas = [p.replica for p in self.machines.values() if p.replica]
+            ids = {p.disk.id for p in self.machines.values()}
             calm = [r for r in replicas if r.caught_up and not r.voters.old and r.in_contact(self.env.now)]
             commits = [r.commit for r in calm]
             if len(calm) != len(ids) or max(commits) - min(commits) > (0 if self.calm else APART):
@@ -383,14 +385,14 @@
             expected = len(ids) - 1 + len(ids) % 2
             if voters <= ids and len(voters) == expected and len({r.voters for r in calm}) == 1:
                 return
-        raise Broken(f"not whole again after 30 s at {self.env.now:.1f}")
+        raise InvariantViolation(f"not whole again after 30 s at {self.env.now:.1f}")
 
     def play(self, seconds: float) -> int:
         """Plays a schedule; how many calls were made. Raises Broken."""
-        self.env.run(self.env.process(self.whole()))
-        asking = self.env.process(self.asking(seconds))
+        self.env.run(self.env.process(self.wait_until_recovered()))
+        asking = self.env.process(self.run_operators(seconds))
         self.env.process(self.disturbance(seconds - 2.0))
-        self.env.run(self.env.process(self.trouble(seconds)))
+        self.env.run(self.env.process(self.inject_faults(seconds)))
         self.env.run(asking)
         self.finish()
         return len(self.history)
@@ -398,25 +400,27 @@
     def finish(self) -> None:
         """Nothing befalls them any more: all is asked for once more, and judged. Raises Broken."""
         self.calm = True
-        self.env.run(self.env.process(self.whole()))
+        self.env.run(self.env.process(self.wait_until_recovered()))
         end = self.env.now
         self.env.run(self.env.process(self.read_back()))
-        self.env.run(self.env.process(self.whole()))
+        self.env.run(self.env.process(self.wait_until_recovered()))
         self.judge(end)
         self.check_end()
 
     def judge(self, end: float | None = None) -> None:
         if found := check(self.history, RETAIN_S, end):
-            raise Broken("; ".join(f"{violation.rule}: {violation.reason}" for violation in found[:3]))
+            raise InvariantViolation(
+                "; ".join(f"{violation.rule}: {violation.reason}" for violation in found[:3])
+            )
 
     def check_end(self) -> None:
         """Replicas that hold the same log hold the same state."""
         images: dict[int, set[bytes]] = {}
-        for place in self.places.values():
+        for place in self.machines.values():
             if place.replica:
                 images.setdefault(place.replica.applied, set()).add(self.member(place).state.image())
         if any(len(of_one) > 1 for of_one in images.values()):
-            raise Broken("replicas with the same log hold different states")
+            raise InvariantViolation("replicas with the same log hold different states")
 
 
 def play(schedule: tuple[int, int]) -> tuple[str, Counter[str], int]:
@@ -426,7 +430,7 @@
     broken = ""
     try:
         world.play(SECONDS)
-    except Broken as error:
+    except InvariantViolation as error:
         broken = f"CoordinationWorld({seed}, {members}).play({SECONDS}): {error}"
     outcomes = Counter(
         f"{type(r.call).__name__} {type(r.outcome).__name__ if r.outcome else 'unclear'}"
--- a/tests/cluster/mutants.py
+++ b/tests/cluster/mutants.py
@@ -1,4 +1,4 @@
-"""Broken replicas, one for each invariant at the head of `consensus/replica.py`, and where each is to show."""
+"""Mutants: replicas and order desks that break an invariant listed in `consensus/replica.py`."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import Any
 
 from attrs import frozen
-from consensus_world import Broken, World
+from consensus_world import InvariantViolation, World
 
 from coralvale.cluster.configuration.history import Change, Problem
 from coralvale.cluster.consensus import messages as m
@@ -19,7 +19,7 @@
 
 
 class VotesForAny(Replica):
-    """A vote is given to a log that is older than the own."""
+    """Votes for a candidate whose log is older than its own."""
 
     def _handle_vote_request(self, now: float, request: m.VoteRequest) -> None:
         newer = m.VoteRequest(
@@ -29,7 +29,7 @@
 
 
 class CountsBeforeDisk(Replica):
-    """A reply is given before what it is about is on disk."""
+    """Replies before the acknowledged data is on disk."""
 
     def _write(self, sends: list[m.Send], *args: Any, **named: Any) -> None:
         super()._write([], *args, **named)
@@ -38,7 +38,7 @@
 
 
 class ForgetsVote(Replica):
-    """A vote is not put on disk."""
+    """Does not write its vote to disk."""
 
     def _write(self, *args: Any, **named: Any) -> None:
         super()._write(*args, **named)
@@ -51,7 +51,7 @@
 
 
 class NeverStepsDown(Replica):
-    """A leader that hears no majority goes on."""
+    """A leader that hears from no majority does not step down."""
 
     def _leader_tick(self, now: float) -> None:
         for peer in self.peers.values():
@@ -60,7 +60,7 @@
 
 
 class TakesOldReplies(Replica):
-    """Any reply confirms a reading, whenever it was made."""
+    """Any reply confirms a read, however old it is."""
 
     def _record_round(self, now: float, progress: Any, number: int) -> None:
         super()._record_round(now, progress, number)
@@ -69,7 +69,7 @@
 
 
 class CommitsAlone(Replica):
-    """What is on the leader's own disk is committed."""
+    """Commits what is on the leader's own disk."""
 
     def _advance_commit(self, now: float) -> None:
         if self.durable_seq > self.commit:
@@ -79,14 +79,14 @@
 
 
 class NewAlone(m.VoterSet, frozen=True, array_like=True):
-    """A joint configuration that asks the new voters alone."""
+    """A joint configuration that needs only a majority of the new voters."""
 
     def majority(self, ids: set[str]) -> bool:
         return 2 * sum(member.id in ids for member in self.new) > len(self.new)
 
 
 class NeedsNewAlone(Replica):
-    """While voters change, a majority of the new ones is enough."""
+    """During a change of voters, needs only a majority of the new ones."""
 
     @property
     def voters(self) -> m.VoterSet:
@@ -98,7 +98,7 @@
 
 
 class EmptySnapshot(Replica):
-    """A snapshot takes the place of what it does not contain."""
+    """A snapshot replaces entries whose effects it does not contain."""
 
     def save_snapshot(self, body: bytes) -> list[m.Action]:
         if not self.due_for_snapshot():
@@ -107,7 +107,7 @@
 
 
 class EndsAtOnce(Replica):
-    """A replica that leaves ends at once, whatever the others hold."""
+    """A leaving replica stops at once, whatever the others hold."""
 
     def leave(self, now: float) -> list[m.Action]:
         done = super().leave(now)
@@ -116,7 +116,7 @@
 
 
 class RefusesUnasked(OrderDesk):
-    """A refusal, and a reading, are given by what is known here."""
+    """Refuses and reads by the local state, without a read barrier."""
 
     def read(self, now: float, token: int) -> Result:
         return [OrderAnswer(token, self.history.config())]
@@ -129,7 +129,7 @@
 
 
 class ForgetsOrders(OrderDesk):
-    """An order that was taken is not known again."""
+    """Does not recognise the repetition of an order that was accepted."""
 
     def _begin(self, now: float, order: Order) -> Result:
         if order.change.base != self.history.configuration.version and self.replica.caught_up:
@@ -138,14 +138,14 @@
 
 
 class AnswersBeforeCommit(OrderDesk):
-    """An order is acknowledged when it is proposed."""
+    """Acknowledges an order when it is proposed."""
 
     def _propose(self, now: float, order: Order) -> Result:
         return [*super()._propose(now, order), OrderAnswer(order.token, change=order.change)]
 
 
 class JudgesTogether(OrderDesk):
-    """Orders on one base are proposed side by side, and each is taken for done once it is in the log."""
+    """Proposes orders on the same base concurrently, and acknowledges each once it is in the log."""
 
     def _begin(self, now: float, order: Order) -> Result:
         done = super()._begin(now, order)
@@ -163,8 +163,9 @@
 
 
 @frozen
-class Suspect:
-    """A broken variant, the invariant that it breaks, and how it is looked for."""
+class Mutant:
+    """A mutant, the number of the invariant that it breaks, and the scene in which to look for the
+    violation."""
 
     name: str
     invariant: int
@@ -173,31 +174,31 @@
     keeps_ids: bool = False
     scene: Callable[[World], object] = lambda world: world.play(SECONDS)
 
-    def hunt(self) -> str:
-        """What broke, and where; "" if nothing did."""
+    def find_violation(self) -> str:
+        """The first violation and its seed, "" if there is none."""
         for seed in range(SEEDS):
             try:
                 self.scene(World(seed, 3, self.replica, desk=self.desk, keeps_ids=self.keeps_ids))
-            except Broken as error:
+            except InvariantViolation as error:
                 return f"seed {seed}: {error}"
         return ""
 
 
 MUTANTS = (
-    Suspect("forgets its vote", 1, ForgetsVote),
-    Suspect("votes for any log", 2, VotesForAny),
-    Suspect("counts before the disk", 2, CountsBeforeDisk),
-    Suspect("commits without a majority", 2, CommitsAlone),
-    Suspect("a lost disk votes again", 3, keeps_ids=True),
-    Suspect("needs the new voters alone", 4, NeedsNewAlone, scene=World.parted),
-    Suspect("never steps down", 5, NeverStepsDown),
-    Suspect("takes old replies for a reading", 6, TakesOldReplies, scene=World.late_replies),
-    Suspect("refuses by what it knows", 6, desk=RefusesUnasked),
-    Suspect("snapshot without its contents", 7, EmptySnapshot),
-    Suspect("ends at once", 8, EndsAtOnce, scene=World.only_copy),
-    Suspect("forgets orders", 6, desk=ForgetsOrders),
-    Suspect("acknowledges before the commit", 2, desk=AnswersBeforeCommit),
-    Suspect("judges orders side by side", 6, desk=JudgesTogether),
+    Mutant("forgets its vote", 1, ForgetsVote),
+    Mutant("votes for any log", 2, VotesForAny),
+    Mutant("counts before the disk", 2, CountsBeforeDisk),
+    Mutant("commits without a majority", 2, CommitsAlone),
+    Mutant("a lost disk votes again", 3, keeps_ids=True),
+    Mutant("needs the new voters alone", 4, NeedsNewAlone, scene=World.check_partition_during_change),
+    Mutant("never steps down", 5, NeverStepsDown),
+    Mutant("takes old replies for a reading", 6, TakesOldReplies, scene=World.check_late_replies),
+    Mutant("refuses by what it knows", 6, desk=RefusesUnasked),
+    Mutant("snapshot without its contents", 7, EmptySnapshot),
+    Mutant("ends at once", 8, EndsAtOnce, scene=World.check_only_copy_on_leave),
+    Mutant("forgets orders", 6, desk=ForgetsOrders),
+    Mutant("acknowledges before the commit", 2, desk=AnswersBeforeCommit),
+    Mutant("judges orders side by side", 6, desk=JudgesTogether),
 )
 
-__all__ = ["MUTANTS", "Change", "NeedsNewAlone", "Suspect"]
+__all__ = ["MUTANTS", "Change", "NeedsNewAlone", "Mutant"]
--- a/tests/cluster/test_ending.py
+++ b/tests/cluster/test_ending.py
@@ -1,4 +1,4 @@
-"""A process that ends while its disk is writing ends by itself, not by a fault in the middle of the write."""
+"""A process that stops while its disk is writing exits normally, and does not crash during the write."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from coralvale.net.clock import Clock
 from coralvale.standins.cluster import settings
 
-ENTRIES, SIZE = 200, 2000  # of each write: large enough that the end falls into one
+ENTRIES, SIZE = 200, 2000  # of each write: large enough that the close happens during one
 
 
 def end_while_writing(folder: Path) -> None:
@@ -37,7 +37,7 @@
     asyncio.run(whole())
 
 
-def test_a_disk_that_is_closed_in_the_middle_of_a_write_does_not_end_the_process(tmp_path: Path) -> None:
+def test_closing_the_disk_during_a_write_does_not_crash_the_process(tmp_path: Path) -> None:
     for number in range(4):
         folder = tmp_path / str(number)
         process = multiprocessing.get_context("spawn").Process(target=end_while_writing, args=(folder,))
--- a/tests/cluster/test_explore.py
+++ b/tests/cluster/test_explore.py
@@ -1,9 +1,10 @@
-"""Every order of events, within stated bounds, around changes in flight: no schedule is left to chance.
+"""Exhaustive exploration, within bounds, of the orders of events around changes in flight.
 
-Three voters, a leader with two changes just proposed. At each step one message on its way is delivered (any, so
-that others come late, or never) or once more than it was sent, one disk finishes its oldest write, one replica
-hears nobody for long, or stands still and hears then, or, within a budget, a replica loses power (unsynced
-writes with it), or its disk; in further scenes one joins or one leaves. Breadth first, each state once.
+There are three voters, and the leader has just proposed two changes. Each step is one of these: a message is
+delivered (in any order, so others are delayed or never arrive) or delivered twice; a disk finishes its oldest
+write; a replica hears nothing for a long time, or is suspended and then receives messages before its clock is
+read. Within a budget, a replica loses power (with its unsynced writes) or its disk. In further scenes a
+replica joins or leaves. The search is breadth-first and visits each state once.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 from typing import Any
 
 import pytest
-from consensus_world import TIMING, Broken, Disk
+from consensus_world import TIMING, Disk, InvariantViolation
 from mutants import CountsBeforeDisk, VotesForAny
 from test_consensus import VOTERS, A, B, C
 
@@ -27,24 +28,25 @@
 Step = tuple[str, int | str]
 
 
-def twin(value: Any) -> Any:
-    """A copy that shares nothing that a replica changes."""
+def copy_value(value: Any) -> Any:
+    """A copy that shares nothing that a replica modifies."""
     if isinstance(value, dict):
-        return {key: twin(item) for key, item in value.items()}
+        return {key: copy_value(item) for key, item in value.items()}
     if isinstance(value, Progress | list | deque | set):
         return copy.copy(value)
     return value
 
 
 class State:
-    """Replicas, their disks, writes and messages under way; what has been seen."""
+    """Replicas, their disks, unfinished writes and messages in flight, and what was delivered and
+    acknowledged."""
 
     def __init__(self, kind: type[Replica]) -> None:
         self.kind, self.now = kind, 10.0
         self.disks = {x.ip: Disk(x.id, DurableState(1, "a", 1, None, [VOTERS])) for x in (A, B, C)}
         self.members: dict[str, Replica] = {}
         self.writes: dict[str, tuple[m.Write, ...]] = {}
-        self.way: tuple[tuple[str, str, m.Message, str], ...] = ()
+        self.in_flight: tuple[tuple[str, str, m.Message, str], ...] = ()
         self.delivered: dict[int, m.Entry] = {}
         self.acknowledged: frozenset[bytes] = frozenset()
         self.losses, self.silences, self.doubles = 1, 2, 1
@@ -65,7 +67,7 @@
         new.members = {}
         for ip, replica in self.members.items():
             other = new.members[ip] = copy.copy(replica)
-            other.__dict__.update({name: twin(value) for name, value in replica.__dict__.items()})
+            other.__dict__.update({name: copy_value(value) for name, value in replica.__dict__.items()})
             other.download = copy.deepcopy(replica.download)
         new.writes, new.delivered = dict(self.writes), dict(self.delivered)
         return new
@@ -78,32 +80,32 @@
             for x in self.members.values()
         )  # fmt: skip
         disks = tuple((d.id, d.state.view, d.state.vote, tuple(d.state.entries)) for d in self.disks.values())
-        way = frozenset((a, b, repr(w)) for a, b, w, _ in self.way)
+        in_flight = frozenset((a, b, repr(w)) for a, b, w, _ in self.in_flight)
         budget = (self.losses, self.silences, self.doubles)
-        return members, disks, tuple(self.writes.values()), way, self.acknowledged, budget
+        return members, disks, tuple(self.writes.values()), in_flight, self.acknowledged, budget
 
     def act(self, ip: str, actions: list[m.Action]) -> None:
         for action in actions:
             match action:
                 case m.Send():
                     sent = (ip, action.to.ip, action.message, action.to.id)
-                    if sent not in self.way:
-                        self.way = (*self.way, sent)
+                    if sent not in self.in_flight:
+                        self.in_flight = (*self.in_flight, sent)
                 case m.Write():
                     self.writes[ip] = (*self.writes[ip], action)
                 case m.Deliver():
                     if self.delivered.setdefault(action.entry.seq, action.entry) != action.entry:
-                        raise Broken(f"two entries as {action.entry.seq}: {self.trace}")
+                        raise InvariantViolation(f"two entries as {action.entry.seq}: {self.trace}")
                 case m.Settled() if action.accepted:
                     self.acknowledged |= {b"change %d" % action.token}
         replica = self.members[ip]
         lacks = self.acknowledged - {e.body for e in replica.entries}
         if replica.leading and lacks:
-            raise Broken(f"a leader lacks what was acknowledged: {self.trace}")
+            raise InvariantViolation(f"a leader lacks what was acknowledged: {self.trace}")
 
     def steps(self) -> list[Step]:
-        found: list[Step] = [("deliver", n) for n in range(len(self.way))]
-        found += [("double", n) for n in range(len(self.way)) if self.doubles]
+        found: list[Step] = [("deliver", n) for n in range(len(self.in_flight))]
+        found += [("double", n) for n in range(len(self.in_flight)) if self.doubles]
         found += [("write", ip) for ip, writes in self.writes.items() if writes]
         found += [(what, ip) for what in ("silence", "thaw") for ip in self.members if self.silences]
         found += [(what, ip) for what in ("power", "disk") for ip in self.members if self.losses]
@@ -113,23 +115,22 @@
         self.trace = (*self.trace, f"{what} {which}")
         self.now += 0.001
         if isinstance(which, int):
-            source, to, message, disk = self.way[which]
+            source, to, message, disk = self.in_flight[which]
             if what == "double":
                 self.doubles -= 1
             else:
-                self.way = self.way[:which] + self.way[which + 1 :]
+                self.in_flight = self.in_flight[:which] + self.in_flight[which + 1 :]
             self.act(to, self.members[to].receive(self.now, message, source, disk))
         elif what == "write":
             write, *rest = self.writes[which]
             self.writes[which] = tuple(rest)
-            self.disks[which].put(write)
+            self.disks[which].apply(write)
             self.act(which, self.members[which].write_completed(self.now, write.number))
         elif what in ("silence", "thaw"):
             self.silences -= 1
             self.now += 5.0
-            if (
-                what == "silence"
-            ):  # one that stood still and thaws takes messages before its clock is looked at
+            # A suspended replica ("thaw") receives messages before its clock is read.
+            if what == "silence":
                 self.act(which, self.members[which].tick(self.now))
         else:
             self.losses -= 1
@@ -138,8 +139,8 @@
             self.start(which)
 
 
-def settle(state: State) -> None:
-    """All that is on its way comes to its end, in order."""
+def run_to_completion(state: State) -> None:
+    """Completes all writes and delivers all messages, in order."""
     for _ in range(200):
         steps = [s for s in state.steps() if s[0] in ("write", "deliver")]
         if not steps:
@@ -147,11 +148,11 @@
         state.step(*steps[0])
 
 
-def begun(kind: type[Replica], changes: int = 2) -> State:
-    """a leads view 2, all know it; changes are proposed."""
+def changes_in_flight(kind: type[Replica], changes: int = 2) -> State:
+    """Replica a leads view 2, which all know, and has proposed changes."""
     state = State(kind)
     state.step("silence", A.ip)
-    settle(state)
+    run_to_completion(state)
     leader = state.members[A.ip]
     assert leader.leading and leader.caught_up
     state.silences, state.trace = 2, ()
@@ -161,14 +162,13 @@
 
 
 def joining(kind: type[Replica]) -> State:
-    """A disk that is new at b's address has learned all, and b's place is given to it while a change is in
-    flight."""
-    state = begun(kind, 0)
+    """A learner with b's name holds everything, and replaces b while a change is in flight."""
+    state = changes_in_flight(kind, 0)
     state.members[A.ip].learners[NEW.id] = (m.Member(NEW.id, B.name, NEW.ip), state.now)
     state.disks[NEW.ip] = Disk(NEW.id)
     state.start(NEW.ip)
     state.act(A.ip, state.members[A.ip].tick(state.now + 0.2))
-    settle(state)
+    run_to_completion(state)
     state.act(A.ip, state.members[A.ip].propose(state.now, 1, m.CHANGE, b"change 1"))
     state.act(A.ip, state.members[A.ip].tick(state.now + 0.3))
     assert state.members[A.ip].voters.old
@@ -176,57 +176,59 @@
 
 
 def leaving(kind: type[Replica]) -> State:
-    """The leader is asked to leave with a change in flight."""
-    state = begun(kind, 1)
+    """The leader is asked to leave while a change is in flight."""
+    state = changes_in_flight(kind, 1)
     state.act(A.ip, state.members[A.ip].leave(state.now))
     return state
 
 
 def explore_from(first: State, states: int = STATES) -> tuple[int, int]:
-    """States met, and the depth that was reached whole. Raises Broken with the steps that lead there."""
-    met, queue, depth = {first.key()}, deque([(0, first)]), 0
-    while queue and len(met) < states:
+    """Number of states visited, and the depth reached. Raises InvariantViolation with the steps that lead to
+    it."""
+    seen, queue, depth = {first.key()}, deque([(0, first)]), 0
+    while queue and len(seen) < states:
         depth, state = queue.popleft()
         for step in state.steps():
             after = state.clone()
             after.step(*step)
             key = after.key()
-            if key not in met:
-                met.add(key)
+            if key not in seen:
+                seen.add(key)
                 queue.append((depth + 1, after))
-    return len(met), depth
+    return len(seen), depth
 
 
-@pytest.mark.parametrize("scene", [begun, joining, leaving])
-def test_around_changes_in_flight_nothing_is_lost_in_any_order(scene: Any) -> None:
+@pytest.mark.parametrize("scene", [changes_in_flight, joining, leaving])
+def test_no_order_of_events_loses_an_acknowledged_change(scene: Any) -> None:
     states, depth = explore_from(scene(Replica))
     print(f"explored from {scene.__name__}: {states} states, all to depth {depth - 1}")
     assert states >= STATES and depth >= 4
 
 
 def after_the_acknowledgement(kind: type[Replica]) -> tuple[int, int]:
-    """Explores from the moment at which a, who acknowledged, lost its disk, and b its power; c lags."""
-    state = begun(kind, 1)
+    """Explores from the state in which a, which acknowledged, has lost its disk, and b its power, while c
+    lags."""
+    state = changes_in_flight(kind, 1)
     while not state.acknowledged:
-        # Messages as soon as they are sent: of a disk only what a message waits for is done.
+        # Messages are delivered first; a disk write is done only when no message can be delivered.
         steps: list[Step] = []
-        steps += [("deliver", n) for n, (a, b, _, _) in enumerate(state.way) if C.ip not in (a, b)]
+        steps += [("deliver", n) for n, (a, b, _, _) in enumerate(state.in_flight) if C.ip not in (a, b)]
         steps += [s for s in state.steps() if s[0] == "write" and s[1] != C.ip]
         state.step(*steps[0])
-    state.way = tuple(w for w in state.way if C.ip not in w[:2])
+    state.in_flight = tuple(w for w in state.in_flight if C.ip not in w[:2])
     state.losses, state.doubles = 2, 0
     state.step("power", B.ip)
     state.step("disk", A.ip)
     return explore_from(state)
 
 
-def test_after_the_acknowledgement_one_disk_and_anothers_power_take_nothing_away() -> None:
+def test_losing_a_disk_and_power_after_the_acknowledgement_loses_nothing() -> None:
     states, depth = after_the_acknowledgement(Replica)
     print(f"explored after the acknowledgement: {states} states, depth {depth}")
     assert states >= 1000
 
 
 @pytest.mark.parametrize("kind", [VotesForAny, CountsBeforeDisk])
-def test_what_is_wrong_is_found_with_the_steps_that_lead_there(kind: type[Replica]) -> None:
-    with pytest.raises(Broken, match="silence"):
+def test_exploration_finds_mutants_and_reports_the_steps(kind: type[Replica]) -> None:
+    with pytest.raises(InvariantViolation, match="silence"):
         after_the_acknowledgement(kind)
--- a/tests/cluster/test_power.py
+++ b/tests/cluster/test_power.py
@@ -1,13 +1,14 @@
-"""A kill, and a loss of power, at every operation of the disk.
+"""A kill and a loss of power at every disk operation.
 
-A recorder under sqlite (a VFS of `apsw`) writes down each write, sync, cut and removal while a store is used:
-the trace. Then the disk is laid as it may stand after each of them, and read by the store as it is:
+A VFS of `apsw` under sqlite records each write, sync, truncation and removal while a store is used. Then, for
+the point after each operation, the files are restored as they may be, and read by the store:
 
 - killed: all operations so far are there;
-- power lost: what syncs covered is there; of later writes none, or, by lot, each there, missing or torn, as
-  DEPLOY has it. A new file lasts with its own sync, a removed name once its folder was synced.
+- power lost: everything synced is there; of later writes none, or at random each is complete, missing or
+  torn, as the deployment rules allow. A new file persists with its own sync, a removal once its folder was
+  synced.
 
-What is read must be what some write led to, never less than the newest that was answered.
+The state that is read must be the result of some write, never older than the newest acknowledged one.
 """
 
 from __future__ import annotations
@@ -25,12 +26,12 @@
 from coralvale.cluster.registry.register import Row
 from coralvale.cluster.storage.store import DATABASE_FILE, Store
 
-Operation = tuple[str, str, int, bytes]  # what, file, where, bytes
+Operation = tuple[str, str, int, bytes]  # kind, file, offset, bytes
 recorders: list[Recorder] = []
 VOTERS = m.VoterSet((m.Member("a", "gateway-a", "10.0.0.1"),))
 
 
-class File(apsw.VFSFile):
+class RecordedFile(apsw.VFSFile):
     def __init__(self, trace: list[Operation], name: Any, flags: Any) -> None:
         full = name.filename() if isinstance(name, apsw.URIFilename) else name
         self.trace, self.file = trace, Path(full).name
@@ -54,8 +55,8 @@
         self.trace: list[Operation] = []
         super().__init__(name, "")
 
-    def xOpen(self, name: Any, flags: Any) -> File:  # noqa: N802
-        return File(self.trace, name, flags)
+    def xOpen(self, name: Any, flags: Any) -> RecordedFile:  # noqa: N802
+        return RecordedFile(self.trace, name, flags)
 
     def xDelete(self, name: str, sync_folder: bool) -> None:  # noqa: N802
         self.trace.append(("remove", Path(name).name, 0, b""))
@@ -64,8 +65,8 @@
         super().xDelete(name, sync_folder)
 
 
-class Recorded(Store):
-    """The store as it is, on the recorder."""
+class RecordedStore(Store):
+    """The unmodified store, on the recorder."""
 
     pragmas: tuple[str, ...] = ()
 
@@ -87,20 +88,22 @@
         recorders[-1].trace.append(("folder", "", 0, b""))
 
 
-class NoFolder(Recorded):
-    """The folder is not synced once the database is made: its first journal may be back, and undo all."""
+class WithoutFolderSync(RecordedStore):
+    """Mutant: the folder is not synced after the database was created, so its first journal may reappear and
+    undo everything."""
 
     def _sync_folder(self) -> None: ...
 
 
-class Unsynced(Recorded):
-    """A commit is not synced before it is answered."""
+class WithoutCommitSync(RecordedStore):
+    """Mutant: a commit is not synced before it is acknowledged."""
 
     pragmas = ("synchronous=NORMAL",)
 
 
 def writes() -> list[m.Write | list[Row]]:
-    """A life of a member: entries, large ones, a view that trims, snapshots, hosts in between."""
+    """Typical writes of a member: large entries, truncations by a new view, snapshots, and hosts in
+    between."""
     chance, found, seq = random.Random(5), [], 0
     rows = [Row(f"i-{n}", "s", "10.0.0.1", 80 + n, "z", "v", 4, 0, 0.0, n) for n in range(40)]
     for step in range(46):
@@ -108,7 +111,7 @@
             saved = m.Snapshot(seq, step, VOTERS, chance.randbytes(9000))
             found.append(m.Write(step + 1, step, "a", seq, None, (), saved))
         elif step % 5 == 3 and (step - 1) % 9:
-            entry = m.Entry(seq, step, m.NO_OP)  # in place of the last
+            entry = m.Entry(seq, step, m.NO_OP)  # replaces the last entry
             found.append(m.Write(step + 1, step, "b", max(0, seq - 1), seq, (entry,)))
         else:
             seq += 1
@@ -121,8 +124,10 @@
     return found
 
 
-def used(folder: Path, kind: type[Recorded]) -> tuple[list[Operation], list[int], list[DurableState]]:
-    """The trace; how long it was when each write was answered; what each led to."""
+def record_trace(
+    folder: Path, kind: type[RecordedStore]
+) -> tuple[list[Operation], list[int], list[DurableState]]:
+    """The trace, its length when each write was acknowledged, and the state after each write."""
     recorder = Recorder("recorder")
     recorders.append(recorder)
     store, answered, led = kind(str(folder)), [len(recorder.trace)], [DurableState()]
@@ -141,42 +146,43 @@
 
 
 class Disk:
-    """Files as the process sees them, and as they stand after the power was lost."""
+    """Files as the process sees them, and as they may be after a loss of power."""
 
     def __init__(self) -> None:
-        self.seen: dict[str, bytearray] = {}
+        self.visible: dict[str, bytearray] = {}
         self.synced: dict[str, bytes] = {}
-        self.later: dict[str, list[Operation]] = {}
+        self.unsynced: dict[str, list[Operation]] = {}
 
-    def do(self, op: Operation) -> None:
+    def record(self, op: Operation) -> None:
         what, file, _, _ = op
         if what == "sync":
-            self.synced[file] = bytes(self.seen.setdefault(file, bytearray()))
-            self.later[file] = []
+            self.synced[file] = bytes(self.visible.setdefault(file, bytearray()))
+            self.unsynced[file] = []
         elif what == "remove":
-            self.seen.pop(file, None)
-        elif what == "folder":  # removed names last from now on
-            self.synced = {name: data for name, data in self.synced.items() if name in self.seen}
+            self.visible.pop(file, None)
+        elif what == "folder":  # removals persist from now on
+            self.synced = {name: data for name, data in self.synced.items() if name in self.visible}
         else:
-            apply(self.seen.setdefault(file, bytearray()), op)
-            self.later.setdefault(file, []).append(op)
+            apply_operation(self.visible.setdefault(file, bytearray()), op)
+            self.unsynced.setdefault(file, []).append(op)
 
-    def lost(self, chance: random.Random | None) -> dict[str, bytes]:
-        """With a chance, each later write is there, missing, or torn; without, all of them are gone."""
+    def after_power_loss(self, chance: random.Random | None) -> dict[str, bytes]:
+        """With `chance`, each unsynced write is complete, missing or torn at random; without, all of them are
+        missing."""
         found = {}
         for file, data in self.synced.items():
             new = bytearray(data)
-            for op in self.later.get(file, []) if chance else []:
+            for op in self.unsynced.get(file, []) if chance else []:
                 lot = chance.random() if chance else 0.0
                 if lot < 0.4:
-                    apply(new, op)
+                    apply_operation(new, op)
                 elif lot < 0.6 and op[0] == "write":
-                    apply(new, (*op[:3], op[3][: chance.randrange(len(op[3]))] if chance else b""))
+                    apply_operation(new, (*op[:3], op[3][: chance.randrange(len(op[3]))] if chance else b""))
             found[file] = bytes(new)
         return found
 
 
-def apply(data: bytearray, op: Operation) -> None:
+def apply_operation(data: bytearray, op: Operation) -> None:
     what, _, at, more = op
     if what == "cut":
         del data[at:]
@@ -203,25 +209,25 @@
         store.close()
 
 
-def play(folder: Path, kind: type[Recorded]) -> int:
-    """Reads the disk after each operation, in each way it may stand; how many were read."""
+def check_all_operations(folder: Path, kind: type[RecordedStore]) -> int:
+    """Reads the files after each operation, in each state they may be in; returns how many were read."""
     (folder / "used").mkdir()
-    trace, answered, led = used(folder / "used", kind)
+    trace, answered, led = record_trace(folder / "used", kind)
     again, disk, count = folder / "again", Disk(), 0
     again.mkdir()
     assert {"write", "sync"} <= {op[0] for op in trace} and {DATABASE_FILE, f"{DATABASE_FILE}-wal"} <= {
         op[1] for op in trace
     }
-    assert any(op[:2] == ("write", DATABASE_FILE) for op in trace[answered[5] :])  # a checkpoint came
+    assert any(op[:2] == ("write", DATABASE_FILE) for op in trace[answered[5] :])  # a checkpoint took place
     for place, op in enumerate(trace):
-        disk.do(op)
-        done = sum(at <= place + 1 for at in answered) - 1  # the newest that was answered
+        disk.record(op)
+        done = sum(at <= place + 1 for at in answered) - 1  # the newest acknowledged write
         chance = random.Random(place)
         for how, files in (
-            ("killed", {name: bytes(data) for name, data in disk.seen.items()}),
-            ("all unsynced writes are gone", disk.lost(None)),
-            ("some are there or torn", disk.lost(chance)),
-            ("others are there or torn", disk.lost(chance)),
+            ("killed", {name: bytes(data) for name, data in disk.visible.items()}),
+            ("all unsynced writes are gone", disk.after_power_loss(None)),
+            ("some are there or torn", disk.after_power_loss(chance)),
+            ("others are there or torn", disk.after_power_loss(chance)),
         ):
             found = read(again, files)
             may = led[max(0, done) : done + 2]
@@ -230,11 +236,11 @@
     return count
 
 
-def test_whatever_operation_is_the_last_a_disk_has_what_was_answered(tmp_path: Path) -> None:
-    assert play(tmp_path, Recorded) > 1000
+def test_acknowledged_writes_survive_a_kill_or_power_loss_at_any_operation(tmp_path: Path) -> None:
+    assert check_all_operations(tmp_path, RecordedStore) > 1000
 
 
-@pytest.mark.parametrize("kind", [Unsynced, NoFolder])
-def test_each_sync_taken_out_is_found_out(tmp_path: Path, kind: type[Recorded]) -> None:
+@pytest.mark.parametrize("kind", [WithoutCommitSync, WithoutFolderSync])
+def test_each_missing_sync_is_detected(tmp_path: Path, kind: type[RecordedStore]) -> None:
     with pytest.raises(AssertionError, match="gone|torn"):
-        play(tmp_path, kind)
+        check_all_operations(tmp_path, kind)
--- a/tests/cluster/test_storage.py
+++ b/tests/cluster/test_storage.py
@@ -1,5 +1,5 @@
-"""The disk: a write is there whole or not at all, what is not ours is refused by name, and an export begins
-anew."""
+"""The store: writes are atomic, foreign databases are refused with their file name, and an export can be
+restored."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
     return store
 
 
-def test_what_was_written_is_read_and_a_snapshot_takes_the_place_of_what_led_to_it(tmp_path: Path) -> None:
+def test_writes_are_read_back_and_a_snapshot_replaces_entries(tmp_path: Path) -> None:
     store = filled(tmp_path)
     record = store.load()
     assert (record.view, record.vote, record.commit, [e.seq for e in record.entries]) == (
@@ -56,27 +56,29 @@
     again = Store(str(tmp_path))
     record = again.load()
     assert again.id == store.id and record.snapshot == saved
-    assert [(e.seq, e.view) for e in record.entries] == [(2, 1), (3, 2)]  # one is kept behind the snapshot
-    again.write(
-        [m.Write(6, 3, "", 9, 0, (), m.Snapshot(9, 3, VOTERS, b""), 9)]
-    )  # one that came from the leader
+    assert [(e.seq, e.view) for e in record.entries] == [
+        (2, 1),
+        (3, 2),
+    ]  # one entry is kept behind the snapshot
+    # A snapshot from the leader.
+    again.write([m.Write(6, 3, "", 9, 0, (), m.Snapshot(9, 3, VOTERS, b""), 9)])
     assert again.load().entries == []
 
 
-def test_a_write_that_fails_half_way_leaves_nothing(tmp_path: Path) -> None:
+def test_failed_write_leaves_no_partial_data(tmp_path: Path) -> None:
     store = filled(tmp_path)
     bad = m.Entry(4, 1, m.CHANGE, object())  # type: ignore[arg-type]
     with pytest.raises(sqlite3.Error):
         store.write([m.Write(4, 9, "z", 3, 2, (m.Entry(2, 9, m.NO_OP), bad))])
     record = store.load()
     assert (record.view, [(e.seq, e.view) for e in record.entries]) == (1, [(1, 1), (2, 1), (3, 1)])
-    store.write([m.Write(4, 1, "a", 3, None, (m.Entry(4, 1, m.NO_OP),))])  # and it goes on
+    store.write([m.Write(4, 1, "a", 3, None, (m.Entry(4, 1, m.NO_OP),))])  # later writes succeed
     assert len(store.load().entries) == 4
 
 
-def test_power_lost_at_any_write_leaves_what_was_synced_before(tmp_path: Path) -> None:
-    """Copies of the folder as it stands after each write, with the newest log torn off: what is read is a
-    beginning of what was written, and never less than what the torn write came after."""
+def test_truncated_wal_yields_a_prefix_of_the_writes(tmp_path: Path) -> None:
+    """Copies the folder and truncates the write-ahead log at many places: what is read must be a prefix of
+    what was written, and longer logs must not yield fewer entries."""
     source, seen = tmp_path / "source", []
     store = filled(source)
     log = source / f"{DATABASE_FILE}-wal"
@@ -98,7 +100,7 @@
     assert [len(e) for e in seen] == sorted(len(e) for e in seen) and {0, 1, 2} <= {len(e) for e in seen}
 
 
-def test_a_disk_that_cannot_be_read_for_a_moment_is_not_taken_for_damaged(tmp_path: Path) -> None:
+def test_temporary_read_error_is_not_reported_as_damage(tmp_path: Path) -> None:
     store = filled(tmp_path)
 
     class Unreadable:
@@ -112,7 +114,7 @@
     assert store.load().commit == 3
 
 
-def test_what_is_not_ours_or_newer_is_refused_by_name(tmp_path: Path) -> None:
+def test_foreign_newer_or_incomplete_databases_are_refused(tmp_path: Path) -> None:
     (tmp_path / "foreign").mkdir()
     (tmp_path / "foreign" / DATABASE_FILE).write_bytes(b"not a database at all" * 400)
     with pytest.raises(StoreError, match=DATABASE_FILE):
@@ -128,7 +130,7 @@
         holed.load()
 
 
-def test_hosts_are_remembered_and_no_harm_if_not(tmp_path: Path) -> None:
+def test_stored_hosts_are_loaded_and_unreadable_ones_are_ignored(tmp_path: Path) -> None:
     store = filled(tmp_path)
     rows = [Row(f"i-{n}", "s", "10.0.0.1", 80 + n, "z", "v", 4, 0, 0.0, n) for n in range(30)]
     assert store.load_hosts() == []
@@ -141,7 +143,7 @@
     assert again.load_hosts() == []
 
 
-def test_an_export_begins_a_new_core_on_an_empty_disk_alone(tmp_path: Path) -> None:
+def test_export_can_be_restored_only_on_an_empty_disk(tmp_path: Path) -> None:
     filled(tmp_path / "old").close()
     found = inspect_state(tmp_path / "old")
     assert found["version"] == 7 and set(found["config"]["Routes"]) == {"r"}
@@ -154,16 +156,14 @@
     image = msgspec.msgpack.decode(base64.b64decode(again["image"]), type=Image)
     coordination = CoordinationState()
     coordination.restore(image.coordination)
-    assert coordination.fence >= COUNTER_SKIP  # what the lost core may have given is not given again
+    assert coordination.fence >= COUNTER_SKIP  # values that the lost core may have given out are skipped
     assert [x["id"] for x in again["members"]] == [name]
     for wrong in ({}, {**kept, "image": "!"}, {**kept, "format": 2}):
         with pytest.raises(DiskStateError):
             restore(wrong, tmp_path / "third", "gateway-c", "10.0.0.3")
 
 
-def test_the_commands_say_what_is_wrong_and_end_with_their_codes(
-    tmp_path: Path, capsys: pytest.CaptureFixture[str]
-) -> None:
+def test_commands_report_mistakes_and_exit_codes(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
     filled(tmp_path / "old").close()
     config = tmp_path / "config.json"
     config.write_bytes(body({**WHOLE, "Routes": {"r": {"Vhost": "a"}}}))
--- a/tests/memory_disk.py
+++ b/tests/memory_disk.py
@@ -1,4 +1,4 @@
-"""A folder in memory that fills up."""
+"""An in-memory folder with limited space, for tests."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Disk:
-    """A folder in memory. It takes `room` bytes more, then part of a write and an error."""
+    """An in-memory folder. It takes `room` more bytes, then part of a write, and raises ENOSPC."""
 
     def __init__(self) -> None:
         self.files: dict[str, bytes] = {}
@@ -20,8 +20,8 @@
             raise FileNotFoundError(errno.ENOENT, "no such file")
         return self.files[name]
 
-    def read_from(self, name: str, place: int, size: int) -> bytes:
-        return self.read(name)[place : place + size]
+    def read_from(self, name: str, offset: int, size: int) -> bytes:
+        return self.read(name)[offset : offset + size]
 
     def size(self, name: str) -> int:
         return len(self.read(name))
@@ -50,6 +50,8 @@
 
 
 class File:
+    """A file of `Disk`, opened for appending."""
+
     def __init__(self, disk: Disk, name: str) -> None:
         self.disk, self.name = disk, name
 
