--- a/coralvale/cluster/consensus/membership.py
+++ b/coralvale/cluster/consensus/membership.py
@@ -24,7 +24,7 @@
 LEARNER_TIMEOUT_S = 3.0  # without a join request until a learner is dropped
 LEAVE_TIMEOUT_S = 1.5  # without a leave request: the process has ended, or no longer wants to leave
 LEAVE_REQUEST_INTERVAL_S = 0.2  # between the requests of a leaving replica
-READY_MAX_SILENT_HEARTBEATS = 4  # a learner silent for longer is not made a voter
+LEARNER_MAX_SILENT_HEARTBEATS = 4  # a learner silent for longer is not made a voter
 
 
 class Membership(Replication):
@@ -83,7 +83,7 @@
             if (
                 holds_all
                 and now - progress.last_reply_at
-                <= self.timing.heartbeat_interval * READY_MAX_SILENT_HEARTBEATS
+                <= self.timing.heartbeat_interval * LEARNER_MAX_SILENT_HEARTBEATS
             ):
                 ready.append(member)
         return ready
--- a/coralvale/cluster/consensus/voters.py
+++ b/coralvale/cluster/consensus/voters.py
@@ -52,19 +52,19 @@
     """
     same = _same_machine(voters, learners)
     if same:
-        return _replaced(voters, *same)
+        return _replace(voters, *same)
     absent = sorted(
         (m for m in voters if silent.get(m.id, 0.0) > limits.replace_after), key=lambda m: -silent[m.id]
     )
     departing = [m for m in voters if m.id in leaving] + absent
     if learners and departing:
-        return _replaced(voters, departing[0], learners[0])
+        return _replace(voters, departing[0], learners[0])
     if learners and (len(voters) < limits.min_voters or len(voters) % 2 == 0):
         return (*voters, learners[0])
     if len(learners) >= 2:
         return (*voters, *learners[:2])
     if len(voters) > limits.min_voters:
-        return _without_spare(voters, silent, leaving, limits)
+        return _remove_spare(voters, silent, leaving, limits)
     return None
 
 
@@ -78,11 +78,11 @@
     return None
 
 
-def _replaced(voters: Sequence[Member], lost: Member, learner: Member) -> tuple[Member, ...]:
+def _replace(voters: Sequence[Member], lost: Member, learner: Member) -> tuple[Member, ...]:
     return (*(m for m in voters if m.id != lost.id), learner)
 
 
-def _without_spare(
+def _remove_spare(
     voters: Sequence[Member], silent: Mapping[str, float], leaving: Set[str], limits: Limits
 ) -> tuple[Member, ...] | None:
     """The voters without one that the fault budget does not need, None if all stay.
--- a/coralvale/cluster/storage/keeper.py
+++ b/coralvale/cluster/storage/keeper.py
@@ -134,18 +134,19 @@
     return history.image(image.shares, coordination.image())
 
 
-def restore(kept: dict[str, Any], folder: Path, hostname: str, ip: str) -> str:
+def restore(exported: dict[str, Any], folder: Path, hostname: str, ip: str) -> str:
     """Makes an empty disk the only member of a new core that starts from an export; returns the disk's id.
 
-    Only for losses beyond the fault budget: surviving members of the old core would not know of the new one.
+    `exported`: the decoded output of `export`. Only for losses beyond the fault budget: surviving members of
+    the old core would not know of the new one.
     """
-    if kept.get("format") != EXPORT_FORMAT:
-        raise DiskStateError(f"format: {kept.get('format')!r}, expected {EXPORT_FORMAT}")
+    if exported.get("format") != EXPORT_FORMAT:
+        raise DiskStateError(f"format: {exported.get('format')!r}, expected {EXPORT_FORMAT}")
     if (folder / DATABASE_FILE).exists():
         raise DiskStateError(f"{folder / DATABASE_FILE}: is there already; a restore begins on an empty disk")
     try:
-        body = _image_for_restore(base64.b64decode(kept["image"]))
-        view, seq = int(kept["view"]) + VIEW_SKIP, int(kept["delivered"])
+        body = _image_for_restore(base64.b64decode(exported["image"]))
+        view, seq = int(exported["view"]) + VIEW_SKIP, int(exported["delivered"])
     except (KeyError, ValueError, TypeError, msgspec.MsgspecError) as error:
         raise DiskStateError(f"the export cannot be used: {error}") from None
     store = Store(str(folder))
--- a/coralvale/cluster/storage/store.py
+++ b/coralvale/cluster/storage/store.py
@@ -102,11 +102,11 @@
         return str(name)
 
     def _sync_folder(self) -> None:
-        number = os.open(self.path.parent, os.O_RDONLY | os.O_DIRECTORY)
+        fd = os.open(self.path.parent, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            os.fsync(number)
+            os.fsync(fd)
         finally:
-            os.close(number)
+            os.close(fd)
 
     def _get_fact(self, name: str) -> object:
         row = self.db.execute("SELECT value FROM fact WHERE name = ?", (name,)).fetchone()
