--- a/coralvale/cluster/share_desk.py
+++ b/coralvale/cluster/share_desk.py
@@ -125,7 +125,7 @@
 
     def _may_answer(self, now: float) -> bool:
         replica = self.replica
-        return replica.leading and replica.settled and replica.in_contact(now)
+        return replica.leading and replica.caught_up and replica.in_contact(now)
 
     def _start_barrier(self, now: float) -> Result:
         """Starts one barrier for all waiting claims, but none while the allowance is being spent."""
