--- a/coralvale/cluster/configuration/__init__.py
+++ b/coralvale/cluster/configuration/__init__.py
@@ -1,1 +1,1 @@
-"""The configuration: its model, its checks, changes by name, lookup by prefix."""
+"""The configuration: data model, validation, partial changes and route lookup by prefix."""
--- a/coralvale/cluster/configuration/history.py
+++ b/coralvale/cluster/configuration/history.py
@@ -1,8 +1,8 @@
-"""What the changes, delivered in their one order, lead to: the configuration, and which changes were taken.
+"""The replicated configuration: it applies the changes of the log in order and remembers which were applied.
 
-The same at every member, since it depends on nothing but the changes. `consider` is what the leader asks
-before it orders a change, `deliver` what every member does with it; both judge alike, so a change that lost
-its race, or is invalid, has no effect wherever it stands.
+The result depends only on the changes, so it is the same at every member. The leader calls `validate` before
+it proposes a change, every member calls `deliver` on a committed one. Both apply the same checks, so a change
+that lost a race against another, or is invalid, has no effect even if it is in the log.
 """
 
 from __future__ import annotations
@@ -16,81 +16,84 @@
 from coralvale.cluster.configuration.model import Configuration, apply_patch, differences, parse_configuration
 from coralvale.cluster.errors import Kind, Problem
 
-REMEMBERED = 4096  # changes that are remembered, to know one that is sent again: 12 bytes and a version each
-NEWS = 64  # of them, that are handed on one by one
-STEPS = 64  # changes of which is remembered what they did
-NAMED = 12  # names that are remembered of each kind in each section
+MAX_KNOWN_CHANGES = 4096  # applied changes remembered to recognise retries: 12 bytes and a version each
+MAX_RECENT_CHANGES = 64  # applied changes kept whole, for updates that hold single changes
+MAX_SUMMARIES = 64
+MAX_NAMES_PER_SUMMARY = 12  # of each section, for each of added, changed and removed
 
 
 class Change(msgspec.Struct, frozen=True, array_like=True):
-    """An operator's call as it came."""
+    """An operator's change request, as received. `base`: the version that it builds on."""
 
     base: int
-    whole: bool  # config.replace, else config.update
+    whole: bool  # True: config.replace; False: config.update
     body: bytes
 
     def digest(self) -> bytes:
+        """Identifies the change by its body, base and kind."""
         return blake2b(b"%d %d " % (self.base, self.whole) + self.body, digest_size=12).digest()
 
 
 class ChangeSummary(msgspec.Struct, frozen=True, array_like=True):
-    """What a change did: by section what was added, changed and removed; how many, and the first names."""
+    """What an applied change did. `did`: for each section, count and first names of added, changed and
+    removed."""
 
     version: int
     base: int
     whole: bool
-    size: int  # bytes of the operator's call
+    size: int  # bytes of the body
     did: dict[str, dict[str, tuple[int, list[str]]]]
 
 
 class Image(msgspec.Struct, frozen=True, array_like=True):
-    """All of it as bytes."""
+    """The history as it is stored in a snapshot, with the other state machines of the log."""
 
     config: bytes  # JSON
     applied: tuple[tuple[int, bytes], ...]
     summaries: tuple[ChangeSummary, ...] = ()
-    oldest_base: int = 0  # of the changes in `taken`
-    shares: bytes = b""  # the table of shares, as the rate limiter packs it
-    coordination: bytes = b""  # locks, numbers and keys, as `CoordinationState` packs them
+    oldest_base: int = 0  # the oldest base of the changes in `applied`
+    shares: bytes = b""  # the table of shares, as packed by the rate limiter
+    coordination: bytes = b""  # locks, numbers and keys, as packed by `CoordinationState`
 
 
 EMPTY_IMAGE = Image(b"{}", ())
 
 
 class ConfigurationUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """What leads from the version asked about to a newer one: changes, or the whole configuration."""
+    """An update from an older version to the newest: single changes, or the whole configuration as JSON."""
 
     changes: tuple[Change, ...] = ()
     whole: bytes = b""
 
 
 class AlreadyApplied:
-    """A change that is in force already."""
+    """The change was applied before; it is a retry."""
 
 
 class BaseTooOld:
-    """A change on a base so old that whether it was taken is not remembered any more."""
+    """The change's base is so old that it is not known any more whether the change was applied."""
 
 
 ALREADY_APPLIED, BASE_TOO_OLD = AlreadyApplied(), BaseTooOld()
-_image, _json = msgspec.msgpack.Decoder(Image).decode, msgspec.json.decode
-_change = msgspec.msgpack.Decoder(Change).decode
+_decode_image, _decode_json = msgspec.msgpack.Decoder(Image).decode, msgspec.json.decode
+_decode_change = msgspec.msgpack.Decoder(Change).decode
 
 
 def pack(change: Change) -> bytes:
+    """Encodes a change as a log entry."""
     return msgspec.msgpack.encode(change)
 
 
-def _decoded(body: bytes) -> Any:  # noqa: ANN401
+def _decode_body(body: bytes) -> Any:  # noqa: ANN401
     try:
-        return _json(body)
+        return _decode_json(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         return Problem(Kind.INVALID, f"cannot be read whole: {error}")
 
 
 def build_configuration(change: Change, before: Configuration) -> Configuration | Problem:
-    """The configuration that a change leads to."""
-    sent = _decoded(change.body)
+    """The configuration that results from a change, or why there is none."""
+    sent = _decode_body(change.body)
     if isinstance(sent, Problem):
         return sent
     raw = sent if change.whole else apply_patch(before.raw, sent)
@@ -98,22 +101,23 @@
 
 
 class ChangeHistory:
+    """The current configuration, and the changes applied to it."""
+
     def __init__(self) -> None:
         self.configuration = Configuration()
-        self.applied: OrderedDict[bytes, int] = (
-            OrderedDict()
-        )  # digest of a change: the version that it led to
-        self.oldest_base = 0  # a change on an older base may have been taken and forgotten
-        self.news: deque[tuple[int, int, Change]] = deque(maxlen=NEWS)  # from, to, change
-        self.summaries: deque[ChangeSummary] = deque(maxlen=STEPS)
-        self.planned: tuple[bytes, Configuration] | None = None  # what the newest consideration led to
+        self.applied: OrderedDict[bytes, int] = OrderedDict()  # by digest of a change: resulting version
+        self.oldest_base = 0  # a change with an older base may have been applied without being remembered
+        # Version before, version after, change.
+        self.recent_changes: deque[tuple[int, int, Change]] = deque(maxlen=MAX_RECENT_CHANGES)
+        self.summaries: deque[ChangeSummary] = deque(maxlen=MAX_SUMMARIES)
+        self.validated: tuple[bytes, Configuration] | None = None  # result of the last `validate`
 
     def was_applied(self, change: Change) -> bool:
-        """Whether this very change (its bytes, on its base) is among those remembered."""
+        """Whether this change (same body, base and kind) is among the remembered ones."""
         return change.digest() in self.applied
 
     def validate(self, change: Change) -> Problem | AlreadyApplied | BaseTooOld | None:
-        """Why a change is not to be ordered; None if it is."""
+        """None if the change is to be proposed, else why not."""
         digest = change.digest()
         if digest in self.applied:
             return ALREADY_APPLIED
@@ -124,31 +128,31 @@
         planned = build_configuration(change, self.configuration)
         if isinstance(planned, Problem):
             return planned
-        self.planned = (digest, planned)
+        self.validated = (digest, planned)
         return None
 
     def deliver(self, body: bytes) -> bool:
-        """Takes a change; whether it is in force now."""
-        change = _change(body)
+        """Applies a committed change; returns whether it took effect."""
+        change = _decode_change(body)
         digest = change.digest()
         if change.base != self.configuration.version:
             return False
-        known = self.planned if self.planned and self.planned[0] == digest else None
+        known = self.validated if self.validated and self.validated[0] == digest else None
         planned = known[1] if known else build_configuration(change, self.configuration)
-        self.planned = None
+        self.validated = None
         if isinstance(planned, Problem):
             return False
-        self.news.append((self.configuration.version, planned.version, change))
-        self._remember(change, planned)
+        self.recent_changes.append((self.configuration.version, planned.version, change))
+        self._record_summary(change, planned)
         self.configuration = planned
         self.applied[digest] = planned.version
-        while len(self.applied) > REMEMBERED:
+        while len(self.applied) > MAX_KNOWN_CHANGES:
             _, self.oldest_base = self.applied.popitem(last=False)
         return True
 
-    def _remember(self, change: Change, planned: Configuration) -> None:
+    def _record_summary(self, change: Change, planned: Configuration) -> None:
         did = {
-            section: {what: (len(names), names[:NAMED]) for what, names in rows.items()}
+            section: {what: (len(names), names[:MAX_NAMES_PER_SUMMARY]) for what, names in rows.items()}
             for section, rows in differences(self.configuration.raw, planned.raw).items()
         }
         self.summaries.append(
@@ -156,48 +160,51 @@
         )
 
     def config(self) -> bytes:
+        """The current configuration as JSON."""
         return msgspec.json.encode(self.configuration.raw)
 
     def image(self, shares: bytes = b"", coordination: bytes = b"") -> bytes:
-        """`shares`, `coordination`: what else the same log keeps, as bytes, to be kept beside it."""
+        """The history as bytes, for a snapshot. `shares`, `coordination`: the log's other state machines as
+        bytes."""
         taken = tuple((version, digest) for digest, version in self.applied.items())
         image = Image(self.config(), taken, tuple(self.summaries), self.oldest_base, shares, coordination)
         return msgspec.msgpack.encode(image)
 
     def restore(self, body: bytes) -> Image:
-        """Takes what `image` gave, at another member or before this process began; returns it, for what was
-        kept beside it."""
+        """Loads the result of `image`; returns the decoded snapshot, for its `shares` and `coordination`.
+
+        Raises ValueError where the stored configuration is not valid.
+        """
         if not body:
             return EMPTY_IMAGE
-        image = _image(body)
-        raw = _json(image.config)
+        image = _decode_image(body)
+        raw = _decode_json(image.config)
         configuration = parse_configuration(raw, Configuration()) if raw else Configuration()
-        if isinstance(
-            configuration, Problem
-        ):  # it was checked before it was taken: only another program's checks differ
-            raise ValueError(f"the configuration kept cannot be used: {configuration.reason}")
+        # It was valid when it was applied: only a program version with other checks rejects it.
+        if isinstance(configuration, Problem):
+            raise ValueError(f"the stored configuration is not valid: {configuration.reason}")
         self.configuration = configuration
         self.applied = OrderedDict((digest, version) for version, digest in image.applied)
         self.oldest_base = image.oldest_base
-        self.summaries = deque(image.summaries, maxlen=STEPS)
-        self.news.clear()
+        self.summaries = deque(image.summaries, maxlen=MAX_SUMMARIES)
+        self.recent_changes.clear()
         return image
 
     def update_since(self, version: int) -> ConfigurationUpdate | None:
-        """What is newer than a version; None if nothing is."""
+        """The update from `version` to the current one; None if `version` is current."""
         if version >= self.configuration.version:
             return None
         changes: list[Change] = []
-        for start, _, change in self.news:
+        for start, _, change in self.recent_changes:
             if changes or start == version:
                 changes.append(change)
         return ConfigurationUpdate(tuple(changes)) if changes else ConfigurationUpdate(whole=self.config())
 
 
 def apply_update(configuration: Configuration, news: ConfigurationUpdate) -> Configuration | Problem:
-    """What a gateway makes of news."""
+    """The configuration of a gateway without a replica after an update, or why it cannot be used."""
     if news.whole:
-        raw = _decoded(news.whole)
+        raw = _decode_body(news.whole)
         return raw if isinstance(raw, Problem) else parse_configuration(raw, configuration)
     for change in news.changes:
         planned = build_configuration(change, configuration)
--- a/coralvale/cluster/configuration/model.py
+++ b/coralvale/cluster/configuration/model.py
@@ -1,7 +1,8 @@
-"""The operator's configuration as types, its checks, and what a gateway looks up in it.
+"""The operator's configuration: its types, its validation, and lookups in it.
 
-`Configuration` is immutable: a gateway swaps the whole of it, and only for one with a higher version. A name
-that did not change between two versions keeps its object, so reading a version costs what it changes.
+`Configuration` is not modified after it is built: a gateway replaces the whole object, and only by one with a
+higher version. An item that did not change between two versions keeps its object, so parsing a version costs
+time only for the items that changed.
 """
 
 from __future__ import annotations
@@ -14,15 +15,15 @@
 
 from coralvale.cluster.errors import Kind, Problem
 
-MOST_TIMEOUT = 600_000  # ms
-AIM_OVER = 60_000  # ms that an aim may lie over its route's time-out, less one
+MAX_TIMEOUT_MS = 600_000
+TARGET_EXCESS_LIMIT_MS = 60_000  # TargetMs may exceed TimeoutMs by less than this
 SECTIONS = ("Routes", "Svcs", "Tenants")
-MISTAKES = 20  # told at once
+MAX_REPORTED_ERRORS = 20  # in one answer
 
 
 @frozen
 class Part:
-    """A service of a split route, with its weight."""
+    """One target service of a route with a weighted split."""
 
     Svc: str
     Wt: float = 1.0
@@ -30,6 +31,8 @@
 
 @frozen
 class Route:
+    """A route: requests to a host below a path prefix, and the services that answer them."""
+
     Vhost: str
     PathPrefix: str
     Kind: str
@@ -40,28 +43,34 @@
     Public: bool = False
     Svc: str = ""
     Split: tuple[Part, ...] = ()
-    Region: str = ""  # that it is bound to; may only narrow what its services are bound to
+    Region: str = ""  # bound to this region; may only narrow the binding of its services
 
     @property
     def repeatable(self) -> bool:
+        """Whether a request may be sent more than once."""
         return self.Kind == "idempotent"
 
     @property
     def parts(self) -> tuple[Part, ...]:
+        """The target services; a route without a split has one."""
         return self.Split or (Part(self.Svc),)
 
 
 @frozen
 class Service:
+    """A service. `HealthPath`: the path of its health check."""
+
     HealthPath: str = "/"
     MaxConns: int = 0
     Protocol: str = "h1"
     Tls: bool = False
-    Region: str = ""  # whose gateways alone may answer; "": any
+    Region: str = ""  # only gateways of this region may answer; "": any
 
 
 @frozen
 class Tenant:
+    """A tenant: its API keys, priority and rate limit."""
+
     ApiKeys: tuple[str, ...] = ()
     Prio: int | None = None
     RatePerS: float = 0.0
@@ -70,6 +79,8 @@
 
 @frozen
 class ClientLimits:
+    """Limits on client connections: sizes in bytes, times in ms."""
+
     HeaderBytes: int = 65536
     BodyBytes: int = 33554432
     HdrReadMs: float = 2250.0
@@ -82,23 +93,26 @@
 
 @define
 class Configuration:
-    """One version, ready to be looked up in. Not changed after it was made."""
+    """One version, indexed for lookups. Not modified after it is built."""
 
     version: int = 0
     raw: dict[str, Any] = field(factory=dict)
-    items: dict[str, dict[str, tuple[Any, Any]]] = field(factory=dict)  # by section, name: as sent, as read
-    prefixes: dict[str, dict[str, tuple[str, Route]]] = field(factory=dict)  # by host, prefix: name and route
-    depth: dict[str, int] = field(factory=dict)  # slashes of a host's longest prefix
-    keys: dict[str, str] = field(factory=dict)  # of tenants, to their names
+    # By section and name: raw and parsed item.
+    items: dict[str, dict[str, tuple[Any, Any]]] = field(factory=dict)
+    # By host and prefix: route name and route.
+    prefixes: dict[str, dict[str, tuple[str, Route]]] = field(factory=dict)
+    max_depth: dict[str, int] = field(factory=dict)  # by host: most slashes in one of its prefixes
+    keys: dict[str, str] = field(factory=dict)  # tenant names by API key
     limits: ClientLimits = field(factory=ClientLimits)
-    has_route_regions: bool = False  # a route is bound by itself
+    has_route_regions: bool = False  # whether any route sets its own Region
 
     def route(self, host: str, path: str) -> tuple[str, Route] | None:
-        """The route of the longest prefix; time grows with the slashes of the path alone."""
+        """Name and route of the longest matching prefix. The time depends on the slashes in the path, not on
+        the number of routes."""
         table = self.prefixes.get(host)
         if table is None:
             return None
-        most, end = self.depth[host], -1
+        most, end = self.max_depth[host], -1
         ends: list[int] = []
         while len(ends) < most and (end := path.find("/", end + 1)) >= 0:
             ends.append(end + 1)
@@ -108,22 +122,26 @@
         return None
 
     def service(self, name: str) -> Service | None:
+        """The service with this name."""
         found = self.items.get("Svcs", {}).get(name)
         return found[1] if found else None
 
     def tenant(self, name: str) -> Tenant | None:
+        """The tenant with this name."""
         found = self.items.get("Tenants", {}).get(name)
         return found[1] if found else None
 
     def tenants(self) -> Mapping[str, tuple[Any, Tenant]]:
+        """Raw and parsed tenants by name."""
         return self.items.get("Tenants", {})
 
     def services(self) -> Mapping[str, tuple[Any, Service]]:
+        """Raw and parsed services by name."""
         return self.items.get("Svcs", {})
 
 
-def _read(section: str, name: str, raw: Any) -> Any:  # noqa: ANN401
-    """One item, or a list of what is wrong with it."""
+def _parse_item(section: str, name: str, raw: Any) -> Any:  # noqa: ANN401
+    """The parsed item, or a list of error texts."""
     if not isinstance(raw, dict):
         return [f"{section}.{name}: expected fields with values"]
     try:
@@ -134,17 +152,19 @@
         return [f"{section}.{name}: {error}"]
 
 
-def _wrong_route(name: str, route: Route, services: Mapping[str, Any], bound: Mapping[str, str]) -> list[str]:
-    """`bound`: services that are bound, to their regions."""
+def _route_errors(
+    name: str, route: Route, services: Mapping[str, Any], bound: Mapping[str, str]
+) -> list[str]:
+    """Error texts for a route. `bound`: regions by name of the services that are bound to one."""
     at = f"Routes.{name}"
     found = []
     if not route.PathPrefix.startswith("/"):
         found.append(f"{at}.PathPrefix: {route.PathPrefix!r} does not begin with a slash")
     if route.Kind not in ("idempotent", "mutating"):
         found.append(f"{at}.Kind: {route.Kind!r}: expected idempotent or mutating")
-    if not 0 < route.TimeoutMs <= MOST_TIMEOUT:
-        found.append(f"{at}.TimeoutMs: {route.TimeoutMs:g} is not above 0 and up to {MOST_TIMEOUT}")
-    elif route.TargetMs - route.TimeoutMs >= AIM_OVER:
+    if not 0 < route.TimeoutMs <= MAX_TIMEOUT_MS:
+        found.append(f"{at}.TimeoutMs: {route.TimeoutMs:g} is not above 0 and up to {MAX_TIMEOUT_MS}")
+    elif route.TargetMs - route.TimeoutMs >= TARGET_EXCESS_LIMIT_MS:
         found.append(f"{at}.TargetMs: {route.TargetMs:g} lies a minute or more over TimeoutMs")
     if route.Tries < 1:
         found.append(f"{at}.Tries: {route.Tries}: expected 1 or more")
@@ -162,29 +182,30 @@
 
 
 def parse_configuration(raw: Any, before: Configuration) -> Configuration | Problem:  # noqa: ANN401
-    """Reads and checks a whole configuration; `before` is the one in force, whose objects are kept."""
+    """Parses and validates a whole configuration. `before`: the current one; unchanged items keep its
+    objects."""
     if (
         not isinstance(raw, dict)
         or not isinstance(version := raw.get("Ver"), int)
         or isinstance(version, bool)
     ):
         return Problem(Kind.INVALID, "Ver: expected a whole number")
-    wrong: list[str] = []
+    errors: list[str] = []
     if version <= before.version:
-        wrong.append(f"Ver: {version} is not above {before.version}, which is current")
+        errors.append(f"Ver: {version} is not above {before.version}, which is current")
     configuration = Configuration(version, raw)
     for section in SECTIONS:
         table = raw.get(section) or {}
         if not isinstance(table, dict):
-            wrong.append(f"{section}: expected a table")
+            errors.append(f"{section}: expected a table")
             continue
         old, new = before.items.get(section, {}), {}
         for name, value in table.items():
             kept = old.get(name)
             if kept is None or (kept[0] is not value and kept[0] != value):
-                read = _read(section, name, value)
+                read = _parse_item(section, name, value)
                 if isinstance(read, list):
-                    wrong += read
+                    errors += read
                     continue
                 kept = (value, read)
             new[name] = kept
@@ -192,7 +213,7 @@
     try:
         configuration.limits = _converter.structure(raw.get("Limits") or {}, ClientLimits)
     except (cattrs.BaseValidationError, ValueError, TypeError, AttributeError):
-        wrong.append("Limits: cannot be read")
+        errors.append("Limits: cannot be read")
     services = raw.get("Svcs") or {}
     bound = {n: s.Region for n, (_, s) in configuration.items.get("Svcs", {}).items() if s.Region}
     same = set(services) == set(before.services()) and bound == {
@@ -201,24 +222,24 @@
     checked = before.items.get("Routes", {}) if same else {}
     for name, item in configuration.items.get("Routes", {}).items():
         route = item[1]
-        if checked.get(name) is not item:  # one that was checked against the same services stays right
-            wrong += _wrong_route(name, route, services, bound)
+        if checked.get(name) is not item:  # unchanged and checked against the same services before
+            errors += _route_errors(name, route, services, bound)
         configuration.has_route_regions = configuration.has_route_regions or bool(route.Region)
         host = route.Vhost.lower()
         configuration.prefixes.setdefault(host, {})[route.PathPrefix] = (name, route)
-        configuration.depth[host] = max(configuration.depth.get(host, 0), route.PathPrefix.count("/"))
+        configuration.max_depth[host] = max(configuration.max_depth.get(host, 0), route.PathPrefix.count("/"))
     for name, (_, tenant) in configuration.items.get("Tenants", {}).items():
         for key in tenant.ApiKeys:
             if configuration.keys.setdefault(key, name) != name:
-                wrong.append(f"Tenants.{name}.ApiKeys: a key that {configuration.keys[key]} has as well")
-    if wrong:
-        more = f", and {len(wrong) - MISTAKES} more" if len(wrong) > MISTAKES else ""
-        return Problem(Kind.INVALID, "; ".join(wrong[:MISTAKES]) + more)
+                errors.append(f"Tenants.{name}.ApiKeys: a key that {configuration.keys[key]} has as well")
+    if errors:
+        more = f", and {len(errors) - MAX_REPORTED_ERRORS} more" if len(errors) > MAX_REPORTED_ERRORS else ""
+        return Problem(Kind.INVALID, "; ".join(errors[:MAX_REPORTED_ERRORS]) + more)
     return configuration
 
 
 def differences(before: Mapping[str, Any], after: Mapping[str, Any]) -> dict[str, dict[str, list[str]]]:
-    """By section: names that were added, changed and removed. Sections that are alike are left out."""
+    """Names added, changed and removed, by section; sections without differences are left out."""
     found: dict[str, dict[str, list[str]]] = {}
     for section in SECTIONS:
         old, new = before.get(section) or {}, after.get(section) or {}
@@ -235,7 +256,7 @@
 
 
 def apply_patch(raw: dict[str, Any], change: Any) -> dict[str, Any] | Problem:  # noqa: ANN401
-    """The whole configuration after a change by names. What the change does not name keeps its object."""
+    """The raw configuration after a partial change (`Upsert`, `Remove`). Other items keep their objects."""
     if not isinstance(change, dict):
         return Problem(Kind.INVALID, "expected Ver, Upsert and Remove")
     upsert, remove = change.get("Upsert") or {}, change.get("Remove") or {}
--- a/coralvale/cluster/coordination/__init__.py
+++ b/coralvale/cluster/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""Locks, elections, numbers, keys and watches for applications, over the replicated log."""
+"""Locks, leader election, counters, keys and watches for applications, on top of the replicated log."""
--- a/coralvale/cluster/coordination/desk.py
+++ b/coralvale/cluster/coordination/desk.py
@@ -1,15 +1,15 @@
-"""Applications' calls at the leader, without I/O: what is answered, and what must be known before it is.
+"""Processes applications' coordination calls at the leader, without I/O.
 
-Calls are taken in turns, one turn on its way at a time. A turn that changes something is one entry of the log,
-whose commit also proves that this leader still led after the turn's calls had come; a turn that changes nothing
-is a read barrier, which proves the same. What a turn only reads is read once that is known, so every answer is
-as new as its call.
+Calls are processed in batches called turns, and at most one turn is in flight. A turn with operations becomes
+one log entry; its commit also proves that this replica was still the leader after the calls of the turn
+arrived. A turn without operations is a read barrier, which proves the same. Reads of a turn are evaluated
+after that proof, so every read is linearizable: its answer is at least as recent as the call's arrival.
 
-What needs no proof is answered at once: that another may hold a lock, that a put was stored, or that its key has
-gone beyond the revision that it expected. Neither is ever taken back.
+Some answers need no proof and are sent at once: that another owner may hold the lock, that a put is already
+stored, and that the key's revision is past the expected one. None of these is ever revoked.
 
-An answer that nothing was done is given only to a call that was never proposed. A call whose entry is not known
-to be committed is answered `Unknown`.
+`Unavailable` and `Full` mean that nothing was done; they are given only to calls that were not proposed or
+that changed nothing. A call whose log entry is not known to be committed is answered `Unknown`.
 """
 
 from __future__ import annotations
@@ -52,25 +52,23 @@
     pack_batch,
     unpack_batch,
 )
-from coralvale.cluster.coordination.notices import Notice, holders, notices
+from coralvale.cluster.coordination.notices import Notice, affected_holders, collect_notices
 from coralvale.cluster.coordination.state import CoordinationState
 from coralvale.cluster.coordination.watches import WaitingWatch, Watches
 
-MOST_WAITING = 1024  # calls that wait for a turn
-MAX_CALLS_PER_TURN = 256  # calls
-MOST_AGE = 0.8  # s that a call waits for a turn; callers are silent for a second before they ask elsewhere
-PUTS_REMEMBERED_MS = (
-    120_000  # for which a put is known when it comes again; callers repeat one for some seconds
-)
-EVENTS_MARGIN_MS = 10_000  # beyond twice the time for which events are promised to be kept
-SWEEP_EVERY = 10.0  # s between looks for locks that nobody asks for
-SWEEP_AFTER = 60.0  # s after the end of its lease until such a lock is dropped
-MOST_SWEPT = 64  # locks in one sweep
+MAX_WAITING_CALLS = 1024  # calls queued for a turn
+MAX_CALLS_PER_TURN = 256
+MAX_WAIT_S = 0.8  # in the queue; below the 1 s after which callers try another gateway
+PUT_RETENTION_MS = 120_000  # how long a repeated put is recognised; callers retry for some seconds
+EVENT_RETENTION_MARGIN_MS = 10_000  # added to twice the promised retention of events
+SWEEP_INTERVAL_S = 10.0  # between scans for abandoned locks
+SWEEP_DELAY_S = 60.0  # from the end of a lease until its lock is removed
+MAX_SWEPT_LOCKS = 64  # locks removed by one sweep
 
 
 @frozen
 class CoordinationAnswer:
-    """What a call led to."""
+    """The outcome of the call with this token."""
 
     token: int
     outcome: Outcome
@@ -78,17 +76,21 @@
 
 @frozen
 class PendingCall:
-    """A call that waits; `at`: when it came."""
+    """A queued call and the time, in s of the steady clock, at which it arrived."""
 
     token: int
     call: Call
-    at: float
+    received_at: float
 
 
 @define
 class Turn:
-    """What is on its way. `writers`: tokens of the operations, 0 where nobody waits; `readers`: calls that are
-    answered by the state at the turn's end."""
+    """A batch of calls that is processed together.
+
+    `token`: of its proposal or read barrier. `number`: random id, also in its log entry. `writers`: tokens of
+    the callers, one per operation; 0 where no caller waits. `readers`: calls that are answered from the state
+    once the turn is settled. `outcomes`: of the operations, None until the entry is delivered.
+    """
 
     token: int
     number: int
@@ -100,7 +102,7 @@
 
 @frozen
 class CoordinationNotice:
-    """For the log of this gateway."""
+    """An event for the operational log of this gateway."""
 
     notice: Notice
 
@@ -109,78 +111,81 @@
 
 
 class CoordinationHandler:
-    """`settled` is to be called with each `Settled` action of the replica, `deliver` and `restore` with what
-    the log brings, `tick` now and then."""
+    """Answers coordination calls at the leader and applies coordination entries at every replica.
+
+    The caller passes each `Settled` action of the replica to `settled`, committed entries to `deliver`,
+    snapshots to `restore`, and calls `tick` regularly. Times are in s of the steady clock.
+    """
 
     def __init__(
         self,
         replica: Replica,
         state: CoordinationState,
         next_token: Callable[[], int],
-        chance: random.Random,
+        rng: random.Random,
         retain_s: float,
     ) -> None:
-        """`retain_s`: s for which a watch may be resumed from a revision that it was given."""
-        self.replica, self.state, self.next_token, self.chance = replica, state, next_token, chance
-        self.events_kept_ms = int(2000 * retain_s) + EVENTS_MARGIN_MS
+        """`retain_s`: how long, in s, a watch may be resumed from a revision that it was given."""
+        self.replica, self.state, self.next_token, self.rng = replica, state, next_token, rng
+        self.event_retention_ms = int(2000 * retain_s) + EVENT_RETENTION_MARGIN_MS
         self.waiting: deque[PendingCall] = deque()
         self.watches = Watches()
         self.turn: Turn | None = None
         self.leases = Leases(0.0)
-        self.view = 0  # in which this replica leads, and to which the leases belong
-        self.first_time_ms = 0  # the log's time at the view's beginning
-        self.swept_at = 0.0
-        self.turns = 0  # that were begun
+        self.view = 0  # the view in which this replica leads; `leases` belong to it
+        self.view_start_ms = 0  # the log's time when the view began
+        self.last_sweep_at = 0.0
+        self.turns = 0  # number of turns submitted
 
-    # What comes in
+    # Inputs
 
     def call(self, now: float, token: int, call: Call) -> Result:
-        """An application's call; its answer follows, here or later."""
+        """Accepts an application's call. Its answer is returned here or by a later method call."""
         if not self._may_answer(now):
             return [CoordinationAnswer(token, Unavailable("this gateway does not lead, or not yet"))]
-        if len(self.waiting) >= MOST_WAITING:
+        if len(self.waiting) >= MAX_WAITING_CALLS:
             return [CoordinationAnswer(token, Full("too many calls are waiting"))]
         self._extend_lease(now, call)
         self.waiting.append(PendingCall(token, call, now))
         return self._next_turn(now)
 
     def deliver(self, now: float, body: bytes) -> Result:
-        """An entry of the log."""
+        """Applies a committed log entry; returns notices and the answers of watches that it completes."""
         batch = unpack_batch(body)
-        before = holders(self.state, batch)
+        before = affected_holders(self.state, batch)
         outcomes = self.state.apply(batch)
-        mine = self.turn is not None and self.turn.number == batch.number
-        if self.turn and mine:
+        proposed_here = self.turn is not None and self.turn.number == batch.number
+        if self.turn and proposed_here:
             self.turn.outcomes = outcomes
-        told = notices(batch, outcomes, before, mine)
+        told = collect_notices(batch, outcomes, before, proposed_here)
         done: Result = [CoordinationNotice(notice) for notice in told]
         for group in {group_of(o.key) for o in batch.operations if isinstance(o, Put)}:
-            done += self._tell_watches(group)
+            done += self._notify_watches(group)
         return done
 
     def restore(self, body: bytes) -> Result:
-        """A snapshot takes the place of what was delivered."""
+        """Replaces the state by that of a snapshot."""
         self.state.restore(body)
-        return [answer for group in list(self.watches.by_group) for answer in self._tell_watches(group)]
+        return [answer for group in list(self.watches.by_group) for answer in self._notify_watches(group)]
 
     def settled(self, now: float, token: int, accepted: bool) -> Result:
-        """The replica has decided on a proposal or a barrier of this desk."""
+        """Handles the result of a proposal or read barrier; other tokens are ignored."""
         turn = self.turn
         if turn is None or turn.token != token:
             return []
         self.turn = None
-        answers = self._end_turn(now, turn) if accepted else self._give_up(turn)
+        answers = self._complete_turn(now, turn) if accepted else self._abandon_turn(turn)
         return [*answers, *self._next_turn(now)]
 
     def tick(self, now: float) -> Result:
-        """What is due: calls that have waited too long, watches whose time is up, locks that nobody wants."""
+        """Handles timeouts: of queued calls, of watches, and of abandoned locks."""
         if not self._may_answer(now):
-            return self._refuse_all()
+            return self._reject_all()
         done: Result = []
-        while self.waiting and now - self.waiting[0].at > MOST_AGE:
+        while self.waiting and now - self.waiting[0].received_at > MAX_WAIT_S:
             pending = self.waiting.popleft()
             done.append(CoordinationAnswer(pending.token, Unavailable("the log takes too long")))
-        for watch in self.watches.take_due(now):
+        for watch in self.watches.take_expired(now):
             done.append(CoordinationAnswer(watch.token, Watched((), watch.after)))
         return [*done, *self._next_turn(now)]
 
@@ -195,17 +200,17 @@
         return True
 
     def _begin_view(self, now: float) -> None:
-        """All of the log is applied: from now on leases are counted here."""
+        """Starts lease bookkeeping for a new view; the whole log has been applied."""
         self.view = self.replica.view
         self.leases = Leases(now)
-        self.first_time_ms = self.state.time_ms
-        self.swept_at = now
+        self.view_start_ms = self.state.time_ms
+        self.last_sweep_at = now
 
     def _time_ms(self, now: float) -> int:
-        return self.first_time_ms + int((now - self.leases.since) * 1000)
+        return self.view_start_ms + int((now - self.leases.started_at) * 1000)
 
     def _extend_lease(self, now: float, call: Call) -> None:
-        """Counted from when the call came, before anything is decided about others' calls."""
+        """Extends the holder's lease from the arrival of its call, before other owners' calls are decided."""
         if isinstance(call, Renew):
             lock = self.state.held(call.name, call.owner, call.fence)
         elif isinstance(call, Acquire):
@@ -223,17 +228,17 @@
         done: Result = []
         while self.turn is None and (self.waiting or self._sweep_due(now)):
             if not self._may_answer(now):
-                return [*done, *self._refuse_all()]
-            turn = Turn(self.next_token(), self.chance.getrandbits(62))
+                return [*done, *self._reject_all()]
+            turn = Turn(self.next_token(), self.rng.getrandbits(62))
             for _ in range(min(len(self.waiting), MAX_CALLS_PER_TURN)):
-                done += self._take(now, turn, self.waiting.popleft())
+                done += self._add_to_turn(now, turn, self.waiting.popleft())
             self._sweep(now, turn)
-            done += self._begin(now, turn)
+            done += self._submit_turn(now, turn)
         return done
 
-    def _take(self, now: float, turn: Turn, pending: PendingCall) -> Result:
-        """Into the turn, or answered at once."""
-        found = self._consider(now, pending)
+    def _add_to_turn(self, now: float, turn: Turn, pending: PendingCall) -> Result:
+        """Adds a call to the turn, or answers it at once."""
+        found = self._classify(now, pending)
         if found is None:
             turn.readers.append(pending)
         elif isinstance(found, Operation):
@@ -243,11 +248,11 @@
             return [CoordinationAnswer(pending.token, found)]
         return []
 
-    def _consider(self, now: float, pending: PendingCall) -> Operation | Outcome | WaitingWatch | None:
-        """What a call needs: an operation, an answer, a place among the watches, or (None) to be read."""
+    def _classify(self, now: float, pending: PendingCall) -> Operation | Outcome | WaitingWatch | None:
+        """An operation to propose, an immediate outcome, a registered watch, or None for a read."""
         match pending.call:
             case Acquire() as call:
-                return self._consider_acquire(now, call)
+                return self._classify_acquire(now, call)
             case Renew() as call:
                 lock = self.state.held(call.name, call.owner, call.fence)
                 return call if lock and call.hold_ms > lock.hold_ms else None
@@ -258,32 +263,32 @@
                 known = self.state.locks.get(call.name)
                 return call if known and known.fence == call.fence else None
             case Put() as call:
-                return self._consider_put(call)
+                return self._classify_put(call)
             case NextNumber() as call:
                 return call
             case Get() | ListNames():
                 return None
             case Watch() as call:
-                return self._consider_watch(now, pending.token, call)
+                return self._classify_watch(now, pending.token, call)
 
-    def _consider_acquire(self, now: float, call: Acquire) -> Operation | Outcome:
+    def _classify_acquire(self, now: float, call: Acquire) -> Operation | Outcome:
         lock = self.state.locks.get(call.name)
         expired = lock.fence if lock and self.leases.expired(now, call.name, lock) else 0
         if lock and not expired and lock.owner != call.owner:
             return Held()
         return Acquire(call.name, call.owner, call.hold_ms, expired)
 
-    def _consider_put(self, call: Put) -> Operation | Outcome:
-        if known := self.state.stored(call.key, call.value):
+    def _classify_put(self, call: Put) -> Operation | Outcome:
+        if known := self.state.stored_revision(call.key, call.value):
             return Stored(known)
-        revision = self.state.revision(call.key)
-        if self.state.refused(call.key, call.value) or (
+        revision = self.state.key_revision(call.key)
+        if self.state.was_refused(call.key, call.value) or (
             call.expected is not None and revision > call.expected
         ):
             return Conflict(revision)
         return call
 
-    def _consider_watch(self, now: float, token: int, call: Watch) -> Outcome | WaitingWatch | None:
+    def _classify_watch(self, now: float, token: int, call: Watch) -> Outcome | WaitingWatch | None:
         if not call.after:
             return None
         found = self.state.watch(call.group, call.after)
@@ -295,7 +300,7 @@
         self.watches.add(watch)
         return watch
 
-    def _begin(self, now: float, turn: Turn) -> Result:
+    def _submit_turn(self, now: float, turn: Turn) -> Result:
         if not turn.operations and not turn.readers:
             return []
         self.turn = turn
@@ -306,32 +311,33 @@
         batch = Batch(
             turn.number,
             time_ms,
-            time_ms - self.events_kept_ms,
-            time_ms - PUTS_REMEMBERED_MS,
+            time_ms - self.event_retention_ms,
+            time_ms - PUT_RETENTION_MS,
             tuple(turn.operations),
         )
         last = self.replica.last
         actions = self.replica.propose(now, turn.token, consensus.COORDINATION, pack_batch(batch))
-        if self.replica.last == last:  # it was refused, and stands in no log
+        if self.replica.last == last:  # rejected: the entry is in no log
             self.turn = None
             refused = Unavailable("the log takes nothing at the moment")
             return [*actions, *self._answer_all(turn, refused, refused)]
         return [*actions]
 
-    def _end_turn(self, now: float, turn: Turn) -> Result:
+    def _complete_turn(self, now: float, turn: Turn) -> Result:
         outcomes = turn.outcomes
         if turn.operations and outcomes is None:
-            return self._give_up(turn)
+            return self._abandon_turn(turn)
         answers: Result = []
         for token, operation, outcome in zip(turn.writers, turn.operations, outcomes or [], strict=True):
-            self._note_lease(now, operation, outcome)
+            self._record_lease(now, operation, outcome)
             if token:
                 answers.append(CoordinationAnswer(token, outcome))
         answers += [CoordinationAnswer(p.token, self._answer_reader(now, p.call)) for p in turn.readers]
         return answers
 
-    def _note_lease(self, now: float, operation: Operation, outcome: Outcome) -> None:
-        """A grant is counted from its commit, which is later than its call."""
+    def _record_lease(self, now: float, operation: Operation, outcome: Outcome) -> None:
+        """Updates the lease after a commit: grants and longer holds count from the commit, which is after the
+        call; released and expired locks lose their lease."""
         if isinstance(operation, Acquire | Renew) and (lock := self.state.locks.get(operation.name)):
             if lock.owner == operation.owner and not isinstance(outcome, Full):
                 self.leases.extend(now, operation.name, lock.fence, operation.hold_ms)
@@ -356,8 +362,8 @@
             case _:
                 raise AssertionError(f"{type(call).__name__} is not read")
 
-    def _give_up(self, turn: Turn) -> Result:
-        """The turn's entry may be committed by another leader, or never."""
+    def _abandon_turn(self, turn: Turn) -> Result:
+        """Answers the calls of a turn whose log entry may still be committed by another leader, or never."""
         reason = "the leader changed before it was known to be agreed on"
         return self._answer_all(turn, Unknown(reason), Unavailable(reason))
 
@@ -365,17 +371,18 @@
         answers = [CoordinationAnswer(token, writers) for token in turn.writers if token]
         return [*answers, *(CoordinationAnswer(p.token, readers) for p in turn.readers)]
 
-    def _refuse_all(self) -> Result:
-        """This replica may not answer any more: none of these calls was proposed."""
+    def _reject_all(self) -> Result:
+        """Answers queued calls and watches when this replica may not answer; none of them was proposed."""
         refused = Unavailable("this gateway does not lead any more")
         tokens = [p.token for p in self.waiting] + [w.token for w in self.watches.take_all()]
         self.waiting.clear()
         return [CoordinationAnswer(token, refused) for token in tokens]
 
-    def _tell_watches(self, group: str) -> Result:
-        """Those that wait in a group that has news; one that saw more than is here waits on."""
+    def _notify_watches(self, group: str) -> Result:
+        """Answers the watches of a group that has new events. A watch from a revision above the group's
+        current one keeps waiting."""
         answers: Result = []
-        for watch in self.watches.take(group):
+        for watch in self.watches.take_group(group):
             found = self.state.watch(group, watch.after)
             if isinstance(found, Watched) and not found.events:
                 self.watches.add(watch)
@@ -383,19 +390,19 @@
                 answers.append(CoordinationAnswer(watch.token, found))
         return answers
 
-    # Locks that nobody asks for
+    # Abandoned locks
 
     def _sweep_due(self, now: float) -> bool:
-        return now - self.swept_at >= SWEEP_EVERY and bool(self.state.locks)
+        return now - self.last_sweep_at >= SWEEP_INTERVAL_S and bool(self.state.locks)
 
     def _sweep(self, now: float, turn: Turn) -> None:
-        """Drops locks whose lease has been over for long, so that names do not add up."""
+        """Proposes to remove locks whose lease ended long ago, so that unused names do not accumulate."""
         if not self._sweep_due(now):
             return
-        self.swept_at = now
+        self.last_sweep_at = now
         for name, lock in self.state.locks.items():
-            if len(turn.operations) >= MAX_CALLS_PER_TURN + MOST_SWEPT:
+            if len(turn.operations) >= MAX_CALLS_PER_TURN + MAX_SWEPT_LOCKS:
                 break
-            if now - self.leases.end(name, lock) >= SWEEP_AFTER:
+            if now - self.leases.end(name, lock) >= SWEEP_DELAY_S:
                 turn.operations.append(Expire(name, lock.fence))
                 turn.writers.append(0)
--- a/coralvale/cluster/coordination/listing.py
+++ b/coralvale/cluster/coordination/listing.py
@@ -1,4 +1,4 @@
-"""Pages of names for operators, from the state and the leader's leases."""
+"""Pages of locks, numbers and keys for operators, from the state and the leader's leases."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 
 def list_names(now: float, state: CoordinationState, leases: Leases, call: ListNames) -> Listed:
-    """The page that was asked for."""
+    """The requested page, in order of names."""
     names, row = _source(now, state, leases, call.kind)
     wanted = (name for name in names if name > call.after and name.startswith(call.prefix))
-    found = nsmallest(call.most + 1, wanted)
-    return Listed(tuple(row(name) for name in found[: call.most]), len(found) > call.most)
+    found = nsmallest(call.limit + 1, wanted)
+    return Listed(tuple(row(name) for name in found[: call.limit]), len(found) > call.limit)
 
 
 def _source(
@@ -32,7 +32,7 @@
 
 def _lock(now: float, state: CoordinationState, leases: Leases, name: str) -> LockRow:
     lock = state.locks[name]
-    renewed = leases.renewed(name, lock)
+    renewed = leases.last_renewed_at(name, lock)
     left = leases.end(name, lock) - now
     return LockRow(
         name, lock.owner, lock.fence, lock.hold_ms, None if renewed is None else now - renewed, left
--- a/coralvale/cluster/coordination/model.py
+++ b/coralvale/cluster/coordination/model.py
@@ -1,7 +1,7 @@
-"""Calls of applications, what the log orders of them, and what they are answered.
+"""Applications' coordination calls, the operations in the log, and the outcomes of calls.
 
-Calls travel between gateways and stand in the log in msgspec's array form: a newer program adds fields at the
-end, with defaults. Times are whole milliseconds.
+Calls are sent between gateways and stored in the log as msgspec arrays: a newer version may only append
+fields with defaults. Times are whole milliseconds.
 """
 
 from __future__ import annotations
@@ -12,17 +12,18 @@
 import msgspec
 from attrs import frozen
 
-MAX_NAME_CHARS = 128  # characters of a lock's, counter's, key's or owner's name
-MAX_VALUE_BYTES = 1024  # bytes of a value
-MAX_HOLD_MS = 600_000  # that a lock may be held without a renewal: what a new leader has to wait out
-MAX_POLL_MS = 30_000  # that a watch may wait
-MAX_REASON_CHARS = 256  # characters of an operator's reason
-MAX_LISTED_NAMES = 256  # names in one page of a list
+MAX_NAME_CHARS = 128  # of the name of a lock, number, key or owner
+MAX_VALUE_BYTES = 1024
+MAX_HOLD_MS = 600_000  # hold time of a lock without a renewal; a new leader has to wait it out
+MAX_POLL_MS = 30_000  # wait time of a watch
+MAX_REASON_CHARS = 256  # of an operator's reason
+MAX_LISTED_NAMES = 256  # on one page
 NAME_PATTERN = re.compile(rf"[!-~]{{1,{MAX_NAME_CHARS}}}")
 
 
 class Acquire(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """A lock. `expired_fence`: in the log, the holder's fence whose lease the leader has seen out; 0: none."""
+    """Acquires a lock. `expired_fence`: set by the leader in the log, the fence of the holder whose lease has
+    ended; 0: none."""
 
     name: str
     owner: str
@@ -31,7 +32,7 @@
 
 
 class Renew(msgspec.Struct, frozen=True, array_like=True, tag=2):
-    """More time for a lock that is held."""
+    """Extends the lease of a held lock."""
 
     name: str
     owner: str
@@ -40,7 +41,7 @@
 
 
 class Release(msgspec.Struct, frozen=True, array_like=True, tag=3):
-    """A lock given back."""
+    """Releases a held lock."""
 
     name: str
     owner: str
@@ -48,13 +49,13 @@
 
 
 class NextNumber(msgspec.Struct, frozen=True, array_like=True, tag=4):
-    """A number above all that were given under the name."""
+    """Draws the next number of a counter, above all numbers drawn before under the name."""
 
     name: str
 
 
 class Put(msgspec.Struct, frozen=True, array_like=True, tag=5):
-    """`expected`: the revision that the key must be at, 0 for a key that is not there; None: any."""
+    """Stores a value. `expected`: the revision the key must have, 0 for a missing key; None: any."""
 
     key: str
     value: str
@@ -62,13 +63,13 @@
 
 
 class Get(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """The value of a key."""
+    """Reads the value and revision of a key."""
 
     key: str
 
 
 class Watch(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Puts in a group above a revision; `after` 0 asks only for the group's revision."""
+    """Waits up to `poll_ms` for puts in a group above revision `after`; 0: asks only for its revision."""
 
     group: str
     after: int
@@ -76,8 +77,9 @@
 
 
 class Expire(msgspec.Struct, frozen=True, array_like=True, tag=8):
-    """A lock is taken from its holder. By the leader: one whose lease has been over for long, and that nobody
-    asks for. By an operator, who says why in `reason`: one whose holder may still count on it."""
+    """Takes a lock from its holder. The leader expires abandoned locks, long after the end of their lease,
+    with an empty `reason`. An operator may expire a lock that its holder still relies on, and has to give a
+    reason."""
 
     name: str
     fence: int
@@ -85,7 +87,7 @@
 
 
 class NameKind(Enum):
-    """What names are listed of."""
+    """What can be listed."""
 
     LOCKS = "locks"
     NUMBERS = "numbers"
@@ -93,12 +95,12 @@
 
 
 class ListNames(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """An operator's question for a page of names that begin with `prefix`, in order, from above `after`."""
+    """An operator's request for a page of names: those above `after` that begin with `prefix`, in order."""
 
     kind: NameKind
     after: str = ""
     prefix: str = ""
-    most: int = MAX_LISTED_NAMES
+    limit: int = MAX_LISTED_NAMES
 
 
 Call = Acquire | Renew | Release | NextNumber | Put | Get | Watch | Expire | ListNames
@@ -106,10 +108,10 @@
 
 
 class Batch(msgspec.Struct, frozen=True, array_like=True):
-    """One entry of the log: operations that are applied in order.
+    """One log entry: operations that are applied in order.
 
-    `number`: drawn by the desk that proposed it. `time_ms`: the log's own time, which leaders carry on by their
-    steady clocks. Events and puts older than their horizons need not be remembered any more.
+    `number`: random id chosen by the proposing handler. `time_ms`: the log's own time, which leaders advance
+    by their steady clocks. Events and puts older than their horizons are dropped.
     """
 
     number: int
@@ -120,7 +122,7 @@
 
 
 class Event(msgspec.Struct, frozen=True, array_like=True):
-    """A put, as watches are told of it."""
+    """A put, as reported to watches."""
 
     key: str
     value: str
@@ -128,60 +130,60 @@
     time_ms: int
 
 
-# What calls lead to
+# Outcomes of calls
 
 
 @frozen
 class Granted:
-    """The lock is the caller's, under this fence."""
+    """The caller holds the lock under this fence."""
 
     fence: int
 
 
 @frozen
 class Renewed:
-    """The holder has more time."""
+    """The holder's lease was extended."""
 
 
 @frozen
 class Released:
-    """The lock is not the caller's any more, if it ever was."""
+    """The caller does not hold the lock, whether or not it held it before."""
 
 
 @frozen
 class Held:
-    """Another holds the lock, or may hold it."""
+    """Another owner holds the lock, or may hold it."""
 
 
 @frozen
 class NotHeld:
-    """The lock is not held under the fence that was named."""
+    """The lock is not held under the given fence."""
 
 
 @frozen
 class Number:
-    """The number given."""
+    """The number drawn."""
 
     value: int
 
 
 @frozen
 class Stored:
-    """The put's revision, of its first arrival."""
+    """The revision of the put; a repeated put gets the revision of the first."""
 
     revision: int
 
 
 @frozen
 class Conflict:
-    """The key is at another revision than the put expected; 0: it is not there."""
+    """The key's revision differs from the expected one; 0: the key does not exist."""
 
     revision: int
 
 
 @frozen
 class Found:
-    """A key's value."""
+    """A key's value and revision."""
 
     value: str
     revision: int
@@ -189,12 +191,12 @@
 
 @frozen
 class NotFound:
-    """There is no such key."""
+    """The key does not exist."""
 
 
 @frozen
 class Watched:
-    """All puts of a group above the watch's revision and up to `revision`."""
+    """All puts of a group above the watch's revision, up to and including `revision`."""
 
     events: tuple[Event, ...]
     revision: int
@@ -202,13 +204,13 @@
 
 @frozen
 class Compacted:
-    """The events after the watch's revision are not kept any more."""
+    """Events after the watch's revision have been compacted away."""
 
 
 @frozen
 class LockRow:
-    """A lock in a list, as the leader knows it. `renewed_s`: s since its last grant or renewal, None where an
-    earlier leader answered it. `left_s`: s until it may change hands; less than 0: since when it might have."""
+    """A lock in a list. `renewed_s`: s since its last grant or renewal, None where an earlier leader answered
+    that. `left_s`: s until its lease ends; negative: s since it ended."""
 
     name: str
     owner: str
@@ -220,7 +222,7 @@
 
 @frozen
 class NumberRow:
-    """`value`: the last that was given."""
+    """A counter in a list. `value`: the last number drawn."""
 
     name: str
     value: int
@@ -228,6 +230,8 @@
 
 @frozen
 class KeyRow:
+    """A key in a list."""
+
     name: str
     value: str
     revision: int
@@ -238,7 +242,7 @@
 
 @frozen
 class Listed:
-    """A page of names. `more`: there are names above the last of these."""
+    """A page of names. `more`: there are further names after the last row."""
 
     rows: tuple[Row, ...]
     more: bool
@@ -246,21 +250,21 @@
 
 @frozen
 class Full:
-    """A bound on what is kept would be passed; nothing was done."""
+    """A size limit would be exceeded; nothing was done."""
 
     reason: str
 
 
 @frozen
 class Unavailable:
-    """Nothing was done: no leader with a majority took the call."""
+    """Nothing was done: no leader with a majority accepted the call."""
 
     reason: str
 
 
 @frozen
 class Unknown:
-    """The call may have taken effect, or may yet."""
+    """The call may have taken effect, or may still do so."""
 
     reason: str
 
@@ -286,18 +290,19 @@
 
 
 def group_of(key: str) -> str:
-    """Keys whose names agree up to the first dot, with it, share one count of revisions."""
+    """The name up to and including the first dot. All keys of a group share one revision counter."""
     prefix, dot, _ = key.partition(".")
     return prefix + dot
 
 
-_batch = msgspec.msgpack.Decoder(Batch).decode
+_decode_batch = msgspec.msgpack.Decoder(Batch).decode
 
 
 def pack_batch(batch: Batch) -> bytes:
+    """Encodes a log entry."""
     return msgspec.msgpack.encode(batch)
 
 
 def unpack_batch(body: bytes) -> Batch:
-    """Raises msgspec.DecodeError for what is no batch."""
-    return _batch(body)
+    """Decodes a log entry. Raises msgspec.DecodeError if it is not a batch."""
+    return _decode_batch(body)
--- a/coralvale/cluster/coordination/notices.py
+++ b/coralvale/cluster/coordination/notices.py
@@ -1,4 +1,4 @@
-"""What operators are told of a batch: locks that left their holder without its doing."""
+"""Notices for operators about a batch: locks that their holders lost without releasing them."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @frozen
 class TakenOver:
-    """A lock was granted after its holder's time was over."""
+    """A lock was granted to a new owner after the previous holder's lease had ended."""
 
     name: str
     owner_before: str
@@ -34,8 +34,8 @@
 Notice = TakenOver | ExpiredByHand
 
 
-def holders(state: CoordinationState, batch: Batch) -> dict[int, str]:
-    """Owners, by their fences, of the locks that the batch may take away; to be asked before it is applied."""
+def affected_holders(state: CoordinationState, batch: Batch) -> dict[int, str]:
+    """Owners by fence of the locks that the batch may take away. Call it before the batch is applied."""
     found = {}
     for operation in batch.operations:
         if isinstance(operation, Acquire | Expire) and (lock := state.locks.get(operation.name)):
@@ -43,15 +43,18 @@
     return found
 
 
-def notices(batch: Batch, outcomes: Sequence[Outcome], before: dict[int, str], mine: bool) -> list[Notice]:
-    """`before`: what `holders` gave. `mine`: this replica proposed the batch; it alone tells of takeovers, which
-    are many. What an operator did is told by each replica."""
+def collect_notices(
+    batch: Batch, outcomes: Sequence[Outcome], before: dict[int, str], proposed_here: bool
+) -> list[Notice]:
+    """Notices about an applied batch. `before`: the result of `affected_holders`. `proposed_here`: whether
+    this replica proposed the batch; only that one reports takeovers, which are frequent. An operator's expiry
+    is reported by every replica."""
     left = dict(before)
     found: list[Notice] = []
     for operation, outcome in zip(batch.operations, outcomes, strict=True):
         if isinstance(operation, Acquire) and isinstance(outcome, Granted):
             fence = operation.expired_fence
-            if mine and (owner := left.pop(fence, "")):
+            if proposed_here and (owner := left.pop(fence, "")):
                 found.append(TakenOver(operation.name, owner, fence, operation.owner, outcome.fence))
         elif isinstance(operation, Expire) and operation.reason:
             if owner := left.pop(operation.fence, ""):
--- a/coralvale/cluster/coordination/state.py
+++ b/coralvale/cluster/coordination/state.py
@@ -1,16 +1,17 @@
-"""The replicated state of locks, numbers and keys: what the batches of the log, applied in order, lead to.
+"""The replicated state machine of locks, numbers and keys. It applies the batches of the log in order.
 
-Deterministic: no clock, no chance. Every replica that has applied the same entries holds the same state, and
-`image` and `restore` carry it in the log's snapshots.
+It is deterministic: it reads no clock and no random numbers. All replicas that have applied the same entries
+hold the same state; `image` and `restore` write and read it in snapshots of the log.
 
 Invariants; `docs/design/coordination.md` has their reasons, tests and mutants:
 
-1. Fences rise with each grant, over all names: one counter that is part of this state.
-2. A lock changes hands only from nobody, or from the very fence that the operation names as expired.
-3. A put takes effect once: the same value for the same key leads to its first revision for as long as it may
-   come again.
-4. A group's revisions rise by one with each put; the events kept are all of those above `compacted`.
-5. What is refused has changed nothing, and its copies are refused as well.
+1. Fences rise with each grant, over all lock names: they come from one counter in this state.
+2. A lock gets a new holder only if it is free, or if the operation names exactly its current fence as
+   expired.
+3. A put takes effect once: repeating the same value for the same key returns its first revision for as long
+   as the put may be retried.
+4. A group's revision rises by one with each put; exactly the events above `compacted` are kept.
+5. A rejected operation has changed nothing, and copies of it are rejected as well.
 """
 
 from __future__ import annotations
@@ -48,21 +49,21 @@
     group_of,
 )
 
-MOST_LOCKS = 8192
-MOST_NUMBERS = 8192
-MOST_KEYS = 32_768
-MAX_PUTS = 65_536  # that are remembered, to know one that comes again
-MOST_BYTES = (
-    8 * 1024 * 1024
-)  # of keys, values and events; the snapshot has to fit a disk of 64 MB several times
-MOST_EVENTS = 1000  # in one answer
-REFUSED = 0  # in place of a revision, of a put that was refused
-EVENT_OVERHEAD = 32  # bytes of an event beside its texts, about
+MAX_LOCKS = 8192
+MAX_NUMBERS = 8192
+MAX_KEYS = 32_768
+MAX_PUTS = 65_536  # remembered in order to recognise retries
+# Of keys, values and events. Several copies of the snapshot have to fit on a disk of 64 MB.
+MAX_STORED_BYTES = 8 * 1024 * 1024
+MAX_EVENTS_PER_ANSWER = 1000
+REFUSED_REVISION = 0  # recorded in place of a revision for a put that was refused
+EVENT_OVERHEAD_BYTES = 32  # approximate size of an event without its key and value
 
 
 class Lock(msgspec.Struct, frozen=True, array_like=True):
-    """Who holds a lock. `hold_ms`: the longest that was granted under this fence. `reacquired`: its holder has
-    asked for it anew, so that a release which is late may be of the hold before."""
+    """The holder of a lock. `hold_ms`: the longest hold time granted under this fence. `reacquired`: the
+    holder has acquired it again under the same fence, so a release that arrives may be a delayed one of its
+    earlier hold and is ignored."""
 
     owner: str
     fence: int
@@ -79,7 +80,7 @@
 
 @define
 class Group:
-    """A group's count of revisions and its newest events; those up to `compacted` are not kept."""
+    """A group's revision and its newest events; events up to revision `compacted` are dropped."""
 
     revision: int = 0
     compacted: int = 0
@@ -87,6 +88,8 @@
 
 
 class GroupImage(msgspec.Struct, frozen=True, array_like=True):
+    """A `Group` in a snapshot."""
+
     name: str
     revision: int
     compacted: int
@@ -94,7 +97,7 @@
 
 
 class Image(msgspec.Struct, frozen=True, array_like=True):
-    """All of the state as bytes."""
+    """The whole state as it is stored in a snapshot."""
 
     fence: int = 0
     time_ms: int = 0
@@ -105,7 +108,7 @@
     puts: tuple[tuple[bytes, int, int], ...] = ()  # digest, revision, time
 
 
-_image = msgspec.msgpack.Decoder(Image).decode
+_decode_image = msgspec.msgpack.Decoder(Image).decode
 
 
 def _digest(key: str, value: str) -> bytes:
@@ -113,21 +116,22 @@
 
 
 def _size(key: str, value: str) -> int:
-    return len(key) + len(value.encode()) + EVENT_OVERHEAD
+    return len(key) + len(value.encode()) + EVENT_OVERHEAD_BYTES
 
 
 class CoordinationState:
-    """`apply` is to be called with each batch in the log's order."""
+    """Locks, numbers and keys. The caller passes every batch of the log to `apply`, in order."""
 
     def __init__(self) -> None:
         self.replace(Image())
 
     def replace(self, image: Image) -> None:
+        """Replaces the whole state and rebuilds what is derived from it."""
         self.last_fence, self.time_ms = image.fence, image.time_ms
         self.locks, self.numbers, self.values = dict(image.locks), dict(image.numbers), dict(image.values)
         self.groups = {g.name: Group(g.revision, g.compacted, deque(g.events)) for g in image.groups}
         events = [(e.time_ms, e.revision, g.name) for g in image.groups for e in g.events]
-        self.oldest_events = deque((time_ms, name) for time_ms, _, name in sorted(events))
+        self.events_by_age = deque((time_ms, name) for time_ms, _, name in sorted(events))
         self.puts: OrderedDict[bytes, tuple[int, int]] = OrderedDict(
             (digest, (revision, time_ms)) for digest, revision, time_ms in image.puts
         )
@@ -135,6 +139,7 @@
         self.stored_bytes += sum(_size(e.key, e.value) for g in self.groups.values() for e in g.events)
 
     def image(self) -> bytes:
+        """The whole state as bytes, for a snapshot."""
         groups = tuple(
             GroupImage(name, g.revision, g.compacted, tuple(g.events)) for name, g in self.groups.items()
         )
@@ -143,26 +148,28 @@
         return msgspec.msgpack.encode(image)
 
     def restore(self, body: bytes) -> None:
-        """Takes what `image` gave; nothing where a snapshot of an earlier version has none."""
-        self.replace(_image(body) if body else Image())
+        """Loads the result of `image`; an empty `body`, from a snapshot of an earlier version, is the empty
+        state."""
+        self.replace(_decode_image(body) if body else Image())
 
     def skip_ahead(self, numbers: int) -> None:
-        """Leaves out so many fences, numbers and revisions: a log that was lost may have given them. What
-        watches were told before is not kept any more."""
+        """Advances all fences, numbers and revisions by `numbers`, because a lost log may already have issued
+        the values in between. Drops all events."""
         self.last_fence += numbers
         self.numbers = {name: value + numbers for name, value in self.numbers.items()}
-        self.oldest_events.clear()
+        self.events_by_age.clear()
         for group in self.groups.values():
             group.revision += numbers
             group.compacted = group.revision
             self.stored_bytes -= sum(_size(event.key, event.value) for event in group.events)
             group.events.clear()
 
-    # What the log orders
+    # Operations of the log
 
     def apply(self, batch: Batch) -> list[Outcome]:
+        """Applies a committed batch; the outcomes are in the order of its operations."""
         self.time_ms = max(self.time_ms, batch.time_ms)
-        self._forget_puts(batch.puts_horizon_ms)
+        self._expire_puts(batch.puts_horizon_ms)
         self._compact(batch.events_horizon_ms)
         return [self._apply(operation) for operation in batch.operations]
 
@@ -183,7 +190,7 @@
 
     def _acquire(self, operation: Acquire) -> Outcome:
         lock = self.locks.get(operation.name)
-        if lock is None and len(self.locks) >= MOST_LOCKS:
+        if lock is None and len(self.locks) >= MAX_LOCKS:
             return Full("too many locks are held")
         if lock is None or lock.fence == operation.expired_fence:
             self.last_fence += 1
@@ -216,41 +223,42 @@
         return Released()
 
     def _next_number(self, operation: NextNumber) -> Outcome:
-        if operation.name not in self.numbers and len(self.numbers) >= MOST_NUMBERS:
+        if operation.name not in self.numbers and len(self.numbers) >= MAX_NUMBERS:
             return Full("too many numbers are counted")
         value = self.numbers[operation.name] = self.numbers.get(operation.name, 0) + 1
         return Number(value)
 
     def _put(self, operation: Put) -> Outcome:
         key, value = operation.key, operation.value
-        known = self.stored(key, value)
+        known = self.stored_revision(key, value)
         if known:
             return Stored(known)
-        revision = self.revision(key)
-        if self.refused(key, value):
+        revision = self.key_revision(key)
+        if self.was_refused(key, value):
             return Conflict(revision)
         if operation.expected is not None and operation.expected != revision:
-            return self._refuse(operation, revision)
-        if problem := self._no_room(operation):
+            return self._reject_put(operation, revision)
+        if problem := self._check_capacity(operation):
             return problem
         return Stored(self._store(key, value))
 
-    def _refuse(self, operation: Put, revision: int) -> Outcome:
-        """A copy of a put that expects a later revision than there is could come when the key has got there: it
-        is remembered as refused."""
+    def _reject_put(self, operation: Put, revision: int) -> Outcome:
+        """Refuses a put whose expected revision differs. If it expects a later revision than the current one,
+        a delayed copy of it could match once the key has reached that revision, so it is remembered as
+        refused."""
         assert operation.expected is not None
         if operation.expected > revision:
             if len(self.puts) >= MAX_PUTS:
                 return Full("too many puts of late")
-            self.puts[_digest(operation.key, operation.value)] = (REFUSED, self.time_ms)
+            self.puts[_digest(operation.key, operation.value)] = (REFUSED_REVISION, self.time_ms)
         return Conflict(revision)
 
-    def _no_room(self, operation: Put) -> Full | None:
-        if operation.key not in self.values and len(self.values) >= MOST_KEYS:
+    def _check_capacity(self, operation: Put) -> Full | None:
+        if operation.key not in self.values and len(self.values) >= MAX_KEYS:
             return Full("too many keys are kept")
         if (
             len(self.puts) >= MAX_PUTS
-            or self.stored_bytes + 2 * _size(operation.key, operation.value) > MOST_BYTES
+            or self.stored_bytes + 2 * _size(operation.key, operation.value) > MAX_STORED_BYTES
         ):
             return Full("too many puts of late")
         return None
@@ -263,12 +271,12 @@
             self.stored_bytes -= _size(key, before.value)
         self.values[key] = Value(value, group.revision)
         group.events.append(Event(key, value, group.revision, self.time_ms))
-        self.oldest_events.append((self.time_ms, name))
+        self.events_by_age.append((self.time_ms, name))
         self.stored_bytes += 2 * _size(key, value)
         self.puts[_digest(key, value)] = (group.revision, self.time_ms)
         return group.revision
 
-    def _forget_puts(self, horizon_ms: int) -> None:
+    def _expire_puts(self, horizon_ms: int) -> None:
         while self.puts:
             digest, (_, time_ms) = next(iter(self.puts.items()))
             if time_ms >= horizon_ms:
@@ -276,52 +284,56 @@
             del self.puts[digest]
 
     def _compact(self, horizon_ms: int) -> None:
-        while self.oldest_events and self.oldest_events[0][0] < horizon_ms:
-            _, name = self.oldest_events.popleft()
+        while self.events_by_age and self.events_by_age[0][0] < horizon_ms:
+            _, name = self.events_by_age.popleft()
             group = self.groups[name]
             event = group.events.popleft()
             group.compacted = event.revision
             self.stored_bytes -= _size(event.key, event.value)
 
-    # What is read
+    # Queries
 
     def held(self, name: str, owner: str, fence: int) -> Lock | None:
-        """The lock, if it is held so."""
+        """The lock, if this owner holds it under this fence."""
         lock = self.locks.get(name)
         return lock if lock and lock.owner == owner and lock.fence == fence else None
 
-    def stored(self, key: str, value: str) -> int:
-        """The first revision of this very put, 0 if it is not known."""
+    def stored_revision(self, key: str, value: str) -> int:
+        """The first revision of a put of this value to this key; 0 if none is known."""
         if known := self.puts.get(_digest(key, value)):
             return known[0]
         current = self.values.get(key)
         return current.revision if current and current.value == value else 0
 
-    def refused(self, key: str, value: str) -> bool:
-        """Whether this very put was refused, and could be taken by now."""
+    def was_refused(self, key: str, value: str) -> bool:
+        """Whether a put of this value to this key was refused, and its copies have to be refused too."""
         known = self.puts.get(_digest(key, value))
-        return known is not None and known[0] == REFUSED
+        return known is not None and known[0] == REFUSED_REVISION
 
-    def revision(self, key: str) -> int:
-        """The revision that a key is at, 0 if it is not there."""
+    def key_revision(self, key: str) -> int:
+        """The key's revision, 0 if the key does not exist."""
         current = self.values.get(key)
         return current.revision if current else 0
 
     def get(self, key: str) -> Found | NotFound:
+        """The key's value and revision."""
         current = self.values.get(key)
         return Found(current.value, current.revision) if current else NotFound()
 
     def watch(self, name: str, after: int) -> Watched | Compacted:
-        """What a watch is to be told; no events if there are none yet."""
+        """The events above revision `after`, at most `MAX_EVENTS_PER_ANSWER`; empty if there are none yet."""
         group = self.groups.get(name)
         if group is None or after >= group.revision:
             return Watched((), after)
         if after < group.compacted:
             return Compacted()
         first = len(group.events) - (group.revision - after)
-        events = tuple(group.events[n] for n in range(first, min(first + MOST_EVENTS, len(group.events))))
+        events = tuple(
+            group.events[n] for n in range(first, min(first + MAX_EVENTS_PER_ANSWER, len(group.events)))
+        )
         return Watched(events, events[-1].revision)
 
     def group_revision(self, name: str) -> int:
+        """The revision of a group, 0 if it has no puts."""
         group = self.groups.get(name)
         return group.revision if group else 0
--- a/coralvale/cluster/orders.py
+++ b/coralvale/cluster/orders.py
@@ -1,11 +1,11 @@
-"""Operators' orders at the leader, without I/O: what is answered, and what must be known before it is.
+"""Processes operators' change requests ("orders") at the leader, without I/O.
 
-Every answer that depends on the configuration in force is given behind agreement with a majority: a change that
-is taken by its commit, a refusal, an order that was taken before, and a reading by a read barrier. Where that
-cannot be had there is no clear answer (503), and the operator sends the order again as it was.
+Every answer that depends on the current configuration is confirmed by a majority first: an applied change by
+its commit; a refusal, a retry of an applied change, and a read by a read barrier. Where a majority cannot be
+reached the outcome stays open (503), and the operator sends the same request again.
 
-An order is known by its bytes and the version that it builds on; the configuration's history remembers those
-that were taken. Orders are settled one after the other, each judged by what those before it led to.
+A change is identified by its bytes and the version that it builds on; `ChangeHistory` remembers those that
+were applied. Requests are settled one at a time, each against the result of the ones before it.
 """
 
 from __future__ import annotations
@@ -19,26 +19,27 @@
 from coralvale.cluster.consensus.replica import Replica
 from coralvale.cluster.errors import ANSWERS, Kind, Problem
 
-MOST_WAITING = 64  # orders; the operators have eight under way
+MAX_WAITING_REQUESTS = 64  # operators have eight in flight
 
 
 @frozen
 class ChangeAnswer:
-    """What the operator is told. `problem` is set where nothing was done, or is not known to be."""
+    """The answer to an operator. `problem` is set where nothing was done, or where the outcome is unknown."""
 
     token: int
     body: bytes = b"{}"
     problem: Problem | None = None
-    change: Change | None = None  # the order that was taken by this call
+    change: Change | None = None  # the change, where this request applied it
 
     @property
     def status(self) -> int:
+        """The HTTP status."""
         return ANSWERS[self.problem.kind].status if self.problem else 200
 
 
 @define
 class ChangeRequest:
-    """The one in hand. `proposed`: it was put into the log, else a barrier is awaited."""
+    """A change request. `proposed`: it was proposed to the log; otherwise its read barrier is pending."""
 
     token: int
     change: Change
@@ -49,11 +50,15 @@
 
 
 def unsettled(token: int, reason: str) -> ChangeAnswer:
+    """The answer to a request whose outcome is open."""
     return ChangeAnswer(token, problem=Problem(Kind.UNSETTLED, reason))
 
 
 class ChangeRequestHandler:
-    """`settled` is to be called with each `Settled` action that the replica returns for these tokens."""
+    """Answers operators' change requests and reads of the configuration at the leader.
+
+    The caller passes each `Settled` action of the replica to `settled`. Times are in s of the steady clock.
+    """
 
     def __init__(self, replica: Replica, history: ChangeHistory) -> None:
         self.replica, self.history = replica, history
@@ -62,57 +67,58 @@
         self.reads: set[int] = set()
 
     def read(self, now: float, token: int) -> Result:
-        """The newest configuration."""
+        """Reads the current configuration, behind a read barrier."""
         if not self.replica.in_contact(now):
             return [unsettled(token, "no majority answers")]
         self.reads.add(token)
         return [*self.replica.barrier(now, token)]
 
     def submit(self, now: float, token: int, change: Change) -> Result:
-        """An operator's change."""
-        if len(self.waiting) >= MOST_WAITING:
+        """Queues an operator's change."""
+        if len(self.waiting) >= MAX_WAITING_REQUESTS:
             return [unsettled(token, "too many orders are waiting")]
         self.waiting.append(ChangeRequest(token, change))
-        return self._next(now)
+        return self._start_next(now)
 
     def settled(self, now: float, token: int, accepted: bool) -> Result:
-        """The replica has decided on a proposal or a barrier of this desk."""
+        """Handles the result of a proposal or read barrier; other tokens are ignored."""
         if token in self.reads:
             self.reads.remove(token)
             if accepted:
                 return [ChangeAnswer(token, self.history.config())]
             return [unsettled(token, "no majority answers")]
-        order = self.current
-        if order is None or order.token != token:
+        request = self.current
+        if request is None or request.token != token:
             return []
         self.current = None
         if not accepted:
-            return [unsettled(token, "no majority answers"), *self._next(now)]
-        return [*self._confirmed(now, order), *self._next(now)]
+            return [unsettled(token, "no majority answers"), *self._start_next(now)]
+        return [*self._resolve(now, request), *self._start_next(now)]
 
-    def _next(self, now: float) -> Result:
+    def _start_next(self, now: float) -> Result:
         done: Result = []
         while self.current is None and self.waiting:
             done += self._begin(now, self.waiting.popleft())
         return done
 
-    def _begin(self, now: float, order: ChangeRequest) -> Result:
+    def _begin(self, now: float, request: ChangeRequest) -> Result:
         replica = self.replica
         if not replica.leading or not replica.settled or not replica.in_contact(now):
-            return [unsettled(order.token, "no longer the leader, or not yet")]
-        self.current = order
-        if self.history.validate(order.change) is not None:
-            return [*replica.barrier(now, order.token)]
-        return self._propose(now, order)
-
-    def _propose(self, now: float, order: ChangeRequest) -> Result:
-        self.current, order.proposed = order, True
-        return [*self.replica.propose(now, order.token, consensus.CHANGE, pack(order.change))]
-
-    def _confirmed(self, now: float, order: ChangeRequest) -> Result:
-        """What the history says now is what is in force: judged again, since more may have been delivered."""
-        token, change = order.token, order.change
-        if order.proposed:
+            return [unsettled(request.token, "no longer the leader, or not yet")]
+        self.current = request
+        if self.history.validate(request.change) is not None:
+            return [*replica.barrier(now, request.token)]
+        return self._propose(now, request)
+
+    def _propose(self, now: float, request: ChangeRequest) -> Result:
+        self.current, request.proposed = request, True
+        return [*self.replica.propose(now, request.token, consensus.CHANGE, pack(request.change))]
+
+    def _resolve(self, now: float, request: ChangeRequest) -> Result:
+        """Answers a request that a majority confirmed. The history is current now; the request is validated
+        again, since other changes may have been delivered meanwhile."""
+        token, change = request.token, request.change
+        if request.proposed:
             if self.history.was_applied(change):
                 return [ChangeAnswer(token, change=change)]
             return [unsettled(token, "another came first")]
@@ -123,4 +129,4 @@
             return [unsettled(token, "it builds on a version so old that nobody knows whether it was taken")]
         if isinstance(found, Problem):
             return [ChangeAnswer(token, problem=found)]
-        return self._propose(now, order)
+        return self._propose(now, request)
--- a/tests/cluster/coordination_mutants.py
+++ b/tests/cluster/coordination_mutants.py
@@ -87,7 +87,7 @@
 class ForgetsFirstRevisions(CoordinationState):
     """A put that comes again is known only while its value stands."""
 
-    def _forget_puts(self, horizon_ms: int) -> None:
+    def _expire_puts(self, horizon_ms: int) -> None:
         self.puts.clear()
 
 
@@ -117,8 +117,8 @@
 class RenewsUnconfirmed(CoordinationHandler):
     """A renewal is acknowledged without a majority's answer."""
 
-    def _consider(self, now: float, pending: PendingCall) -> Found:
-        found = super()._consider(now, pending)
+    def _classify(self, now: float, pending: PendingCall) -> Found:
+        found = super()._classify(now, pending)
         if found is None and isinstance(pending.call, c.Renew):
             return self._read(pending.call)
         return found
@@ -135,23 +135,23 @@
 class LongerUnwritten(CoordinationHandler):
     """A renewal for longer than the log knows is not written."""
 
-    def _consider(self, now: float, pending: PendingCall) -> Found:
-        return None if isinstance(pending.call, c.Renew) else super()._consider(now, pending)
+    def _classify(self, now: float, pending: PendingCall) -> Found:
+        return None if isinstance(pending.call, c.Renew) else super()._classify(now, pending)
 
 
 class ReadsUnconfirmed(CoordinationHandler):
     """A key is read as it is here."""
 
-    def _consider(self, now: float, pending: PendingCall) -> Found:
+    def _classify(self, now: float, pending: PendingCall) -> Found:
         if isinstance(pending.call, c.Get):
             return self.state.get(pending.call.key)
-        return super()._consider(now, pending)
+        return super()._classify(now, pending)
 
 
 class RefusesWhatWasProposed(CoordinationHandler):
     """A put whose entry may yet be committed is answered that nothing was done."""
 
-    def _give_up(self, turn: Turn) -> Result:
+    def _abandon_turn(self, turn: Turn) -> Result:
         refused = c.Unavailable("the leader changed")
         return self._answer_all(turn, refused, refused)
 
@@ -159,18 +159,18 @@
 class ConflictBeforeKnown(CoordinationHandler):
     """A put that comes again is judged by the revision that it made itself."""
 
-    def _consider_put(self, call: c.Put) -> c.Operation | c.Outcome:
-        revision = self.state.revision(call.key)
+    def _classify_put(self, call: c.Put) -> c.Operation | c.Outcome:
+        revision = self.state.key_revision(call.key)
         if call.expected is not None and revision > call.expected:
             return c.Conflict(revision)
-        return super()._consider_put(call)
+        return super()._classify_put(call)
 
 
 class ConflictByGroup(CoordinationHandler):
     """A conflict names the group's revision."""
 
-    def _consider_put(self, call: c.Put) -> c.Operation | c.Outcome:
-        found = super()._consider_put(call)
+    def _classify_put(self, call: c.Put) -> c.Operation | c.Outcome:
+        found = super()._classify_put(call)
         revision = self.state.group_revision(c.group_of(call.key))
         return c.Conflict(revision) if isinstance(found, c.Conflict) else found
 
@@ -178,21 +178,21 @@
 class CompactsEarly(CoordinationHandler):
     """Events are kept for less than was promised."""
 
-    def _begin(self, now: float, turn: Turn) -> Result:
-        self.events_kept_ms = int(300 * RETAIN_S)
-        return super()._begin(now, turn)
+    def _submit_turn(self, now: float, turn: Turn) -> Result:
+        self.event_retention_ms = int(300 * RETAIN_S)
+        return super()._submit_turn(now, turn)
 
 
 class TellsUncommitted(CoordinationHandler):
     """Watches are told of puts when they are proposed."""
 
-    def _begin(self, now: float, turn: Turn) -> Result:
-        done = super()._begin(now, turn)
+    def _submit_turn(self, now: float, turn: Turn) -> Result:
+        done = super()._submit_turn(now, turn)
         foreseen = CoordinationState()
         foreseen.restore(self.state.image())
         foreseen.apply(c.Batch(0, foreseen.time_ms, 0, 0, tuple(turn.operations)))
         for group in {c.group_of(o.key) for o in turn.operations if isinstance(o, c.Put)}:
-            for watch in self.watches.take(group):
+            for watch in self.watches.take_group(group):
                 done.append(CoordinationAnswer(watch.token, foreseen.watch(group, watch.after)))
         return done
 
--- a/tests/cluster/coordination_world.py
+++ b/tests/cluster/coordination_world.py
@@ -108,7 +108,7 @@
         state = self.state_kind()
         chance = random.Random(self.chance.random())
         desk = self.coordination_desk_kind(place.replica, state, self.next_token, chance, RETAIN_S)
-        desk.events_kept_ms -= 10_000  # the margin is longer than a schedule
+        desk.event_retention_ms -= 10_000  # the margin is longer than a schedule
         return Member(place.life, state, desk)
 
     def next_token(self) -> int:
--- a/tests/cluster/test_configuration.py
+++ b/tests/cluster/test_configuration.py
@@ -12,7 +12,7 @@
 from coralvale.cluster.configuration.history import (
     ALREADY_APPLIED,
     BASE_TOO_OLD,
-    NAMED,
+    MAX_NAMES_PER_SUMMARY,
     Change,
     ChangeHistory,
     apply_update,
@@ -62,7 +62,9 @@
     assert (first.version, first.base, second.version, second.base) == (2, 0, 5, 2)
     assert second.did["Routes"] == {"changed": (1, ["r"])}  # one that is sent as it was did not change
     count, names = second.did["Tenants"]["added"]
-    assert count == 30 and len(names) == NAMED and second.did["Tenants"]["removed"] == (1, ["u"])
+    assert (
+        count == 30 and len(names) == MAX_NAMES_PER_SUMMARY and second.did["Tenants"]["removed"] == (1, ["u"])
+    )
     other = ChangeHistory()
     other.restore(history.image())
     assert other.summaries == history.summaries and other.configuration.version == 5
@@ -116,7 +118,7 @@
 def test_what_is_sent_again_is_known_and_beyond_what_is_remembered_nothing_is_refused(
     restored: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr("coralvale.cluster.configuration.history.REMEMBERED", 8)
+    monkeypatch.setattr("coralvale.cluster.configuration.history.MAX_KNOWN_CHANGES", 8)
     history = ChangeHistory()
     changes = [Change(0, True, body({**WHOLE, "Ver": 1}))]
     changes += [Change(n, False, body({"Ver": n + 1, "Upsert": {}, "Remove": {}})) for n in range(1, 20)]
--- a/tests/cluster/test_coordination_state.py
+++ b/tests/cluster/test_coordination_state.py
@@ -94,11 +94,11 @@
 
 
 BOUNDS: list[tuple[str, int, c.Operation, c.Operation]] = [
-    ("MOST_LOCKS", 1, c.Acquire("l1", "a", 1), c.Acquire("l2", "a", 1)),
-    ("MOST_NUMBERS", 1, c.NextNumber("n1"), c.NextNumber("n2")),
-    ("MOST_KEYS", 1, c.Put("g1.a", "v1"), c.Put("g1.b", "v2")),
+    ("MAX_LOCKS", 1, c.Acquire("l1", "a", 1), c.Acquire("l2", "a", 1)),
+    ("MAX_NUMBERS", 1, c.NextNumber("n1"), c.NextNumber("n2")),
+    ("MAX_KEYS", 1, c.Put("g1.a", "v1"), c.Put("g1.b", "v2")),
     ("MAX_PUTS", 1, c.Put("g1.a", "v1"), c.Put("g1.a", "v2")),
-    ("MOST_BYTES", 120, c.Put("g1.a", "v1"), c.Put("g1.a", "v2")),
+    ("MAX_STORED_BYTES", 120, c.Put("g1.a", "v1"), c.Put("g1.a", "v2")),
 ]
 
 
@@ -114,11 +114,11 @@
     assert not isinstance(done, c.Full) and isinstance(refused, c.Full) and refused.reason
     assert state.image() == before
     again = apply(state, first)  # what is there goes on
-    assert bound == "MOST_NUMBERS" or again == [done]
+    assert bound == "MAX_NUMBERS" or again == [done]
 
 
 def test_a_watch_that_is_far_behind_is_told_part_and_skips_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(state_module, "MOST_EVENTS", 2)
+    monkeypatch.setattr(state_module, "MAX_EVENTS_PER_ANSWER", 2)
     state, after, seen = CoordinationState(), 1, list[int]()
     apply(state, *(c.Put("g1.a", f"v{n}") for n in range(1, 7)))
     while after < 6:
@@ -135,7 +135,7 @@
         apply(state, c.Put("g1.a", f"v{n}"), time_ms=n * 1000)
     again = CoordinationState()
     again.restore(state.image())
-    assert state.stored_bytes == again.stored_bytes < 60 * 2 * (state_module.EVENT_OVERHEAD + 10)
+    assert state.stored_bytes == again.stored_bytes < 60 * 2 * (state_module.EVENT_OVERHEAD_BYTES + 10)
     assert len(state.puts) <= 121 and len(state.groups["g1."].events) <= 51
 
 
@@ -182,7 +182,7 @@
 
 
 def test_calls_beyond_those_that_may_wait_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(desk_module, "MOST_WAITING", 3)
+    monkeypatch.setattr(desk_module, "MAX_WAITING_CALLS", 3)
     alone = Alone()
     found = [alone.call(0.1, c.NextNumber("n1"), sync=False) for _ in range(6)]
     assert found[:4] == [None] * 4 and all(isinstance(outcome, c.Full) for outcome in found[4:])
@@ -191,7 +191,7 @@
 
 
 def test_watches_beyond_those_that_may_wait_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watches_module, "MOST_WATCHES", 2)
+    monkeypatch.setattr(watches_module, "MAX_WATCHES", 2)
     alone = Alone()
     assert alone.call(0.1, c.Put("g1.a", "v1")) == c.Stored(1)
     found = [alone.call(0.1, c.Watch("g1.", 1, 1000)) for _ in range(3)]
