--- a/tests/cluster/test_consensus.py
+++ b/tests/cluster/test_consensus.py
@@ -315,7 +315,7 @@
         if leader.desk.current is None:
             world.tokens += 1
             change = Change(base, not base, later if base else first)
-            world.act(leader, leader.desk.order(world.env.now, world.tokens, change))
+            world.act(leader, leader.desk.submit(world.env.now, world.tokens, change))
         world.env.run(until=world.env.now + pause)
 
 
