--- a/benchmarks/coordination.py
+++ b/benchmarks/coordination.py
@@ -1,21 +1,21 @@
-"""What one leader settles of applications' calls for coordination, and how long it takes, beside one sync a call.
+"""Measures how many coordination calls one leader settles and their delay, compared with one sync per call.
 
     python benchmarks/coordination.py [--quick]
 
-Five members with the real `Replica`, `CoordinationHandler` and `CoordinationState` on a clock of the model: 2 ms
-a sync, 1.4 ms one way between members, and the processor time that each step took on this machine, one core a
-member. Delays are counted at the leader, from a call's arrival there to its answer; the wire and the passing on
-are not in them.
+Five members run the real `Replica`, `CoordinationHandler` and `CoordinationState` on a simulated clock: 2 ms
+per sync, 1.4 ms one way between members, and the processor time that each step took on this machine, with one
+core per member. Delays are measured at the leader, from a call's arrival to its answer, without the network
+to the caller and without forwarding between gateways.
 
-  full      twice as many callers as calls in a turn, each with one put under way: calls a second, and delay in
-            the middle and for 99 in 100, by the most calls in a turn. 1 is one sync a call.
-  reading   the same with reads, which cost a barrier and no sync.
-  offered   puts that come by chance at a steady rate, with turns as they are and with one sync a call.
-  bound     puts at a steady rate until the first is refused for what is remembered of late, or 150 s; and what
-            an image of the state is then.
-  storage   ms of one synced write of the real store, in the folder for temporary files, by puts in its entry.
+  full      twice as many callers as calls in a turn, each with one put in flight: calls per second, median
+            and 99th percentile of the delay, by the maximum number of calls in a turn. 1 is one sync per call.
+  reading   the same with reads, which cost a read barrier and no sync.
+  offered   puts that arrive at random at a constant rate, with turns as they are and with one sync per call.
+  bound     puts at a constant rate until the first is refused because too many recent puts are remembered, or
+            for 150 s; and the size of a snapshot of the state then.
+  storage   ms of one synced write of the real store, in the temporary folder, by the puts in its entry.
 
-The last line is one JSON object. Aim: 2,000 puts a second.
+The last line is one JSON object. Target: 2,000 puts per second.
 """
 
 from __future__ import annotations
@@ -48,24 +48,24 @@
 from coralvale.cluster.storage.store import Store  # noqa: E402
 
 MEMBERS = 5
-SYNC = 0.002  # s
-ONE_WAY = 0.0014  # s between members
-TICK = 0.05  # s
+SYNC_S = 0.002
+ONE_WAY_S = 0.0014  # latency between members
+TICK_S = 0.05
 RETAIN_S = 20.0
 KEYS = 40
-SIZES = (1, 4, 16, 64, 256)  # the most calls in a turn
-AS_IS = desk_module.MAX_CALLS_PER_TURN
-AIM = 2000  # puts a second
-RATES = (120, 500, AIM, 4000)  # calls a second
-BOUND_RATES = (AIM, 600, 500)
+SIZES = (1, 4, 16, 64, 256)  # maximum calls in a turn
+DEFAULT_MAX_CALLS = desk_module.MAX_CALLS_PER_TURN
+TARGET_RATE = 2000  # puts per second
+RATES = (120, 500, TARGET_RATE, 4000)  # calls per second
+BOUND_RATES = (TARGET_RATE, 600, 500)
 BOUND_S = 150.0
-SETTLE_S = 20.0  # for the members to be seated
+SETTLE_S = 20.0  # for all members to become voters
 Job = Callable[[], list[Any]]
 
 
 @define(eq=False)
 class Machine:
-    """One member: its core does one thing after another, its disk one sync after another."""
+    """One member: its core runs one job at a time, its disk one sync at a time."""
 
     replica: Replica
     state: CoordinationState
@@ -80,7 +80,7 @@
 
 
 class Model:
-    """Machines, and what is due, on a clock of its own."""
+    """A discrete-event simulation of the members on its own clock, in s."""
 
     def __init__(self) -> None:
         self.now, self.chance, self.serials = 0.0, random.Random(7), count()
@@ -92,7 +92,7 @@
         self.by_id = {machine.replica.me.id: machine for machine in self.machines}
         for machine in self.machines:
             self.do(machine, lambda machine=machine: machine.replica.start(self.now))  # type: ignore[misc]
-            self.at(TICK * self.chance.random(), lambda machine=machine: self._tick(machine))  # type: ignore[misc]
+            self.at(TICK_S * self.chance.random(), lambda machine=machine: self._tick(machine))  # type: ignore[misc]
         self.do(self.leader, lambda: self.leader.replica.found(self.now))
         self.run(SETTLE_S)
         assert self.leader.replica.leading and len(self.leader.replica.voters.new) == MEMBERS
@@ -120,23 +120,23 @@
             self._work(machine)
 
     def _work(self, machine: Machine) -> None:
-        """The next job; what comes of it leaves the machine once its processor time has passed."""
+        """Runs the next job; its results leave the machine after the processor time that it took."""
         machine.busy = True
         begun = time.thread_time()
-        actions = self._carried_out(machine, machine.jobs.popleft()())
+        actions = self._carry_out(machine, machine.jobs.popleft()())
         took = time.thread_time() - begun
         machine.cpu += took
-        self.at(self.now + took, lambda: self._worked(machine, actions))
+        self.at(self.now + took, lambda: self._finish_work(machine, actions))
 
-    def _worked(self, machine: Machine, actions: list[Any]) -> None:
+    def _finish_work(self, machine: Machine, actions: list[Any]) -> None:
         for action in actions:
-            self._let_out(machine, action)
+            self._emit(machine, action)
         machine.busy = False
         if machine.jobs:
             self._work(machine)
 
-    def _carried_out(self, machine: Machine, actions: list[Any]) -> list[Any]:
-        """Deliveries and decisions, inside the machine; the rest is what it lets out."""
+    def _carry_out(self, machine: Machine, actions: list[Any]) -> list[Any]:
+        """Carries out deliveries and decisions inside the machine; returns the remaining actions."""
         left, out = deque(actions), list[Any]()
         while left:
             action = left.popleft()
@@ -153,10 +153,10 @@
                     out.append(action)
         return out
 
-    def _let_out(self, machine: Machine, action: Any) -> None:  # noqa: ANN401
+    def _emit(self, machine: Machine, action: Any) -> None:  # noqa: ANN401
         match action:
             case m.Send():
-                self.at(self.now + ONE_WAY, lambda: self._receive(machine, action))
+                self.at(self.now + ONE_WAY_S, lambda: self._receive(machine, action))
             case m.Write():
                 machine.unsynced.append(action)
                 if not machine.syncing:
@@ -169,22 +169,22 @@
         self.do(other, lambda: other.replica.receive(self.now, sent.message, ip, sent.to.id))
 
     def _sync(self, machine: Machine) -> None:
-        """All writes that wait are one transaction, as in the program."""
+        """All waiting writes are one transaction, as in the gateway."""
         last, machine.unsynced, machine.syncing = machine.unsynced[-1].number, [], True
         machine.syncs += 1
-        self.at(self.now + SYNC, lambda: self._synced(machine, last))
+        self.at(self.now + SYNC_S, lambda: self._finish_sync(machine, last))
 
-    def _synced(self, machine: Machine, last: int) -> None:
+    def _finish_sync(self, machine: Machine, last: int) -> None:
         machine.syncing = False
         if machine.unsynced:
             self._sync(machine)
         self.do(machine, lambda: machine.replica.wrote(self.now, last))
 
     def _tick(self, machine: Machine) -> None:
-        self.do(machine, lambda: self._ticked(machine))
-        self.at(self.now + TICK, lambda: self._tick(machine))
+        self.do(machine, lambda: self._run_tick(machine))
+        self.at(self.now + TICK_S, lambda: self._tick(machine))
 
-    def _ticked(self, machine: Machine) -> list[Any]:
+    def _run_tick(self, machine: Machine) -> list[Any]:
         replica = machine.replica
         actions: list[Any] = [*replica.tick(self.now), *machine.desk.tick(self.now)]
         if replica.due_for_snapshot():
@@ -195,10 +195,10 @@
 
 
 class Load:
-    """Calls at the leader, from `begun` on, and what became of them."""
+    """Calls at the leader from time `begun` on, and their outcomes. `max_calls`: in a turn."""
 
-    def __init__(self, in_turn: int) -> None:
-        desk_module.MAX_CALLS_PER_TURN = in_turn
+    def __init__(self, max_calls: int) -> None:
+        desk_module.MAX_CALLS_PER_TURN = max_calls
         self.model = Model()
         self.model.answered = self._answered
         self.leader = self.model.leader
@@ -207,7 +207,7 @@
         self.sent: dict[int, float] = {}
         self.delays: list[float] = []
         self.outcomes: Counter[str] = Counter()
-        self.first_full = 0.0  # s after the beginning
+        self.first_refused_at = 0.0  # s after `begun`
         self.again: Callable[[], None] = lambda: None
         self.serials = count()
 
@@ -227,13 +227,13 @@
         self.outcomes[type(outcome).__name__] += 1
         sent = self.sent.pop(token)
         if isinstance(outcome, c.Full | c.Unavailable | c.Unknown):
-            self.first_full = self.first_full or self.model.now - self.begun
+            self.first_refused_at = self.first_refused_at or self.model.now - self.begun
         else:
             self.delays.append(self.model.now - sent)
         self.again()
 
     def callers(self, number: int, ask: Callable[[], None], seconds: float) -> dict[str, Any]:
-        """Each with one call under way, all the time."""
+        """Runs `number` callers with one call in flight each, without pauses."""
         self.again = ask
         for _ in range(number):
             ask()
@@ -241,16 +241,16 @@
         return self.figures(seconds)
 
     def offered(self, rate: float, seconds: float, until_full: bool = False) -> dict[str, Any]:
-        """Puts that come by chance."""
+        """Runs puts with exponential inter-arrival times at `rate` per second."""
 
         def come() -> None:
-            if not (until_full and self.first_full):
+            if not (until_full and self.first_refused_at):
                 self.put()
                 self.model.at(self.model.now + self.model.chance.expovariate(rate), come)
 
         self.model.at(self.begun, come)
         ends = self.begun + seconds
-        while self.model.now < ends and not (until_full and self.first_full):
+        while self.model.now < ends and not (until_full and self.first_refused_at):
             self.model.run(min(ends, self.model.now + 0.5))
         return {"rate": rate, **self.figures(self.model.now - self.begun)}
 
@@ -265,13 +265,13 @@
             "calls_in_a_turn": round(calls / max(1, turns), 1),
             "syncs_a_second": round((self.leader.syncs - self.syncs) / seconds),
             "leader_us_a_call": round(1e6 * (self.leader.cpu - self.cpu) / max(1, calls), 1),
-            "first_refused_s": round(self.first_full, 1) or None,
+            "first_refused_s": round(self.first_refused_at, 1) or None,
             "outcomes": dict(self.outcomes),
         }
 
 
 def storage(puts: int, rounds: int) -> dict[str, Any]:
-    """The real store: one entry with so many puts, synced."""
+    """Times synced writes to the real store of one entry with `puts` puts."""
     operations = tuple(c.Put(f"g1.{n % KEYS}", f"{n:016x}") for n in range(puts))
     body = c.pack_batch(c.Batch(1, 0, 0, 0, operations))
     took = []
@@ -293,44 +293,52 @@
 
 
 def image(state: CoordinationState) -> dict[str, Any]:
-    """A snapshot's part of coordination; it is made every 512 entries, and all else waits for it."""
+    """Time and size of the coordination part of a snapshot. It is taken every 512 entries and blocks all
+    else."""
     begun = time.thread_time()
     body = state.image()
     return {"image_ms": round(1e3 * (time.thread_time() - begun), 1), "image_bytes": len(body)}
 
 
-def told(name: str, row: dict[str, Any]) -> dict[str, Any]:
+def print_row(name: str, row: dict[str, Any]) -> dict[str, Any]:
     print(f"{name:24s} {row}", flush=True)
     return row
 
 
 def main() -> int:
     arguments = argparse.ArgumentParser(description=__doc__.splitlines()[0])
-    arguments.add_argument("--quick", action="store_true", help="shorter rounds, and no bound")
+    arguments.add_argument("--quick", action="store_true", help="shorter runs, without the part `bound`")
     quick = arguments.parse_args().quick
     seconds = 0.5 if quick else 2.0
     full = [
         {"most_in_turn": size}
-        | told(f"full, {size} in a turn", (load := Load(size)).callers(2 * size, load.put, seconds))
+        | print_row(f"full, {size} in a turn", (load := Load(size)).callers(2 * size, load.put, seconds))
         for size in SIZES
     ]
-    reading = told("reading, as it is", (load := Load(AS_IS)).callers(2 * AS_IS, load.get, seconds))
+    reading = print_row(
+        "reading, as it is",
+        (load := Load(DEFAULT_MAX_CALLS)).callers(2 * DEFAULT_MAX_CALLS, load.get, seconds),
+    )
     steady = 1.0 if quick else 5.0
-    offered = [told(f"offered, {rate} a second", Load(AS_IS).offered(rate, steady)) for rate in RATES]
-    one_each = told("offered, one sync a call", Load(1).offered(AIM, steady))
+    offered = [
+        print_row(f"offered, {rate} a second", Load(DEFAULT_MAX_CALLS).offered(rate, steady))
+        for rate in RATES
+    ]
+    one_each = print_row("offered, one sync a call", Load(1).offered(TARGET_RATE, steady))
     bound = [
-        told(
+        print_row(
             f"bound, {rate} a second",
-            (load := Load(AS_IS)).offered(rate, BOUND_S, until_full=True) | image(load.leader.state),
+            (load := Load(DEFAULT_MAX_CALLS)).offered(rate, BOUND_S, until_full=True)
+            | image(load.leader.state),
         )
         for rate in (() if quick else BOUND_RATES)
     ]
-    desk_module.MAX_CALLS_PER_TURN = AS_IS
-    disk = [told("storage", storage(size, 60 if quick else 400)) for size in SIZES]
-    at_aim = next(row for row in offered if row["rate"] == AIM)
+    desk_module.MAX_CALLS_PER_TURN = DEFAULT_MAX_CALLS
+    disk = [print_row("storage", storage(size, 60 if quick else 400)) for size in SIZES]
+    at_aim = next(row for row in offered if row["rate"] == TARGET_RATE)
     summary = {
         "benchmark": "coordination",
-        "sync_ms": 1e3 * SYNC,
+        "sync_ms": 1e3 * SYNC_S,
         "members": MEMBERS,
         "full": full,
         "reading": reading,
@@ -339,8 +347,8 @@
         "bound": bound,
         "puts_remembered": MAX_PUTS,
         "storage": disk,
-        "aim": AIM,
-        "aim_met": at_aim["calls_a_second"] >= 0.95 * AIM and set(at_aim["outcomes"]) == {"Stored"},
+        "aim": TARGET_RATE,
+        "aim_met": at_aim["calls_a_second"] >= 0.95 * TARGET_RATE and set(at_aim["outcomes"]) == {"Stored"},
         "times_one_sync": round(full[-1]["calls_a_second"] / max(1, full[0]["calls_a_second"]), 1),
     }
     print(json.dumps(summary))
--- a/tests/cluster/coordination_checker.py
+++ b/tests/cluster/coordination_checker.py
@@ -1,7 +1,8 @@
 """Checks a history of applications' calls against the rules ONE, ORDER, STALE, MIXED, REFUSED and LOST.
 
-A history is what callers saw, by true time: when a call was sent, when its answer arrived, and which. It knows
-nothing of gateways, replicas or logs. Each rule is a function from the evidence to what breaks it.
+A history is what callers observed, in true time: when each call was sent, when it was answered, and with
+which outcome. It does not refer to gateways, replicas or logs. Each rule is a function that yields the
+violations found in the evidence.
 """
 
 from __future__ import annotations
@@ -16,12 +17,12 @@
 from coralvale.cluster.coordination import model
 
 CallKind, OutcomeKind = TypeVar("CallKind"), TypeVar("OutcomeKind")
-TURNED_AWAY = (model.Conflict, model.Full, model.Unavailable)
+NOT_DONE = (model.Conflict, model.Full, model.Unavailable)
 
 
 @frozen
 class Record:
-    """One call. `outcome` None: it got no clear answer; `ended` is then when the caller gave it up."""
+    """One call, with times in s. `outcome` None: no clear answer; `ended` is then when the caller gave up."""
 
     caller: str
     call: model.Call
@@ -32,13 +33,15 @@
 
 @frozen
 class Violation:
+    """A broken rule."""
+
     rule: str
     reason: str
 
 
 @frozen
 class Hold:
-    """A time in which a caller counted itself the holder of a lock."""
+    """A period in which a caller considered itself the holder of a lock."""
 
     caller: str
     fence: int
@@ -46,9 +49,9 @@
     ended: float
 
 
-class Given:
-    """Values by when they were given: the highest of those given by a time. What a caller sends at the very
-    moment of an answer follows it."""
+class HighestByTime:
+    """The highest value that was given up to a time. A call sent at the very time of an answer counts as sent
+    after it."""
 
     def __init__(self, pairs: Iterable[tuple[float, int]]) -> None:
         self.times: list[float] = []
@@ -57,14 +60,14 @@
             self.times.append(at)
             self.highest.append(max(value, self.highest[-1] if self.highest else 0))
 
-    def before(self, at: float) -> int:
+    def max_at(self, at: float) -> int:
         n = bisect_right(self.times, at)
         return self.highest[n - 1] if n else 0
 
 
 @define
 class Evidence:
-    """What a history shows, by kind of call and by name."""
+    """What a history shows, indexed by kind of call and by name."""
 
     records: list[Record]
     retain_s: float
@@ -76,25 +79,25 @@
     seen_at: dict[str, list[tuple[float, int]]] = field(factory=lambda: defaultdict(list))  # by group
 
     @classmethod
-    def of(cls, history: Iterable[Record], retain_s: float) -> Evidence:
+    def from_history(cls, history: Iterable[Record], retain_s: float) -> Evidence:
         evidence = cls(sorted(history, key=lambda r: r.sent), retain_s)
         for record in evidence.records:
-            evidence._note(record)
+            evidence._record(record)
         return evidence
 
-    def _note(self, record: Record) -> None:
+    def _record(self, record: Record) -> None:
         call, outcome = record.call, record.outcome
         if isinstance(call, model.Put):
             self.puts[call.key, call.value].append(record)
             if isinstance(outcome, model.Stored):
-                self._show(record.ended, call.key, call.value, outcome.revision)
+                self._record_revision(record.ended, call.key, call.value, outcome.revision)
         elif isinstance(call, model.Get) and isinstance(outcome, model.Found):
-            self._show(record.ended, call.key, outcome.value, outcome.revision)
+            self._record_revision(record.ended, call.key, outcome.value, outcome.revision)
         elif isinstance(call, model.Watch) and isinstance(outcome, model.Watched):
             for event in outcome.events:
-                self._show(record.ended, event.key, event.value, event.revision)
+                self._record_revision(record.ended, event.key, event.value, event.revision)
 
-    def _show(self, at: float, key: str, value: str, revision: int) -> None:
+    def _record_revision(self, at: float, key: str, value: str, revision: int) -> None:
         self.shown[key, value].add(revision)
         self.by_revision[model.group_of(key)][revision].add((key, value))
         self.seen_at[model.group_of(key)].append((at, revision))
@@ -111,7 +114,8 @@
 
 
 def holds(history: Iterable[Record]) -> dict[str, list[Hold]]:
-    """By lock: from the 200 until HoldMs after the last good call was sent, or until a finish is sent."""
+    """Holds by lock: from the 200 until HoldMs after sending the last successful call, or until sending a
+    finish."""
     steps: dict[tuple[str, str], list[tuple[float, int, Record]]] = defaultdict(list)
     for n, record in enumerate(history):
         if isinstance(record.call, model.Release):
@@ -125,7 +129,7 @@
 
 
 def _holds_of(caller: str, records: list[Record]) -> Iterator[Hold]:
-    fence, begun, until = 0, 0.0, -1.0  # of the hold that is on
+    fence, begun, until = 0, 0.0, -1.0  # of the current hold
     for record in records:
         call, outcome = record.call, record.outcome
         at = record.sent if isinstance(call, model.Release) else record.ended
@@ -150,7 +154,8 @@
         yield Hold(caller, fence, begun, until)
 
 
-def one(evidence: Evidence) -> Iterator[str]:
+def check_one(evidence: Evidence) -> Iterator[str]:
+    """At most one holder of a lock at a time, and rising fences."""
     for name, of_lock in holds(evidence.records).items():
         latest: Hold | None = None
         for hold in sorted((h for h in of_lock if h.ended > h.begun), key=lambda h: h.begun):
@@ -171,16 +176,17 @@
             if holder.setdefault(fence, record.caller) != record.caller:
                 yield f"lock {name}: fence {fence} went to {holder[fence]} and to {record.caller}"
         for caller in {record.caller for record, _ in of_lock}:
-            of_others = Given((r.ended, fence) for r, fence in of_lock if r.caller != caller)
+            others = HighestByTime((r.ended, fence) for r, fence in of_lock if r.caller != caller)
             for record, fence in of_lock:
-                if record.caller == caller and fence <= of_others.before(record.sent):
-                    yield f"lock {name}: fence {fence} is not above {of_others.before(record.sent)}, given before"
+                if record.caller == caller and fence <= others.max_at(record.sent):
+                    yield f"lock {name}: fence {fence} is not above {others.max_at(record.sent)}, given before"
 
 
 # ORDER
 
 
-def order(evidence: Evidence) -> Iterator[str]:
+def check_order(evidence: Evidence) -> Iterator[str]:
+    """Numbers, revisions and watch events come in order, without duplicates or gaps."""
     yield from _numbers(evidence)
     yield from _revisions(evidence)
     yield from _expected(evidence)
@@ -196,20 +202,20 @@
         values = [value for _, value in of_name]
         if len(set(values)) < len(values):
             yield f"number {name}: one was given twice"
-        highest = Given((record.ended, value) for record, value in of_name)
+        highest = HighestByTime((record.ended, value) for record, value in of_name)
         for record, value in of_name:
-            if value <= highest.before(record.sent):
-                yield f"number {name}: {value} is not above {highest.before(record.sent)}, given before"
+            if value <= highest.max_at(record.sent):
+                yield f"number {name}: {value} is not above {highest.max_at(record.sent)}, given before"
 
 
 def _revisions(evidence: Evidence) -> Iterator[str]:
-    highest = {group: Given(pairs) for group, pairs in evidence.seen_at.items()}
+    highest = {group: HighestByTime(pairs) for group, pairs in evidence.seen_at.items()}
     for group, revisions in evidence.by_revision.items():
         for revision, values in revisions.items():
             if len(values) > 1:
                 yield f"group {group}: revision {revision} is of {sorted(values)}"
     for (key, value), calls in evidence.puts.items():
-        before = highest[model.group_of(key)].before(calls[0].sent) if model.group_of(key) in highest else 0
+        before = highest[model.group_of(key)].max_at(calls[0].sent) if model.group_of(key) in highest else 0
         for revision in evidence.shown.get((key, value), ()):
             if revision <= before:
                 yield f"key {key}: {value} has revision {revision}, not above {before}, given before it was put"
@@ -246,18 +252,19 @@
 # STALE
 
 
-def stale(evidence: Evidence) -> Iterator[str]:
+def check_stale(evidence: Evidence) -> Iterator[str]:
+    """A read is no older than any put that was acknowledged before it was sent."""
     acknowledged: dict[str, list[tuple[float, int]]] = defaultdict(list)
     for record, call, outcome in evidence.with_outcome(model.Put, model.Stored):
         acknowledged[call.key].append((record.ended, outcome.revision))
-    highest = {key: Given(pairs) for key, pairs in acknowledged.items()}
+    highest = {key: HighestByTime(pairs) for key, pairs in acknowledged.items()}
     for record in evidence.records:
         if not isinstance(record.call, model.Get) or record.call.key not in highest:
             continue
         if not isinstance(record.outcome, model.Found | model.NotFound):
             continue
         revision = record.outcome.revision if isinstance(record.outcome, model.Found) else 0
-        before = highest[record.call.key].before(record.sent)
+        before = highest[record.call.key].max_at(record.sent)
         if revision < before:
             yield f"key {record.call.key}: read at {revision}, and {before} was acknowledged before"
 
@@ -265,7 +272,8 @@
 # MIXED
 
 
-def mixed(evidence: Evidence) -> Iterator[str]:
+def check_mixed(evidence: Evidence) -> Iterator[str]:
+    """Every value was put, under one revision, and a conflict names a revision of its own key."""
     for (key, value), revisions in evidence.shown.items():
         if (key, value) not in evidence.puts:
             yield f"key {key}: nobody put {value}"
@@ -277,7 +285,7 @@
 
 
 def _may_be_of(evidence: Evidence, key: str, revision: int) -> bool:
-    """Whether the evidence allows that this key has this revision."""
+    """Whether the key can have this revision, by the evidence."""
     known = evidence.by_revision[model.group_of(key)]
     if revision in known:
         return any(k == key for k, _ in known[revision])
@@ -287,14 +295,15 @@
 # REFUSED
 
 
-def refused(evidence: Evidence) -> Iterator[str]:
-    """A 412 is about the value: it expects a revision that is gone for good, whichever of its calls is meant. The
-    other refusals are about the call: another one for the same value may have taken effect."""
+def check_refused(evidence: Evidence) -> Iterator[str]:
+    """No refused put takes effect. A 412 rules out the value itself: its expected revision cannot come again,
+    for any of its calls. Other refusals concern one call: another call with the same value may have taken
+    effect."""
     for (key, value), calls in evidence.puts.items():
         if not evidence.shown.get((key, value)):
             continue
         conflicts = [r for r in calls if isinstance(r.outcome, model.Conflict)]
-        if conflicts or all(isinstance(r.outcome, TURNED_AWAY) for r in calls):
+        if conflicts or all(isinstance(r.outcome, NOT_DONE) for r in calls):
             outcome = (conflicts or calls)[0].outcome
             yield f"key {key}: {value} is there, and its put was answered {outcome}"
 
@@ -302,8 +311,9 @@
 # LOST
 
 
-def lost(evidence: Evidence) -> Iterator[str]:
-    given: dict[tuple[str, str, int], float] = {}  # by watcher, group and revision: when it was given last
+def check_lost(evidence: Evidence) -> Iterator[str]:
+    """A watch can be resumed for `retain_s` from the last revision that it was given."""
+    given: dict[tuple[str, str, int], float] = {}  # by watcher, group and revision: last time it was given
     for record in sorted(evidence.records, key=lambda r: r.ended):
         if isinstance(record.call, model.Watch) and isinstance(record.outcome, model.Watched):
             given[record.caller, record.call.group, record.outcome.revision] = record.ended
@@ -315,8 +325,8 @@
                 )
 
 
-def lost_at_end(history: Iterable[Record], end: float) -> Iterator[str]:
-    """What was acknowledged before `end` against what was asked after it, until each had a clear answer."""
+def check_lost_at_end(history: Iterable[Record], end: float) -> Iterator[str]:
+    """Compares what was acknowledged before `end` with the clear answers to the calls sent after it."""
     records = sorted(history, key=lambda r: r.sent)
     asked = [r for r in records if r.sent >= end]
     keys: dict[str, int] = defaultdict(int)
@@ -329,18 +339,18 @@
             groups[group] = max(groups[group], record.outcome.revision)
         elif isinstance(record.outcome, model.Number) and isinstance(record.call, model.NextNumber):
             numbers[record.call.name] = max(numbers[record.call.name], record.outcome.value)
-    yield from _lags("key", keys, _answers(asked, model.Get))
-    yield from _lags("group", groups, _answers(asked, model.Watch))
-    yield from _lags("number", numbers, _answers(asked, model.NextNumber))
+    yield from _report_lags("key", keys, _newest_answers(asked, model.Get))
+    yield from _report_lags("group", groups, _newest_answers(asked, model.Watch))
+    yield from _report_lags("number", numbers, _newest_answers(asked, model.NextNumber))
     locks = {r.call.name for r in records if isinstance(r.call, model.Acquire)}
     clear = {r.call.name for r in asked if isinstance(r.call, model.Acquire) and r.outcome is not None}
     for name in locks - clear:
         yield f"lock {name}: no answer came at the end"
 
 
-def _answers(asked: Sequence[Record], kind: type[model.Call]) -> dict[str, int]:
-    """By name: the newest that a call of this kind was told."""
-    told: dict[str, int] = {}
+def _newest_answers(asked: Sequence[Record], kind: type[model.Call]) -> dict[str, int]:
+    """By name: the highest revision or number in the answers to calls of this kind."""
+    newest: dict[str, int] = {}
     for record in asked:
         if not isinstance(record.call, kind):
             continue
@@ -354,8 +364,8 @@
             case _:
                 continue
         name = _name_of(record.call)
-        told[name] = max(told.get(name, 0), value)
-    return told
+        newest[name] = max(newest.get(name, 0), value)
+    return newest
 
 
 def _name_of(call: model.Call) -> str:
@@ -368,28 +378,28 @@
             return call.name
 
 
-def _lags(what: str, acknowledged: dict[str, int], told: dict[str, int]) -> Iterator[str]:
+def _report_lags(what: str, acknowledged: dict[str, int], newest: dict[str, int]) -> Iterator[str]:
     for name, least in acknowledged.items():
-        if name not in told:
+        if name not in newest:
             yield f"{what} {name}: no answer came at the end"
-        elif told[name] < least:
-            yield f"{what} {name}: {told[name]} at the end, and {least} was acknowledged"
+        elif newest[name] < least:
+            yield f"{what} {name}: {newest[name]} at the end, and {least} was acknowledged"
 
 
 RULES: dict[str, Callable[[Evidence], Iterator[str]]] = {
-    "ONE": one,
-    "ORDER": order,
-    "STALE": stale,
-    "MIXED": mixed,
-    "REFUSED": refused,
-    "LOST": lost,
+    "ONE": check_one,
+    "ORDER": check_order,
+    "STALE": check_stale,
+    "MIXED": check_mixed,
+    "REFUSED": check_refused,
+    "LOST": check_lost,
 }
 
 
 def check(history: Iterable[Record], retain_s: float, end: float | None = None) -> list[Violation]:
-    """All that breaks a rule. `end`: from when on everything was asked for once more."""
-    evidence = Evidence.of(history, retain_s)
+    """All violations. `end`: the time from which everything was read back."""
+    evidence = Evidence.from_history(history, retain_s)
     found = [Violation(rule, reason) for rule, judge in RULES.items() for reason in judge(evidence)]
     if end is not None:
-        found += [Violation("LOST", reason) for reason in lost_at_end(evidence.records, end)]
+        found += [Violation("LOST", reason) for reason in check_lost_at_end(evidence.records, end)]
     return found
--- a/tests/cluster/coordination_desk.py
+++ b/tests/cluster/coordination_desk.py
@@ -1,4 +1,4 @@
-"""A desk over a log of one member that answers at once, by a clock of the test's own."""
+"""A coordination handler on a one-member log whose writes complete at once, with a simulated clock."""
 
 from __future__ import annotations
 
@@ -14,7 +14,9 @@
 from coralvale.cluster.coordination.state import CoordinationState
 
 
-class LoneDesk:
+class SingleMember:
+    """A handler with its replica, the answers to its calls and its notices."""
+
     def __init__(self) -> None:
         self.now = 100.0
         chance = random.Random(1)
@@ -29,16 +31,18 @@
         self.act(self.replica.tick(self.now))
 
     def call(self, call: Call) -> Outcome | None:
-        """Its answer, None while it waits."""
+        """The outcome, None while the call is pending."""
         token = next(self.tokens)
         self.act(self.desk.call(self.now, token, call))
         return self.answers.get(token)
 
     def wait(self, seconds: float) -> None:
+        """Advances the clock and ticks."""
         self.now += seconds
         self.act([*self.replica.tick(self.now), *self.desk.tick(self.now)])
 
     def act(self, actions: list[Any]) -> None:
+        """Carries out actions of the replica and the handler, with all that follow from them."""
         left = list(actions)
         while left:
             action = left.pop(0)
--- a/tests/cluster/coordination_mutants.py
+++ b/tests/cluster/coordination_mutants.py
@@ -1,4 +1,4 @@
-"""Broken variants of coordination, one for each thing that it relies on, and the rules that are to miss it."""
+"""Broken variants of coordination, one per property that it relies on, and the rules that detect them."""
 
 from __future__ import annotations
 
@@ -8,12 +8,12 @@
 from attrs import frozen
 from consensus_world import Broken
 from coordination_scenes import (
-    late_put,
-    late_release,
-    mute_leader,
-    stale_reading,
+    delayed_put,
+    delayed_release,
+    leader_without_followers,
+    leader_without_replies,
+    stale_read,
     stale_renewals,
-    unheard_leader,
 )
 from coordination_world import RETAIN_S, CoordinationWorld
 
@@ -35,7 +35,7 @@
 
 
 class FenceNotInSnapshot(CoordinationState):
-    """The count of fences begins anew with a snapshot."""
+    """The fence counter restarts at 0 when a snapshot is loaded."""
 
     def replace(self, image: Image) -> None:
         super().replace(image)
@@ -43,7 +43,7 @@
 
 
 class NumbersNotInSnapshot(CoordinationState):
-    """Numbers begin anew with a snapshot."""
+    """Numbers restart when a snapshot is loaded."""
 
     def replace(self, image: Image) -> None:
         super().replace(image)
@@ -51,7 +51,7 @@
 
 
 class EventsNotInSnapshot(CoordinationState):
-    """A snapshot has a group's count and not its events, and does not say so."""
+    """A snapshot has a group's revision without its events, and `compacted` does not say so."""
 
     def image(self) -> bytes:
         for group in self.groups.values():
@@ -65,8 +65,8 @@
         return c.Watched(tuple(e for e in group.events if e.revision > after), group.revision)
 
 
-class TakesOverUnseen(CoordinationState):
-    """A lock that was seen to be over is taken, whoever holds it by now."""
+class TakesOverWithoutFenceCheck(CoordinationState):
+    """An acquire after an expired lease takes the lock, whoever holds it by then."""
 
     def _acquire(self, operation: c.Acquire) -> c.Outcome:
         if operation.expired_fence:
@@ -74,8 +74,8 @@
         return super()._acquire(operation)
 
 
-class ReleasesWhatWasReacquired(CoordinationState):
-    """A release that is late ends the hold after it."""
+class ReleasesReacquiredLock(CoordinationState):
+    """A delayed release ends the next hold of the same owner."""
 
     def _acquire(self, operation: c.Acquire) -> c.Outcome:
         outcome = super()._acquire(operation)
@@ -85,14 +85,14 @@
 
 
 class ForgetsFirstRevisions(CoordinationState):
-    """A put that comes again is known only while its value stands."""
+    """A retried put is recognised only while its value is the current one."""
 
     def _expire_puts(self, horizon_ms: int) -> None:
         self.puts.clear()
 
 
 class PutsNotInSnapshot(CoordinationState):
-    """What is known of puts that may come again is not in a snapshot."""
+    """The puts remembered to recognise retries are not in a snapshot."""
 
     def replace(self, image: Image) -> None:
         super().replace(image)
@@ -100,22 +100,22 @@
 
 
 class IgnoresExpected(CoordinationState):
-    """A put takes effect whatever has come before it."""
+    """A put takes effect whatever its expected revision is."""
 
     def _put(self, operation: c.Put) -> c.Outcome:
         return super()._put(c.Put(operation.key, operation.value))
 
 
-class CountsFromZero(CoordinationHandler):
-    """A new leader waits for nobody whom an earlier one may have told to hold on."""
+class IgnoresEarlierLeases(CoordinationHandler):
+    """A new leader does not wait out leases that an earlier leader may have renewed."""
 
     def _begin_view(self, now: float) -> None:
         super()._begin_view(now)
         self.leases = Leases(-1e9)
 
 
-class RenewsUnconfirmed(CoordinationHandler):
-    """A renewal is acknowledged without a majority's answer."""
+class RenewsWithoutBarrier(CoordinationHandler):
+    """A renewal is acknowledged without confirmation by a majority."""
 
     def _classify(self, now: float, pending: PendingCall) -> Found:
         found = super()._classify(now, pending)
@@ -124,23 +124,23 @@
         return found
 
 
-class RenewsWithoutTime(CoordinationHandler):
-    """A renewal is acknowledged, and its time is not counted."""
+class RenewsWithoutExtending(CoordinationHandler):
+    """A renewal is acknowledged without extending the lease."""
 
     def _extend_lease(self, now: float, call: c.Call) -> None:
         if not isinstance(call, c.Renew):
             super()._extend_lease(now, call)
 
 
-class LongerUnwritten(CoordinationHandler):
-    """A renewal for longer than the log knows is not written."""
+class LongerHoldNotLogged(CoordinationHandler):
+    """A renewal for longer than the hold time in the log is not logged."""
 
     def _classify(self, now: float, pending: PendingCall) -> Found:
         return None if isinstance(pending.call, c.Renew) else super()._classify(now, pending)
 
 
-class ReadsUnconfirmed(CoordinationHandler):
-    """A key is read as it is here."""
+class ReadsWithoutBarrier(CoordinationHandler):
+    """A key is read from the local state without confirmation by a majority."""
 
     def _classify(self, now: float, pending: PendingCall) -> Found:
         if isinstance(pending.call, c.Get):
@@ -148,16 +148,16 @@
         return super()._classify(now, pending)
 
 
-class RefusesWhatWasProposed(CoordinationHandler):
-    """A put whose entry may yet be committed is answered that nothing was done."""
+class RejectsProposedCalls(CoordinationHandler):
+    """A put whose entry may still be committed is answered `Unavailable`."""
 
     def _abandon_turn(self, turn: Turn) -> Result:
         refused = c.Unavailable("the leader changed")
         return self._answer_all(turn, refused, refused)
 
 
-class ConflictBeforeKnown(CoordinationHandler):
-    """A put that comes again is judged by the revision that it made itself."""
+class ConflictWithOwnRetry(CoordinationHandler):
+    """A retried put conflicts with the revision that it created itself."""
 
     def _classify_put(self, call: c.Put) -> c.Operation | c.Outcome:
         revision = self.state.key_revision(call.key)
@@ -166,8 +166,8 @@
         return super()._classify_put(call)
 
 
-class ConflictByGroup(CoordinationHandler):
-    """A conflict names the group's revision."""
+class ConflictWithGroupRevision(CoordinationHandler):
+    """A conflict reports the group's revision instead of the key's."""
 
     def _classify_put(self, call: c.Put) -> c.Operation | c.Outcome:
         found = super()._classify_put(call)
@@ -176,15 +176,15 @@
 
 
 class CompactsEarly(CoordinationHandler):
-    """Events are kept for less than was promised."""
+    """Events are kept for less than the promised retention."""
 
     def _submit_turn(self, now: float, turn: Turn) -> Result:
         self.event_retention_ms = int(300 * RETAIN_S)
         return super()._submit_turn(now, turn)
 
 
-class TellsUncommitted(CoordinationHandler):
-    """Watches are told of puts when they are proposed."""
+class NotifiesBeforeCommit(CoordinationHandler):
+    """Watches are notified of puts when they are proposed, before the commit."""
 
     def _submit_turn(self, now: float, turn: Turn) -> Result:
         done = super()._submit_turn(now, turn)
@@ -198,7 +198,7 @@
 
 
 class SkipsEvents(CoordinationState):
-    """A watch that is behind is told the newest events alone."""
+    """A watch that lags is given only the newest events."""
 
     def watch(self, name: str, after: int) -> c.Watched | c.Compacted:
         found = super().watch(name, after)
@@ -206,8 +206,8 @@
 
 
 @frozen
-class Suspect:
-    """A broken variant, and the rules one of which is to miss what it takes out."""
+class Mutant:
+    """A broken variant, and a pattern of the rules of which one has to detect it."""
 
     name: str
     rules: str
@@ -215,8 +215,8 @@
     state: type[CoordinationState] = CoordinationState
     scene: Callable[[CoordinationWorld], object] = lambda world: world.play(SECONDS)
 
-    def hunt(self) -> tuple[int, str]:
-        """In which schedule one of the rules was broken, and how; (-1, "") if none was."""
+    def find_violation(self) -> tuple[int, str]:
+        """The seed with which one of the rules was broken, and how; (-1, "") if none was."""
         for seed in range(SEEDS):
             world = CoordinationWorld(seed, 3, self.desk, self.state)
             try:
@@ -228,23 +228,28 @@
 
 
 MUTANTS = (
-    Suspect("fences not in the snapshot", "ONE", state=FenceNotInSnapshot),
-    Suspect("numbers not in the snapshot", "ORDER", state=NumbersNotInSnapshot),
-    Suspect("events not in the snapshot", "ORDER", state=EventsNotInSnapshot),
-    Suspect("known puts not in the snapshot", "MIXED", state=PutsNotInSnapshot, scene=late_put),
-    Suspect("takes over without comparing the fence", "ONE", state=TakesOverUnseen),
-    Suspect("releases what was reacquired", "ONE", state=ReleasesWhatWasReacquired, scene=late_release),
-    Suspect("forgets first revisions", "MIXED", state=ForgetsFirstRevisions),
-    Suspect("ignores the expected revision", "ORDER", state=IgnoresExpected),
-    Suspect("skips events", "ORDER", state=SkipsEvents),
-    Suspect("counts leases from zero", "ONE", CountsFromZero),
-    Suspect("renews without a majority", "ONE", RenewsUnconfirmed, scene=stale_renewals),
-    Suspect("renews without counting the time", "ONE", RenewsWithoutTime),
-    Suspect("does not write a longer hold", "ONE", LongerUnwritten),
-    Suspect("reads without a majority", "STALE", ReadsUnconfirmed, scene=stale_reading),
-    Suspect("refuses what was proposed", "REFUSED", RefusesWhatWasProposed, scene=unheard_leader),
-    Suspect("finds a conflict with itself", "REFUSED", ConflictBeforeKnown),
-    Suspect("names the group's revision", "MIXED", ConflictByGroup),
-    Suspect("compacts too early", "LOST", CompactsEarly),
-    Suspect("tells what is not committed", "ORDER|MIXED|LOST", TellsUncommitted, scene=mute_leader),
+    Mutant("fences not in the snapshot", "ONE", state=FenceNotInSnapshot),
+    Mutant("numbers not in the snapshot", "ORDER", state=NumbersNotInSnapshot),
+    Mutant("events not in the snapshot", "ORDER", state=EventsNotInSnapshot),
+    Mutant("known puts not in the snapshot", "MIXED", state=PutsNotInSnapshot, scene=delayed_put),
+    Mutant("takes over without comparing the fence", "ONE", state=TakesOverWithoutFenceCheck),
+    Mutant("releases what was reacquired", "ONE", state=ReleasesReacquiredLock, scene=delayed_release),
+    Mutant("forgets first revisions", "MIXED", state=ForgetsFirstRevisions),
+    Mutant("ignores the expected revision", "ORDER", state=IgnoresExpected),
+    Mutant("skips events", "ORDER", state=SkipsEvents),
+    Mutant("counts leases from zero", "ONE", IgnoresEarlierLeases),
+    Mutant("renews without a majority", "ONE", RenewsWithoutBarrier, scene=stale_renewals),
+    Mutant("renews without counting the time", "ONE", RenewsWithoutExtending),
+    Mutant("does not write a longer hold", "ONE", LongerHoldNotLogged),
+    Mutant("reads without a majority", "STALE", ReadsWithoutBarrier, scene=stale_read),
+    Mutant("refuses what was proposed", "REFUSED", RejectsProposedCalls, scene=leader_without_replies),
+    Mutant("finds a conflict with itself", "REFUSED", ConflictWithOwnRetry),
+    Mutant("names the group's revision", "MIXED", ConflictWithGroupRevision),
+    Mutant("compacts too early", "LOST", CompactsEarly),
+    Mutant(
+        "tells what is not committed",
+        "ORDER|MIXED|LOST",
+        NotifiesBeforeCommit,
+        scene=leader_without_followers,
+    ),
 )
--- a/tests/cluster/coordination_scenes.py
+++ b/tests/cluster/coordination_scenes.py
@@ -1,6 +1,7 @@
-"""Scenes that schedules meet seldom: a leader that is not the only one any more, and calls that come late.
+"""Scripted scenarios that random schedules rarely reach: a deposed leader beside the new one, and delayed
+calls.
 
-Each plays in a `CoordinationWorld` and has what callers saw judged. Raises Broken.
+Each runs in a `CoordinationWorld` and checks what callers observed. Raises Broken.
 """
 
 from __future__ import annotations
@@ -11,19 +12,20 @@
 from coralvale.cluster.coordination import model as c
 
 HOLD_MS = 600
-STEP = 0.005  # s between looks
-NEW_LEADER = 3.0  # s within which another leads
+STEP_S = 0.005  # between polls
+ELECTION_S = 3.0  # time allowed for an election
 
 
-def two_leaders(world: CoordinationWorld) -> tuple[Place, Place | None]:
-    """Cuts the leader off: it, and the one that leads the others, None if it stepped down before."""
-    old = whole_leader(world)
+def isolate_leader(world: CoordinationWorld) -> tuple[Place, Place | None]:
+    """Cuts the leader off. Returns it and the new leader of the others, None if there is none in time."""
+    old = wait_for_leader(world)
     others = {ip for ip in world.places if ip != old.ip}
     world.cut |= {(old.ip, ip) for ip in others} | {(ip, old.ip) for ip in others}
-    return old, other_leader(world, old)
+    return old, wait_for_new_leader(world, old)
 
 
-def whole_leader(world: CoordinationWorld) -> Place:
+def wait_for_leader(world: CoordinationWorld) -> Place:
+    """Waits until all members are healthy; returns the leader."""
     world.calm = True
     world.env.run(world.env.process(world.whole()))
     leader = world.leader()
@@ -31,10 +33,11 @@
     return leader
 
 
-def other_leader(world: CoordinationWorld, old: Place) -> Place | None:
-    ends = world.env.now + NEW_LEADER
+def wait_for_new_leader(world: CoordinationWorld, old: Place) -> Place | None:
+    """Waits for another leader than `old`, for up to `ELECTION_S`."""
+    ends = world.env.now + ELECTION_S
     while world.env.now < ends:
-        world.env.run(until=world.env.now + STEP)
+        world.env.run(until=world.env.now + STEP_S)
         for place in world.places.values():
             if place is not old and place.replica and place.replica.leading and place.replica.settled:
                 return place
@@ -42,29 +45,31 @@
 
 
 def ask(world: CoordinationWorld, caller: str, call: c.Call, at: Place) -> c.Outcome | None:
+    """Makes one call at a gateway and waits for its outcome."""
     outcome: c.Outcome | None = world.env.run(world.env.process(world.ask(caller, call, at)))
     return outcome
 
 
-def together_again(world: CoordinationWorld) -> None:
+def heal_and_finish(world: CoordinationWorld) -> None:
+    """Heals all partitions, reads everything back, and checks the history."""
     world.cut.clear()
     world.finish()
 
 
-def stale_reading(world: CoordinationWorld) -> None:
-    """A put is acknowledged by the new leader, and its key is read at the old one."""
-    first = whole_leader(world)
+def stale_read(world: CoordinationWorld) -> None:
+    """A put is acknowledged by the new leader, and its key is read at the deposed one."""
+    first = wait_for_leader(world)
     ask(world, "p", c.Put("g1.a", "v1"), first)
-    old, new = two_leaders(world)
+    old, new = isolate_leader(world)
     if new:
         ask(world, "p", c.Put("g1.a", "v2"), new)
         ask(world, "r", c.Get("g1.a"), old)
-    together_again(world)
+    heal_and_finish(world)
 
 
 def stale_renewals(world: CoordinationWorld) -> None:
-    """A holder renews at the old leader for as long as that answers, while another asks the new one."""
-    leader = whole_leader(world)
+    """A holder renews at the deposed leader as long as it answers, while another owner asks the new one."""
+    leader = wait_for_leader(world)
     granted = ask(world, "a", c.Acquire("l1", "a", HOLD_MS), leader)
     assert isinstance(granted, c.Granted)
     until = world.env.now + 2.5
@@ -72,25 +77,25 @@
     def renewing() -> Process:
         while world.env.now < until:
             world.env.process(world.ask("a", c.Renew("l1", "a", granted.fence, HOLD_MS), leader))
-            yield world.env.timeout(4 * STEP)
+            yield world.env.timeout(4 * STEP_S)
 
     def taking(at: Place) -> Process:
         while world.env.now < until:
             outcome = yield from world.ask("b", c.Acquire("l1", "b", HOLD_MS), at)
             if isinstance(outcome, c.Granted):
                 return
-            yield world.env.timeout(STEP)
+            yield world.env.timeout(STEP_S)
 
     world.env.process(renewing())
-    _, new = two_leaders(world)
+    _, new = isolate_leader(world)
     if new:
         world.env.run(world.env.process(taking(new)))
-    together_again(world)
+    heal_and_finish(world)
 
 
-def unheard_leader(world: CoordinationWorld) -> None:
-    """What a leader proposes reaches the others, their replies do not come back, and it steps down."""
-    leader = whole_leader(world)
+def leader_without_replies(world: CoordinationWorld) -> None:
+    """The leader's proposals reach the others, but their replies are lost, so it steps down."""
+    leader = wait_for_leader(world)
     world.cut |= {(ip, leader.ip) for ip in world.places if ip != leader.ip}
 
     def putting() -> Process:
@@ -99,27 +104,27 @@
             yield world.env.timeout(0.05)
 
     world.env.process(putting())
-    world.env.run(until=world.env.now + NEW_LEADER)
-    together_again(world)
+    world.env.run(until=world.env.now + ELECTION_S)
+    heal_and_finish(world)
 
 
-def mute_leader(world: CoordinationWorld) -> None:
-    """What a leader proposes does not reach the others, while a watch waits at it; another puts after it."""
-    leader = whole_leader(world)
+def leader_without_followers(world: CoordinationWorld) -> None:
+    """The leader's proposals are lost while a watch waits at it; then a put succeeds at the new leader."""
+    leader = wait_for_leader(world)
     ask(world, "p", c.Put("g1.a", "v1"), leader)
     world.cut |= {(leader.ip, ip) for ip in world.places if ip != leader.ip}
     watching = world.env.process(world.ask("w", c.Watch("g1.", 1, 1000), leader))
-    world.env.run(until=world.env.now + STEP)
+    world.env.run(until=world.env.now + STEP_S)
     world.env.process(world.ask("p", c.Put("g1.a", "v2"), leader))
-    if new := other_leader(world, leader):
+    if new := wait_for_new_leader(world, leader):
         ask(world, "q", c.Put("g1.a", "v3"), new)
     world.env.run(watching)
-    together_again(world)
+    heal_and_finish(world)
 
 
-def late_release(world: CoordinationWorld) -> None:
-    """A release stands in a frozen gateway until its caller holds the lock anew."""
-    leader, edge = whole_leader(world), world.edges[0]
+def delayed_release(world: CoordinationWorld) -> None:
+    """A release is stuck in a frozen gateway until its caller has acquired the lock again."""
+    leader, edge = wait_for_leader(world), world.edges[0]
     granted = ask(world, "a", c.Acquire("l1", "a", 5 * HOLD_MS), leader)
     assert isinstance(granted, c.Granted)
     edge.frozen_until = world.env.now + 1.5
@@ -128,13 +133,13 @@
     ask(world, "a", c.Acquire("l1", "a", 5 * HOLD_MS), leader)
     world.env.run(until=world.env.now + 1.0)
     ask(world, "b", c.Acquire("l1", "b", HOLD_MS), leader)
-    together_again(world)
+    heal_and_finish(world)
 
 
-def late_put(world: CoordinationWorld) -> None:
-    """A put stands in a frozen gateway; it was sent again, others followed, and all processes started anew from
-    their snapshots before it comes."""
-    leader, edge = whole_leader(world), world.edges[0]
+def delayed_put(world: CoordinationWorld) -> None:
+    """A put is stuck in a frozen gateway. Before it arrives it was retried elsewhere, others followed, and
+    all processes restarted from their snapshots."""
+    leader, edge = wait_for_leader(world), world.edges[0]
     edge.frozen_until = world.env.now + 8.0
     put = c.Put("g1.a", "v1")
     world.env.process(world.ask("p", put, edge))
@@ -144,11 +149,18 @@
     for place in list(world.places.values()):
         world.kill(place)
         world.start(place)
-    again = whole_leader(world)
+    again = wait_for_leader(world)
     assert world.env.now < edge.frozen_until
     ask(world, "q", c.Put("g1.a", "x"), again)
     world.env.run(until=edge.frozen_until + 1.0)
-    together_again(world)
+    heal_and_finish(world)
 
 
-SCENES = (stale_reading, stale_renewals, unheard_leader, mute_leader, late_release, late_put)
+SCENES = (
+    stale_read,
+    stale_renewals,
+    leader_without_replies,
+    leader_without_followers,
+    delayed_release,
+    delayed_put,
+)
--- a/tests/cluster/coordination_world.py
+++ b/tests/cluster/coordination_world.py
@@ -1,13 +1,13 @@
-"""Applications' calls on a virtual clock, against replicas that are killed, frozen, cut off, wiped and slow.
+"""Simulates applications' calls on a virtual clock against replicas that crash, freeze, stall or are partitioned.
 
     PYTHONPATH=.:tests/cluster python tests/cluster/coordination_world.py --seeds 250 --first 0 --jobs 2
 
-plays that many schedules with each number of members, and prints what was played; exit code 1 if a rule was
-broken. A schedule is a seed and a number of members: the same two play the same again.
+runs that many schedules with each number of members and prints a summary; the exit code is 1 if a rule was
+broken. A schedule is a seed and a number of members, and is reproducible from these two.
 
-Behind each replica stand the real `CoordinationHandler` and `CoordinationState`. Callers ask any gateway, and go
-on elsewhere after a second of silence; calls on their way to the leader may be held up for seconds and arrive
-late. What they saw is judged by `coordination_checker`, which knows nothing of this world.
+Behind each replica stand the real `CoordinationHandler` and `CoordinationState`. Callers use any gateway and try
+another after a second without an answer; calls on their way to the leader may be delayed by seconds.
+`coordination_checker` checks what callers observed and knows nothing of the simulation.
 """
 
 from __future__ import annotations
@@ -34,18 +34,18 @@
 
 SECONDS = 20.0
 MEMBERS = (3, 4, 5)
-SILENCE = 1.0  # s after which a caller asks elsewhere
-RESENT = 4.0  # s for which a call without a clear answer is sent again
-READ_BACK = 6.0  # s, at the end, for a clear answer to everything
+CALL_TIMEOUT_S = 1.0  # then a caller tries another gateway
+RETRY_S = 4.0  # how long a call without a clear answer is retried
+READ_BACK_S = 6.0  # how long calls are retried at the end
 RETAIN_S = 2.0  # short, so that events are compacted within a schedule
-LATE = 0.04  # of the calls to the leader that are held up on their way
-LATEST = 6.0  # s
-TOLD_EVERY = 30  # schedules
-APART = 10  # entries
-EDGES = 2  # gateways without a replica
+DELAYED_SHARE = 0.04  # fraction of the calls to the leader that are delayed
+MAX_DELAY_S = 6.0
+REPORT_EVERY = 30  # schedules
+MAX_COMMIT_LAG = 10  # log entries
+EDGE_COUNT = 2  # gateways without a replica
 LOCKS, KEYS, NUMBERS = ("l1", "l2"), ("g1.a", "g1.b", "g2.a"), ("n1",)
 HOLDS_MS = (200, 600, 1500, 3000)
-SURE_FAILURES = c.Unavailable | c.Full
+NOT_DONE = c.Unavailable | c.Full
 Process = Generator[simpy.Event, Any, Any]
 
 
@@ -59,7 +59,7 @@
 
 @define(eq=False)
 class Member:
-    """What one life of a machine's process has for coordination."""
+    """State and handler of one process; `life` counts the processes of a machine."""
 
     life: int
     state: CoordinationState
@@ -68,13 +68,15 @@
 
 @frozen
 class Waiting:
-    """A call at the leader."""
+    """A call pending at the leader."""
 
     gateway: Edge | Place
     reply: simpy.Event
 
 
 class CoordinationWorld(World):
+    """A `World` whose replicas also handle coordination calls, with callers and their history."""
+
     def __init__(
         self,
         seed: int,
@@ -83,31 +85,31 @@
         state: type[CoordinationState] = CoordinationState,
         kind: type[Replica] = Replica,
     ) -> None:
-        self.coordination_desk_kind, self.state_kind = desk, state
+        self.handler_type, self.state_type = desk, state
         self.members: dict[str, Member] = {}
         self.at_leader: dict[int, Waiting] = {}
         self.history: list[Record] = []
-        self.asks_at: dict[str, Edge | Place] = {}  # by caller
-        self.saved: dict[str, int] = {}  # by group: a revision from which to resume at the end
-        self.edges = [Edge(f"10.9.0.{n}") for n in range(EDGES)]
+        self.gateway_by_caller: dict[str, Edge | Place] = {}  # by caller
+        self.resume_from: dict[str, int] = {}  # by group: revision to resume from at the end
+        self.edges = [Edge(f"10.9.0.{n}") for n in range(EDGE_COUNT)]
         self.values = self.late = 0
-        self.calm = False  # nothing befalls them any more
+        self.calm = False  # whether all faults are over
         super().__init__(seed, members, kind)
 
     # Machines
 
     def member(self, place: Place) -> Member:
-        """Of the process that runs now."""
+        """The state and handler of the process that runs now."""
         known = self.members.get(place.ip)
         if known is None or known.life != place.life:
-            known = self.members[place.ip] = self.new_member(place)
+            known = self.members[place.ip] = self.make_member(place)
         return known
 
-    def new_member(self, place: Place) -> Member:
+    def make_member(self, place: Place) -> Member:
         assert place.replica
-        state = self.state_kind()
+        state = self.state_type()
         chance = random.Random(self.chance.random())
-        desk = self.coordination_desk_kind(place.replica, state, self.next_token, chance, RETAIN_S)
+        desk = self.handler_type(place.replica, state, self.next_token, chance, RETAIN_S)
         desk.event_retention_ms -= 10_000  # the margin is longer than a schedule
         return Member(place.life, state, desk)
 
@@ -143,41 +145,41 @@
                 place.pending.extend(self.member(place).desk.settled(now, action.token, action.accepted))
             case CoordinationAnswer():
                 if waiting := self.at_leader.pop(action.token, None):
-                    self.env.process(self.answer_back(place, waiting, action.outcome))
+                    self.env.process(self.send_answer(place, waiting, action.outcome))
             case _:
                 super().carry_out(place, action)
 
-    # A call's way
+    # Path of a call
 
     def ask(self, caller: str, call: c.Call, at: Edge | Place | None = None) -> Process:
-        """One call, at any gateway or at one; its outcome, None if none came in time. It stands in the
-        history."""
+        """Makes one call, at gateway `at` or any, and records it in the history; returns its outcome, None if
+        none came in time."""
         reply, sent = self.env.event(), self.env.now
         record = len(self.history)
-        patience = SILENCE + (call.poll_ms / 1000 if isinstance(call, c.Watch) else 0.0)
-        self.history.append(Record(caller, call, sent, sent + patience))
-        self.env.process(self.through(at or self.gateway_of(caller), call, reply))
-        yield reply | self.env.timeout(patience)
+        timeout_s = CALL_TIMEOUT_S + (call.poll_ms / 1000 if isinstance(call, c.Watch) else 0.0)
+        self.history.append(Record(caller, call, sent, sent + timeout_s))
+        self.env.process(self.route_call(at or self.gateway_of(caller), call, reply))
+        yield reply | self.env.timeout(timeout_s)
         outcome = reply.value if reply.triggered else None
         if isinstance(outcome, c.Unknown):
             outcome = None
         self.history[record] = Record(caller, call, sent, self.env.now, outcome)
-        if outcome is None or isinstance(outcome, SURE_FAILURES):
-            self.asks_at.pop(caller, None)
+        if outcome is None or isinstance(outcome, NOT_DONE):
+            self.gateway_by_caller.pop(caller, None)
         if isinstance(outcome, c.Stored | c.Granted | c.Number):
-            # What `trouble` counts, to strike right after an acknowledgement.
+            # `trouble` counts these, to cause faults right after an acknowledgement.
             self.acknowledged[b"%d" % record] = Change(0, True, b"")
         return outcome
 
     def gateway_of(self, caller: str) -> Edge | Place:
-        """A caller stays at one gateway until it gets a failure, or nothing, from it."""
-        known = self.asks_at.get(caller)
+        """A caller stays at one gateway until it gets a failure or a timeout from it."""
+        known = self.gateway_by_caller.get(caller)
         if known is None or (isinstance(known, Place) and self.places.get(known.ip) is not known):
-            known = self.asks_at[caller] = self.chance.choice([*self.places.values(), *self.edges])
+            known = self.gateway_by_caller[caller] = self.chance.choice([*self.places.values(), *self.edges])
         return known
 
-    def through(self, gateway: Edge | Place, call: c.Call, reply: simpy.Event) -> Process:
-        """From the caller to the gateway, and on to the leader that it knows of."""
+    def route_call(self, gateway: Edge | Place, call: c.Call, reply: simpy.Event) -> Process:
+        """Delivers a call to the gateway, which forwards it to the leader that it knows of."""
         yield self.env.timeout(0.001 + 0.004 * self.chance.random())
         yield from self.awake(gateway)
         if isinstance(gateway, Place) and (not gateway.replica or self.places.get(gateway.ip) is not gateway):
@@ -189,7 +191,7 @@
         elif leader is gateway:
             self.arrive_at(leader, gateway, call, reply)
         else:
-            yield from self.pass_on(gateway, leader, call, reply)
+            yield from self.forward(gateway, leader, call, reply)
 
     def known_leader(self, gateway: Edge | Place) -> Place | None:
         knows = gateway if isinstance(gateway, Place) else self.chance.choice(list(self.places.values()))
@@ -197,21 +199,21 @@
             return None
         return self.places.get(named.ip)
 
-    def pass_on(self, gateway: Edge | Place, leader: Place, call: c.Call, reply: simpy.Event) -> Process:
+    def forward(self, gateway: Edge | Place, leader: Place, call: c.Call, reply: simpy.Event) -> Process:
         life = leader.life
         yield self.env.timeout(0.001 + 0.01 * self.chance.random() ** 3)
-        if not self.calm and self.chance.random() < LATE:
+        if not self.calm and self.chance.random() < DELAYED_SHARE:
             self.late += 1
-            yield self.env.timeout(LATEST * self.chance.random())
-        if not (yield from self.path(gateway.ip, leader.ip)):
+            yield self.env.timeout(MAX_DELAY_S * self.chance.random())
+        if not (yield from self.travels(gateway.ip, leader.ip)):
             return
         yield from self.awake(leader)
         if leader.life != life and self.chance.random() < 0.7:
-            return  # its connection broke; else it stood in the queue for the next one
+            return  # lost with its connection; otherwise it was queued for the next one
         self.arrive_at(leader, gateway, call, reply)
 
-    def path(self, source: str, to: str) -> Process:
-        """Whether something gets there: a cut loses it, or holds it up until it is over."""
+    def travels(self, source: str, to: str) -> Process:
+        """Whether a message arrives: a partition loses it, or delays it until the partition heals."""
         if (source, to) in self.cut and self.chance.random() < 0.5:
             return False
         while (source, to) in self.cut:
@@ -228,9 +230,9 @@
             return
         self.act(place, self.member(place).desk.call(self.env.now, token, call))
 
-    def answer_back(self, leader: Place, waiting: Waiting, outcome: c.Outcome) -> Process:
+    def send_answer(self, leader: Place, waiting: Waiting, outcome: c.Outcome) -> Process:
         yield self.env.timeout(0.001 + 0.01 * self.chance.random() ** 3)
-        if waiting.gateway is leader or (yield from self.path(leader.ip, waiting.gateway.ip)):
+        if waiting.gateway is leader or (yield from self.travels(leader.ip, waiting.gateway.ip)):
             yield from self.awake(waiting.gateway)
             self.tell(waiting.reply, outcome)
 
@@ -240,18 +242,18 @@
 
     # Callers
 
-    def until_clear(self, caller: str, call: c.Call, seconds: float = RESENT) -> Process:
-        """Sent again, for some seconds, until there is a clear answer other than a failure."""
+    def until_clear(self, caller: str, call: c.Call, seconds: float = RETRY_S) -> Process:
+        """Retries a call for `seconds` until there is a clear answer other than a failure."""
         ends, outcome = self.env.now + seconds, None
         while self.env.now < ends:
             outcome = yield from self.ask(caller, call)
-            if outcome is not None and not isinstance(outcome, SURE_FAILURES):
+            if outcome is not None and not isinstance(outcome, NOT_DONE):
                 return outcome
             yield self.env.timeout(0.05 + 0.1 * self.chance.random())
         return None
 
-    def holder(self, owner: str, until: float) -> Process:
-        """Keeps its name over all of its holds, whatever became of them."""
+    def hold_locks(self, owner: str, until: float) -> Process:
+        """Acquires and releases locks, always as the same owner, whatever became of its earlier holds."""
         while self.env.now < until:
             yield self.env.timeout(0.3 * self.chance.random())
             name, hold_ms = self.chance.choice(LOCKS), self.chance.choice(HOLDS_MS)
@@ -260,25 +262,25 @@
             ends = sent + hold_ms / 1000
             if not isinstance(outcome, c.Granted) or self.env.now >= ends:
                 continue
-            lot = self.chance.random()
-            if lot < 0.4:
+            drawn = self.chance.random()
+            if drawn < 0.4:
                 yield self.env.timeout(0.1 * self.chance.random())
-            elif lot < 0.7:
-                yield from self.keep(owner, name, outcome.fence, ends)
-            elif lot < 0.85:  # it dies
+            elif drawn < 0.7:
+                yield from self.renew_lock(owner, name, outcome.fence, ends)
+            elif drawn < 0.85:  # the holder crashes
                 yield self.env.timeout(2 * self.chance.random())
                 continue
-            else:  # it sleeps beyond its time
+            else:  # the holder oversleeps its lease
                 yield self.env.timeout(ends - self.env.now + self.chance.random())
                 yield from self.ask(owner, c.Renew(name, owner, outcome.fence, hold_ms))
             release = c.Release(name, owner, outcome.fence)
             if self.chance.random() < 0.7:
                 yield from self.until_clear(owner, release)
-            else:  # it asks for it anew, whatever becomes of the release
+            else:  # it acquires again, whatever becomes of the release
                 self.env.process(self.ask(owner, release))
 
-    def keep(self, owner: str, name: str, fence: int, ends: float) -> Process:
-        """Holds a lock for long, by renewals for shorter and for longer."""
+    def renew_lock(self, owner: str, name: str, fence: int, ends: float) -> Process:
+        """Keeps a lock by renewals with shorter and longer hold times."""
         for _ in range(self.chance.randrange(1, 8)):
             yield self.env.timeout((ends - self.env.now) * 0.6 * self.chance.random())
             hold_ms, sent = self.chance.choice(HOLDS_MS), self.env.now
@@ -288,12 +290,14 @@
             if isinstance(outcome, c.NotHeld) or self.env.now >= ends:
                 return
 
-    def counting(self, caller: str, until: float) -> Process:
+    def draw_numbers(self, caller: str, until: float) -> Process:
+        """Draws numbers."""
         while self.env.now < until:
             yield self.env.timeout(0.2 * self.chance.random())
             yield from self.ask(caller, c.NextNumber(self.chance.choice(NUMBERS)))
 
-    def putting(self, caller: str, until: float) -> Process:
+    def put_values(self, caller: str, until: float) -> Process:
+        """Puts values, with and without an expected revision, and repeats some puts."""
         known: dict[str, int] = {}
         while self.env.now < until:
             yield self.env.timeout(0.15 * self.chance.random())
@@ -307,43 +311,45 @@
             if self.chance.random() < 0.05:  # its answer was lost
                 self.env.process(self.until_clear(caller, put))
 
-    def reading(self, caller: str, until: float) -> Process:
+    def read_keys(self, caller: str, until: float) -> Process:
         while self.env.now < until:
             yield self.env.timeout(0.15 * self.chance.random())
             yield from self.ask(caller, c.Get(self.chance.choice(KEYS)))
 
-    def watching(self, caller: str, group: str, until: float) -> Process:
+    def watch_group(self, caller: str, group: str, until: float) -> Process:
         after = 0
         while self.env.now < until:
             outcome = yield from self.ask(caller, c.Watch(group, after, 700))
             if isinstance(outcome, c.Watched):
-                after = self.saved[group] = outcome.revision
+                after = self.resume_from[group] = outcome.revision
             elif isinstance(outcome, c.Compacted):
                 after = 0
             slept = self.chance.choice((0.01, 0.01, 0.01, 0.01, 0.8 * RETAIN_S, 4 * RETAIN_S))
             yield self.env.timeout(slept * self.chance.random())
 
     def asking(self, until: float) -> Process:
-        callers = [self.holder(f"holder-{n}", until) for n in range(5)]
-        callers += [self.counting(f"counts-{n}", until) for n in range(2)]
-        callers += [self.putting(f"puts-{n}", until) for n in range(3)]
-        callers += [self.reading(f"reads-{n}", until) for n in range(2)]
-        callers += [self.watching(f"watches-{n}", f"g{n % 2 + 1}.", until) for n in range(4)]
+        """Runs all callers."""
+        callers = [self.hold_locks(f"holder-{n}", until) for n in range(5)]
+        callers += [self.draw_numbers(f"counts-{n}", until) for n in range(2)]
+        callers += [self.put_values(f"puts-{n}", until) for n in range(3)]
+        callers += [self.read_keys(f"reads-{n}", until) for n in range(2)]
+        callers += [self.watch_group(f"watches-{n}", f"g{n % 2 + 1}.", until) for n in range(4)]
         yield self.env.all_of([self.env.process(caller) for caller in callers])
 
     def read_back(self) -> Process:
+        """Acquires every lock, reads every key and group, and draws every number once more."""
         calls: list[c.Call] = [c.Acquire(name, "last", 200) for name in LOCKS]
         calls += [c.Get(key) for key in KEYS]
         calls += [c.NextNumber(name) for name in NUMBERS]
         for group in {c.group_of(key) for key in KEYS}:
-            calls += [c.Watch(group, 0, 0), c.Watch(group, self.saved.get(group, 0), 200)]
-        asked = [self.env.process(self.until_clear("last", call, READ_BACK)) for call in calls]
+            calls += [c.Watch(group, 0, 0), c.Watch(group, self.resume_from.get(group, 0), 200)]
+        asked = [self.env.process(self.until_clear("last", call, READ_BACK_S)) for call in calls]
         yield self.env.all_of(asked)
 
-    # What befalls, beside `trouble`
+    # Faults, in addition to `trouble`
 
-    def disturbance(self, until: float) -> Process:
-        """Short ones, on top of what is lost: gateways stand still, disks stall, leaders are cut off."""
+    def disturb(self, until: float) -> Process:
+        """Short faults beside losses: frozen gateways, stalled disks, partitioned leaders."""
         while self.env.now < until:
             yield self.env.timeout(0.5 + 2 * self.chance.random())
             place, seconds = self.chance.choice(list(self.places.values())), self.chance.random()
@@ -354,14 +360,14 @@
                     place.frozen_until = max(place.frozen_until, self.env.now + seconds)
                 case "disk":
                     place.full_until = max(place.full_until, self.env.now + 0.6 * seconds)
-                case "leader":  # about as long as others need to elect another
+                case "leader":  # about as long as an election takes
                     leader = self.leader() or place
                     leader.frozen_until = max(leader.frozen_until, self.env.now + 0.6 + 0.4 * seconds)
                 case "cut":
-                    yield from self.part(self.leader() or place, 0.6 + seconds)
+                    yield from self.partition(self.leader() or place, 0.6 + seconds)
 
-    def part(self, place: Place, seconds: float) -> Process:
-        """Cuts a replica off from the others, both ways, or what it sends, or what it gets."""
+    def partition(self, place: Place, seconds: float) -> Process:
+        """Partitions a replica from the others: both directions, or only outgoing, or only incoming."""
         others = [ip for ip in self.places if ip != place.ip]
         ways = {(place.ip, ip) for ip in others}, {(ip, place.ip) for ip in others}
         fresh = self.chance.choice((ways[0] | ways[1], *ways)) - self.cut
@@ -370,14 +376,14 @@
         self.cut -= fresh
 
     def whole(self) -> Process:
-        """As in `World`; while callers ask, replicas may be some entries apart."""
+        """As in `World`, but until the faults are over, commit indexes may differ by `MAX_COMMIT_LAG`."""
         for _ in range(600):
             yield self.env.timeout(0.05)
             replicas = [p.replica for p in self.places.values() if p.replica]
             ids = {p.disk.id for p in self.places.values()}
             calm = [r for r in replicas if r.settled and not r.voters.old and r.in_contact(self.env.now)]
             commits = [r.commit for r in calm]
-            if len(calm) != len(ids) or max(commits) - min(commits) > (0 if self.calm else APART):
+            if len(calm) != len(ids) or max(commits) - min(commits) > (0 if self.calm else MAX_COMMIT_LAG):
                 continue
             voters = {v.id for v in calm[0].voters.new}
             expected = len(ids) - 1 + len(ids) % 2
@@ -386,17 +392,17 @@
         raise Broken(f"not whole again after 30 s at {self.env.now:.1f}")
 
     def play(self, seconds: float) -> int:
-        """Plays a schedule; how many calls were made. Raises Broken."""
+        """Runs a schedule; returns the number of calls. Raises Broken."""
         self.env.run(self.env.process(self.whole()))
         asking = self.env.process(self.asking(seconds))
-        self.env.process(self.disturbance(seconds - 2.0))
+        self.env.process(self.disturb(seconds - 2.0))
         self.env.run(self.env.process(self.trouble(seconds)))
         self.env.run(asking)
         self.finish()
         return len(self.history)
 
     def finish(self) -> None:
-        """Nothing befalls them any more: all is asked for once more, and judged. Raises Broken."""
+        """Ends all faults, reads everything back, and checks the history. Raises Broken."""
         self.calm = True
         self.env.run(self.env.process(self.whole()))
         end = self.env.now
@@ -406,6 +412,7 @@
         self.check_end()
 
     def judge(self, end: float | None = None) -> None:
+        """Checks the history. Raises Broken."""
         if found := check(self.history, RETAIN_S, end):
             raise Broken("; ".join(f"{violation.rule}: {violation.reason}" for violation in found[:3]))
 
@@ -420,7 +427,7 @@
 
 
 def play(schedule: tuple[int, int]) -> tuple[str, Counter[str], int]:
-    """Of one schedule: what broke, the calls by their outcome, and how many came late."""
+    """Runs one schedule: the violation or "", calls by outcome, and the number of delayed calls."""
     seed, members = schedule
     world = CoordinationWorld(seed, members)
     broken = ""
@@ -449,7 +456,7 @@
             if problem:
                 broken += 1
                 print(problem, flush=True)
-            if done % TOLD_EVERY == 0:
+            if done % REPORT_EVERY == 0:
                 print(f"{done} of {len(schedules)} schedules, {broken} broken", flush=True)
     print(f"{len(schedules)} schedules, {outcomes.total()} calls, {late} late at the leader, {broken} broken")
     print(", ".join(f"{what} {count}" for what, count in sorted(outcomes.items())))
--- a/tests/cluster/test_book_slots.py
+++ b/tests/cluster/test_book_slots.py
@@ -1,4 +1,4 @@
-"""What applications are shown, against real gateways: the example application, and the operators' page's one."""
+"""Runs the example application and the example of the operators' page against real gateways."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
     return program.returncode, out.decode()
 
 
-def test_a_fence_at_the_store_refuses_who_has_overslept_also_through_the_loss_of_a_gateway(
+def test_the_store_refuses_late_writes_by_their_fence_also_when_a_gateway_is_lost(
     tmp_path: Path,
 ) -> None:
     async def scene(cluster: LocalCluster, at: list[str]) -> None:
@@ -46,7 +46,9 @@
         program = asyncio.create_task(run(*words))
         events = tmp_path / "events"
         await cluster.until(lambda: events.exists() and "late" in events.read_text(), 120.0)
-        await cluster.kill(next(n for n in range(3) if "E202" in cluster.log(n)))  # it founded the core
+        await cluster.kill(
+            next(n for n in range(3) if "E202" in cluster.log(n))
+        )  # the gateway that founded the core
         code, out = await program
         found = json.loads(out)
         assert code == 0 and found["well"], found
@@ -56,7 +58,7 @@
     play(scene)
 
 
-def test_the_example_on_the_operators_page_does_what_the_page_says(tmp_path: Path) -> None:
+def test_the_example_on_the_operators_page_prints_what_the_page_says(tmp_path: Path) -> None:
     (example,) = re.findall(r"```python\n(.*?)```", PAGE.read_text(), re.DOTALL)
 
     async def scene(cluster: LocalCluster, at: list[str]) -> None:
--- a/tests/cluster/test_configuration.py
+++ b/tests/cluster/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration: what is refused, with its place; what a change leads to; which change is taken."""
+"""The configuration: errors with their place, results of changes, and which of competing changes applies."""
 
 from __future__ import annotations
 
@@ -52,7 +52,7 @@
     return json.dumps(config).encode()
 
 
-def test_what_changes_did_is_told_by_name_and_kept_in_the_image() -> None:
+def test_change_summaries_list_names_and_survive_a_snapshot() -> None:
     history = ChangeHistory()
     history.deliver(pack(Change(0, True, body(WHOLE))))
     more = {f"t{n:03}": {"ApiKeys": [f"key-{n}"]} for n in range(30)}
@@ -60,7 +60,7 @@
     history.deliver(pack(Change(2, False, body({"Ver": 5, "Upsert": upsert, "Remove": {"Tenants": ["u"]}}))))
     first, second = history.summaries
     assert (first.version, first.base, second.version, second.base) == (2, 0, 5, 2)
-    assert second.did["Routes"] == {"changed": (1, ["r"])}  # one that is sent as it was did not change
+    assert second.did["Routes"] == {"changed": (1, ["r"])}  # an item sent unchanged does not count as changed
     count, names = second.did["Tenants"]["added"]
     assert (
         count == 30 and len(names) == MAX_NAMES_PER_SUMMARY and second.did["Tenants"]["removed"] == (1, ["u"])
@@ -68,7 +68,9 @@
     other = ChangeHistory()
     other.restore(history.image())
     assert other.summaries == history.summaries and other.configuration.version == 5
-    older = msgspec.msgpack.encode(msgspec.msgpack.decode(history.image())[:2])  # of a program without them
+    older = msgspec.msgpack.encode(
+        msgspec.msgpack.decode(history.image())[:2]
+    )  # of a version without summaries
     other.restore(older)
     assert not other.summaries and other.configuration.version == 5
 
@@ -92,7 +94,7 @@
         (changed(Svcs=[]), "Routes.r: unknown service"),
     ],
 )
-def test_what_is_invalid_is_refused_with_its_place(config: Any, place: str) -> None:
+def test_an_invalid_configuration_is_refused_with_the_place_of_the_error(config: Any, place: str) -> None:
     before = parse_configuration({"Ver": 1}, Configuration())
     assert isinstance(before, Configuration)
     found = parse_configuration(config, before)
@@ -103,19 +105,19 @@
     assert history.configuration is before and not history.deliver(pack(Change(1, True, body(config))))
 
 
-def test_what_cannot_be_read_whole_is_refused() -> None:
+def test_a_truncated_or_undecodable_body_is_refused() -> None:
     for cut in (b"", body(WHOLE)[:-1], b"\xff", b"[" * 100_000):
         found = ChangeHistory().validate(Change(0, True, cut))
         assert isinstance(found, Problem) and found.kind is Kind.INVALID
 
 
-def take(history: ChangeHistory, change: Change) -> Any:
+def propose_and_deliver(history: ChangeHistory, change: Change) -> Any:
     found = history.validate(change)
     return found if found is not None else history.deliver(pack(change))
 
 
 @pytest.mark.parametrize("restored", [False, True])
-def test_what_is_sent_again_is_known_and_beyond_what_is_remembered_nothing_is_refused(
+def test_a_retried_change_is_recognised_and_a_forgotten_one_is_never_refused(
     restored: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr("coralvale.cluster.configuration.history.MAX_KNOWN_CHANGES", 8)
@@ -129,33 +131,33 @@
         history.restore(image)
     found = [history.validate(change) for change in changes]
     assert found == [BASE_TOO_OLD] * 12 + [ALREADY_APPLIED] * 8
-    never_taken = Change(15, False, body({"Ver": 16, "Upsert": {}, "Remove": {}, "Note": "another"}))
-    refused = history.validate(never_taken)
+    never_applied = Change(15, False, body({"Ver": 16, "Upsert": {}, "Remove": {}, "Note": "another"}))
+    refused = history.validate(never_applied)
     assert isinstance(refused, Problem) and refused.kind is Kind.OTHER_VERSION
 
 
-def test_of_two_on_one_version_one_wins_and_the_same_again_is_taken_already() -> None:
+def test_one_of_two_changes_on_one_version_wins_and_its_retry_is_recognised() -> None:
     history = ChangeHistory()
     first = Change(0, True, body(WHOLE))
-    assert take(history, first) is True
-    assert take(history, first) is ALREADY_APPLIED
+    assert propose_and_deliver(history, first) is True
+    assert propose_and_deliver(history, first) is ALREADY_APPLIED
     one = Change(2, False, body({"Ver": 4, "Upsert": {"Tenants": {"v": {"ApiKeys": ["k4"]}}}}))
     other = Change(2, False, body({"Ver": 5, "Remove": {"Routes": ["deep"]}}))
-    assert take(history, one) is True
-    lost = take(history, other)
+    assert propose_and_deliver(history, one) is True
+    lost = propose_and_deliver(history, other)
     assert isinstance(lost, Problem) and lost.kind is Kind.OTHER_VERSION
     assert history.deliver(pack(other)) is False and history.configuration.version == 4
     same_number = Change(2, False, body({"Ver": 4, "Remove": {"Routes": ["r"]}}))
-    assert isinstance(take(history, same_number), Problem)
-    assert take(history, one) is ALREADY_APPLIED
+    assert isinstance(propose_and_deliver(history, same_number), Problem)
+    assert propose_and_deliver(history, one) is ALREADY_APPLIED
 
 
-def test_changes_by_name_keep_what_they_do_not_name() -> None:
+def test_a_partial_change_keeps_other_items() -> None:
     history = ChangeHistory()
-    take(history, Change(0, True, body(WHOLE)))
+    propose_and_deliver(history, Change(0, True, body(WHOLE)))
     before = history.configuration
     upsert = {"Routes": {"new": {**ROUTE, "PathPrefix": "/n/"}}, "Tenants": {"u": {"ApiKeys": ["k9"]}}}
-    take(
+    propose_and_deliver(
         history,
         Change(2, False, body({"Ver": 9, "Upsert": upsert, "Remove": {"Routes": ["deep", "not there"]}})),
     )
@@ -167,16 +169,16 @@
     }
     assert configuration.items["Routes"]["r"][1] is before.items["Routes"]["r"][1]
     assert json.loads(history.config())["Limits"] == WHOLE["Limits"]
-    assert before.keys == {"k1": "t", "k2": "t", "k3": "u"}  # the old one is as it was
+    assert before.keys == {"k1": "t", "k2": "t", "k3": "u"}  # the old configuration is unchanged
 
 
-def test_a_gateway_that_asks_comes_to_the_same_from_any_version() -> None:
+def test_updates_lead_from_any_version_to_the_current_configuration() -> None:
     history, seen = ChangeHistory(), [Configuration()]
-    take(history, Change(0, True, body(WHOLE)))
+    propose_and_deliver(history, Change(0, True, body(WHOLE)))
     for version in range(3, 90):
         seen.append(history.configuration)
         config = {"Ver": version, "Upsert": {"Routes": {f"r{version % 7}": {**ROUTE, "TimeoutMs": version}}}}
-        assert take(history, Change(version - 1, False, body(config))) is True
+        assert propose_and_deliver(history, Change(version - 1, False, body(config))) is True
     for configuration in seen:
         news = history.update_since(configuration.version)
         assert news is not None
@@ -188,7 +190,7 @@
     assert other.configuration.raw == history.configuration.raw and other.applied == history.applied
 
 
-def test_the_longest_prefix_is_found_whatever_their_number() -> None:
+def test_the_longest_prefix_is_found_among_many() -> None:
     routes = {f"r{i}": {**ROUTE, "PathPrefix": f"/p{i}/"} for i in range(5000)}
     configuration = parse_configuration(changed(Routes={**WHOLE["Routes"], **routes}), Configuration())
     assert isinstance(configuration, Configuration)
--- a/tests/cluster/test_coordination_api.py
+++ b/tests/cluster/test_coordination_api.py
@@ -1,4 +1,4 @@
-"""Applications' calls as they come over HTTP: what is read, what is answered 400, and the outcomes' answers."""
+"""Parsing of applications' HTTP calls, refusal of invalid ones with 400, and the answer to each outcome."""
 
 from __future__ import annotations
 
@@ -72,31 +72,31 @@
 
 
 @pytest.mark.parametrize(("call", "body", "expected"), GOOD)
-def test_a_call_is_read_as_it_was_meant(call: str, body: dict[str, Any], expected: c.Call) -> None:
+def test_valid_calls_are_parsed(call: str, body: dict[str, Any], expected: c.Call) -> None:
     assert read_call(call, "x", json.dumps(body).encode()) == expected
-    assert framed(Coordinate(1, expected))  # and can be passed on
+    assert framed(Coordinate(1, expected))  # and can be forwarded
 
 
 @pytest.mark.parametrize(("call", "body"), BAD)
-def test_a_call_that_cannot_be_meant_is_answered_400(call: str, body: dict[str, Any]) -> None:
+def test_calls_with_invalid_fields_are_answered_400(call: str, body: dict[str, Any]) -> None:
     read = read_call(call, "x", json.dumps(body).encode())
     assert isinstance(read, Problem) and read.status == 400 and read.reason
 
 
 @pytest.mark.parametrize("body", UNREADABLE)
 @pytest.mark.parametrize("call", ["locks.begin", "locks.heartbeat", "locks.finish", "cells.replace"])
-def test_a_body_that_cannot_be_read_is_answered_400(call: str, body: bytes) -> None:
+def test_undecodable_bodies_are_answered_400(call: str, body: bytes) -> None:
     read = read_call(call, "x", body)
     assert isinstance(read, Problem) and read.status == 400 and read.reason
 
 
 @pytest.mark.parametrize("name", ["", "a b", "a" * 129, "é", "x\n", "\0"])
-def test_a_name_that_cannot_be_one_is_answered_400(name: str) -> None:
+def test_invalid_names_are_answered_400(name: str) -> None:
     for read in (read_call("cells.read", name, b""), read_number(name), read_watch(name, "after=1")):
         assert isinstance(read, Problem) and read.status == 400 and read.reason
 
 
-def test_numbers_and_watches_are_read_from_the_path_and_the_query() -> None:
+def test_numbers_and_watches_are_parsed_from_path_and_query() -> None:
     assert read_number("n2") == c.NextNumber("n2")
     assert read_watch("g1.", "after=930&PollMs=2000") == c.Watch("g1.", 930, 2000)
     assert read_watch("g1.", "") == c.Watch("g1.", 0, 0)
@@ -109,7 +109,7 @@
     + ["PollMs=-1", "PollMs=x", "after=1&PollMs=2.5"]
     + ["after=", "after=5&PollMs="],
 )
-def test_a_watch_that_cannot_be_meant_is_answered_400(query: str) -> None:
+def test_invalid_watch_queries_are_answered_400(query: str) -> None:
     read = read_watch("g1.", query)
     assert isinstance(read, Problem) and read.status == 400 and read.reason
 
@@ -139,6 +139,6 @@
 
 
 @pytest.mark.parametrize(("outcome", "status", "body"), ANSWERS)
-def test_each_outcome_has_the_answer_that_the_page_gives(outcome: c.Outcome, status: int, body: Any) -> None:  # noqa: ANN401
+def test_each_outcome_has_its_documented_answer(outcome: c.Outcome, status: int, body: Any) -> None:  # noqa: ANN401
     told, sent = answer(outcome)
     assert (told, json.loads(sent)) == (status, body)
--- a/tests/cluster/test_coordination_checker.py
+++ b/tests/cluster/test_coordination_checker.py
@@ -1,4 +1,4 @@
-"""The checker of histories finds what breaks each rule, and nothing in a history that keeps it."""
+"""The history checker reports violations of each rule, and none in histories that keep the rules."""
 
 from __future__ import annotations
 
@@ -177,22 +177,22 @@
 
 
 @pytest.mark.parametrize("name", GOOD)
-def test_a_history_that_keeps_the_rules_passes(name: str) -> None:
+def test_a_correct_history_has_no_violation(name: str) -> None:
     assert check(GOOD[name], RETAIN_S) == []
 
 
 @pytest.mark.parametrize("name", BAD)
-def test_a_history_that_breaks_a_rule_is_found_by_that_rule(name: str) -> None:
+def test_a_broken_history_is_reported_under_the_broken_rule(name: str) -> None:
     rule, history = BAD[name]
     assert rule in {violation.rule for violation in check(history, RETAIN_S)}
 
 
-def test_what_was_acknowledged_is_there_at_the_end() -> None:
+def test_acknowledged_values_that_are_read_back_are_not_lost() -> None:
     assert check([*BEFORE, *READ_BACK], RETAIN_S, END) == []
 
 
 @pytest.mark.parametrize("missing", range(len(READ_BACK)))
-def test_what_is_not_answered_at_the_end_is_lost(missing: int) -> None:
+def test_a_name_without_an_answer_at_the_end_is_lost(missing: int) -> None:
     history = [*BEFORE, *(r for n, r in enumerate(READ_BACK) if n != missing)]
     assert [v.rule for v in check(history, RETAIN_S, END)] == ["LOST"]
 
@@ -201,12 +201,12 @@
     "lags",
     [number(END + 1, END + 1.1, 4), get(END + 1, c.Found("v1", 1)), watch(END + 1, 0, told(1))],
 )
-def test_what_lags_at_the_end_is_lost(lags: Record) -> None:
+def test_an_older_value_at_the_end_is_lost(lags: Record) -> None:
     history = [*BEFORE, *(r for r in READ_BACK if type(r.call) is not type(lags.call)), lags]
     assert "LOST" in {v.rule for v in check(history, RETAIN_S, END)}
 
 
-def test_a_hold_is_counted_from_the_answer_to_the_last_good_call_and_what_it_asked_for() -> None:
+def test_a_hold_lasts_from_its_grant_until_its_time_after_the_last_successful_call() -> None:
     history = [acquire("a", 0, 0.5, c.Granted(1)), renew("a", 2, 2.2, c.Renewed()), renew("a", 3, 3.2, None)]
     (hold,) = holds(history)["l1"]
     assert (hold.begun, hold.ended) == (0.5, 5.0)
--- a/tests/cluster/test_coordination_kills.py
+++ b/tests/cluster/test_coordination_kills.py
@@ -1,4 +1,4 @@
-"""Locks, watches, numbers and keys over real sockets, through the kill of the leader and of all processes."""
+"""Coordination over real sockets while the leader, or all processes, are killed."""
 
 from __future__ import annotations
 
@@ -17,14 +17,14 @@
 LONG_MS = 60_000  # longer than the test takes, however busy the machine is
 SHORT_MS = 2500
 CHANGE_BYTES = 1024 * 1024  # of one change of the configuration
-MOST_ROUNDS = 10
+MAX_ROUNDS = 10
 RESTART_S = 60.0  # for all processes to start and to elect, on a busy machine
 POLL_MS = 500
 NOTHING_DONE = (429, 503)
 
 
-async def clear(cluster: LocalCluster, method: str, path: str, **body: Any) -> tuple[int, Any]:
-    """The clear answer, asked of one gateway after another."""
+async def clear_answer(cluster: LocalCluster, method: str, path: str, **body: Any) -> tuple[int, Any]:
+    """Status and body of the first clear answer, trying one gateway after another."""
     ends = time.monotonic() + RESTART_S
     while time.monotonic() < ends:
         for ip in cluster.ips:
@@ -36,7 +36,7 @@
 
 
 async def leader(cluster: LocalCluster) -> int:
-    """The number of the gateway that says itself that it leads."""
+    """The number of the gateway that reports itself as leader."""
     found: list[int] = []
 
     async def known() -> bool:
@@ -51,12 +51,14 @@
 
 
 async def begin(cluster: LocalCluster, name: str, owner: str, hold_ms: int) -> tuple[int, Any]:
-    return await clear(cluster, "POST", f"/rpc?call=locks.begin&of={name}", Owner=owner, HoldMs=hold_ms)
+    return await clear_answer(
+        cluster, "POST", f"/rpc?call=locks.begin&of={name}", Owner=owner, HoldMs=hold_ms
+    )
 
 
 @define
 class Rival:
-    """Asks for a lock that another holds, again and again, until it is its own."""
+    """Tries to acquire a lock that another owner holds until it gets it."""
 
     cluster: LocalCluster
     name: str
@@ -64,7 +66,7 @@
     refused: int = 0
 
     async def ask(self) -> tuple[float, int]:
-        """When it got the lock, and the fence."""
+        """Returns the time at which it got the lock, and its fence."""
         while True:
             status, body = await begin(self.cluster, self.name, "rival", self.hold_ms)
             if status == 200:
@@ -76,7 +78,7 @@
 
 @define
 class Watcher:
-    """Resumes, each time from the last revision that it was told, whatever befalls the gateways."""
+    """Watches a group, resuming from the last revision that it was given through any failures."""
 
     cluster: LocalCluster
     group: str
@@ -86,13 +88,13 @@
     async def follow(self) -> None:
         while True:
             path = f"/watch/{self.group}?after={self.revision}&PollMs={POLL_MS}"
-            status, body = await clear(self.cluster, "GET", path)
+            status, body = await clear_answer(self.cluster, "GET", path)
             assert status == 200
             self.events += [(e["Name"], e["Val"], e["Rev"]) for e in body["Events"]]
             self.revision = body["Rev"]
 
 
-def test_a_lock_is_held_through_the_kill_of_the_leader() -> None:
+def test_a_lock_survives_the_kill_of_the_leader() -> None:
     async def scene(cluster: LocalCluster) -> None:
         status, body = await begin(cluster, "kept", "holder", LONG_MS)
         assert status == 200
@@ -111,24 +113,27 @@
         left = body["fence"]
 
         kept_rival, left_rival = Rival(cluster, "kept", LONG_MS), Rival(cluster, "left", LONG_MS)
-        kept, after_death = asyncio.create_task(kept_rival.ask()), asyncio.create_task(left_rival.ask())
+        kept, after_crash = asyncio.create_task(kept_rival.ask()), asyncio.create_task(left_rival.ask())
         await cluster.until(lambda: kept_rival.refused > 2)
         killed = await leader(cluster)
         await cluster.kill(killed)
         await renew(5)
         assert await leader(cluster) != killed
         refused = kept_rival.refused
-        await cluster.until(lambda: kept_rival.refused > refused + 2)  # by the next leader too
-        at, next_fence = await after_death  # whom nobody renewed changes hands, and not before its time
+        await cluster.until(lambda: kept_rival.refused > refused + 2)  # also by the next leader
+        (
+            at,
+            next_fence,
+        ) = await after_crash  # a lock without renewals is taken over, but not before its lease ends
         assert at - sent >= SHORT_MS / 1000 and next_fence > left and next_fence > fence
         await renew(2)
         assert not kept.done()
 
         await cluster.begin(killed)
         await renew(5)
-        status, _ = await clear(cluster, "POST", "/rpc?call=locks.finish&of=kept", **words)
+        status, _ = await clear_answer(cluster, "POST", "/rpc?call=locks.finish&of=kept", **words)
         assert status == 200
-        _, last = await kept  # within LONG_MS: a release is not heeded where begin had to be sent twice
+        _, last = await kept  # within LONG_MS: a release is ignored where begin was sent twice
         assert last > next_fence
         lost = await rpc(cluster, "locks.heartbeat", "kept", **words, HoldMs=LONG_MS)
         assert lost[0] == 409
@@ -136,18 +141,18 @@
     play(scene)
 
 
-def test_a_watch_resumes_after_the_kill_of_all_processes_and_numbers_and_keys_go_on() -> None:
+def test_watches_numbers_and_keys_continue_after_the_kill_of_all_processes() -> None:
     async def scene(cluster: LocalCluster) -> None:
         stored: dict[int, tuple[str, str]] = {}  # revision: key, value
         numbers: list[int] = []
 
         async def put(serial: int) -> None:
-            """One put, sent again with the same value until it is answered; then a number."""
+            """One put, retried with the same value until it is answered; then one number."""
             key, value = f"g1.k{serial % 3}", f"value-{serial}"
-            status, body = await clear(cluster, "POST", f"/rpc?call=cells.replace&of={key}", Val=value)
+            status, body = await clear_answer(cluster, "POST", f"/rpc?call=cells.replace&of={key}", Val=value)
             assert status == 200 and body["Rev"] not in stored
             stored[body["Rev"]] = key, value
-            status, body = await clear(cluster, "POST", "/numbers/n1")
+            status, body = await clear_answer(cluster, "POST", "/numbers/n1")
             assert status == 200
             numbers.append(body["Val"])
 
@@ -159,7 +164,7 @@
         status, body = await begin(cluster, "kept", "holder", LONG_MS)
         assert status == 200
         fence = body["fence"]
-        saved = 2  # three more are stored before the kill, and are told after it
+        saved = 2  # three later puts precede the kill and are reported after it
         first_revision = next(revision for revision, (_, value) in stored.items() if value == "value-0")
 
         watcher = Watcher(cluster, "g1.", max(stored))
@@ -174,21 +179,21 @@
         await writing
         await puts(range(60, 65))
 
-        assert sorted(stored) == list(range(1, 66))  # each put once, and nothing between them
+        assert sorted(stored) == list(range(1, 66))  # each put took effect once, without gaps
         assert sorted(set(numbers)) == numbers
         whole = [(*stored[revision], revision) for revision in sorted(stored)]
         await cluster.until(lambda: following.done() or watcher.revision >= 65)
         assert not following.done() and watcher.events == whole[5:]
         following.cancel()
-        status, body = await clear(cluster, "GET", f"/watch/g1.?after={saved}&PollMs=0")
+        status, body = await clear_answer(cluster, "GET", f"/watch/g1.?after={saved}&PollMs=0")
         assert status == 200 and body["Rev"] == 65
         assert [(e["Name"], e["Val"], e["Rev"]) for e in body["Events"]] == whole[saved:]
 
-        status, body = await clear(cluster, "POST", "/rpc?call=cells.replace&of=g1.k0", Val="value-0")
-        assert status == 200 and body["Rev"] == first_revision  # it comes again, from before the kill
+        status, body = await clear_answer(cluster, "POST", "/rpc?call=cells.replace&of=g1.k0", Val="value-0")
+        assert status == 200 and body["Rev"] == first_revision  # a retry of a put from before the kill
         for key in ("g1.k0", "g1.k1", "g1.k2"):
             revision = max(r for r, (name, _) in stored.items() if name == key)
-            status, body = await clear(cluster, "POST", f"/rpc?call=cells.read&of={key}")
+            status, body = await clear_answer(cluster, "POST", f"/rpc?call=cells.read&of={key}")
             assert status == 200 and (body["Val"], body["Rev"]) == (stored[revision][1], revision)
         status, _ = await begin(cluster, "kept", "rival", LONG_MS)
         assert status == 409
@@ -200,31 +205,34 @@
 
 
 async def change(cluster: LocalCluster, version: int) -> None:
-    """A large one of the configuration: a few of them make every member save a snapshot."""
+    """A large configuration change: a few of them make every member save a snapshot."""
     large = configuration(version, ["schedule"], 0.0) | {"Note": "x" * CHANGE_BYTES}
     taken = await cluster.send("config.replace", large, version - 1)
     assert taken and taken.status == 200
 
 
 def only_in_snapshot(cluster: LocalCluster, gateway: int) -> bool:
-    """Whether what a killed gateway's disk has of coordination is in its snapshot, none of it behind it."""
+    """Whether all coordination data on a killed gateway's disk is in its snapshot, none in later entries."""
     disk = look(cluster.path / f"data-{gateway}")
     behind = {entry["kind"] for entry in disk["entries"] if entry["seq"] > disk["snapshot"]}
     return disk["snapshot"] > 0 and "coordination" not in behind
 
 
-def test_what_is_in_a_snapshot_is_there_after_the_kill_of_all_processes() -> None:
+def test_coordination_data_in_snapshots_survives_the_kill_of_all_processes() -> None:
     async def scene(cluster: LocalCluster) -> None:
         for serial in range(4):
             path = f"/rpc?call=cells.replace&of=g1.k{serial % 2}"
-            assert await clear(cluster, "POST", path, Val=f"value-{serial}") == (200, {"Rev": serial + 1})
-        _, number = await clear(cluster, "POST", "/numbers/n1")
+            assert await clear_answer(cluster, "POST", path, Val=f"value-{serial}") == (
+                200,
+                {"Rev": serial + 1},
+            )
+        _, number = await clear_answer(cluster, "POST", "/numbers/n1")
         status, body = await begin(cluster, "kept", "holder", LONG_MS)
         assert status == 200
         words = {"Owner": "holder", "fence": body["fence"]}
 
         version = 1
-        for rounds in range(MOST_ROUNDS):  # a member that is killed may be about to save
+        for rounds in range(MAX_ROUNDS):  # a killed member may have been about to save
             for _ in range(1 if rounds else SNAPSHOT_BYTES // CHANGE_BYTES + 1):
                 await change(cluster, version := version + 1)
             for gateway in range(len(cluster.ips)):
@@ -236,17 +244,17 @@
                 break
         assert all(saved)
 
-        status, body = await clear(cluster, "GET", "/watch/g1.?after=1&PollMs=0")
+        status, body = await clear_answer(cluster, "GET", "/watch/g1.?after=1&PollMs=0")
         assert status == 200 and body["Rev"] == 4
         assert [(e["Name"], e["Val"], e["Rev"]) for e in body["Events"]] == [
             (f"g1.k{serial % 2}", f"value-{serial}", serial + 1) for serial in range(1, 4)
         ]
         path = "/rpc?call=cells.replace&of=g1.k0"
-        assert await clear(cluster, "POST", path, Val="value-0") == (200, {"Rev": 1})  # it comes again
-        assert await clear(cluster, "POST", path, Val="value-4", Duty=3) == (200, {"Rev": 5})
-        found = await clear(cluster, "POST", "/rpc?call=cells.read&of=g1.k1")
+        assert await clear_answer(cluster, "POST", path, Val="value-0") == (200, {"Rev": 1})  # a retry
+        assert await clear_answer(cluster, "POST", path, Val="value-4", Duty=3) == (200, {"Rev": 5})
+        found = await clear_answer(cluster, "POST", "/rpc?call=cells.read&of=g1.k1")
         assert found == (200, {"Val": "value-3", "Rev": 4})
-        status, body = await clear(cluster, "POST", "/numbers/n1")
+        status, body = await clear_answer(cluster, "POST", "/numbers/n1")
         assert status == 200 and body["Val"] > number["Val"]
         status, _ = await begin(cluster, "kept", "rival", LONG_MS)
         assert status == 409
--- a/tests/cluster/test_coordination_operators.py
+++ b/tests/cluster/test_coordination_operators.py
@@ -1,4 +1,4 @@
-"""What operators see of locks, numbers and keys, and what they may do to a lock."""
+"""Operators' lists of locks, numbers and keys, and the release of a lock by an operator."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from coordination_desk import LoneDesk
+from coordination_desk import SingleMember
 
 from coralvale.cluster import commands, sending
 from coralvale.cluster.coordination import model as c
@@ -20,14 +20,14 @@
 HOLD_MS = 3000
 
 
-def listed(lone: LoneDesk, call: c.ListNames) -> list[Any]:
+def listed(lone: SingleMember, call: c.ListNames) -> list[Any]:
     found = lone.call(call)
     assert isinstance(found, c.Listed)
     return list(found.rows)
 
 
-def test_a_list_has_all_names_once_in_order_page_by_page() -> None:
-    lone = LoneDesk()
+def test_paged_lists_hold_every_name_once_in_order() -> None:
+    lone = SingleMember()
     names = [f"g{n % 3}.{n:03d}" for n in range(40)]
     for n, name in enumerate(names):
         assert lone.call(c.Put(name, f"value-{n}")) == c.Stored(n // 3 + 1)
@@ -46,8 +46,8 @@
     assert listed(lone, c.ListNames(c.NameKind.LOCKS)) == []
 
 
-def test_a_lock_in_a_list_says_when_it_was_renewed_and_when_it_may_change_hands() -> None:
-    lone = LoneDesk()
+def test_a_listed_lock_shows_its_last_renewal_and_its_remaining_lease() -> None:
+    lone = SingleMember()
     assert lone.call(c.Acquire("l1", "a", HOLD_MS)) == c.Granted(1)
     lone.wait(1.0)
     assert lone.call(c.Renew("l1", "a", 1, 2000)) == c.Renewed()
@@ -57,14 +57,14 @@
     assert row.renewed_s == pytest.approx(0.5) and 1.5 <= row.left_s < 1.6
     lone.wait(10.0)
     (row,) = listed(lone, c.ListNames(c.NameKind.LOCKS))
-    assert row.left_s == pytest.approx(-8.5, abs=0.1)  # nobody has asked for it
-    lone.desk.view = 0  # as a leader that was elected since
+    assert row.left_s == pytest.approx(-8.5, abs=0.1)  # not taken over yet
+    lone.desk.view = 0  # as if a new leader had been elected
     (row,) = listed(lone, c.ListNames(c.NameKind.LOCKS))
     assert row.renewed_s is None and row.left_s >= HOLD_MS / 1000
 
 
-def test_a_lock_taken_by_hand_is_free_under_a_higher_fence_and_its_holder_is_told_at_its_next_call() -> None:
-    lone = LoneDesk()
+def test_an_operator_can_release_a_lock_and_the_old_holder_cannot_renew_it() -> None:
+    lone = SingleMember()
     assert lone.call(c.Acquire("l1", "a", HOLD_MS)) == c.Granted(1)
     assert lone.call(c.Acquire("l1", "b", HOLD_MS)) == c.Held()
     assert lone.call(c.Expire("l1", 7, "wrong fence")) == c.NotHeld()
@@ -79,8 +79,8 @@
     assert len(lone.notices) == 1
 
 
-def test_renewals_reads_and_lists_write_nothing() -> None:
-    lone = LoneDesk()
+def test_renewals_reads_and_lists_write_no_log_entry() -> None:
+    lone = SingleMember()
     assert lone.call(c.Acquire("l1", "a", HOLD_MS)) == c.Granted(1)
     written = lone.replica.last
     for _ in range(100):
@@ -93,8 +93,8 @@
     assert lone.replica.last == written + 1  # a longer hold is in the log
 
 
-def test_a_takeover_is_told_once_and_what_the_sweep_drops_is_not() -> None:
-    lone = LoneDesk()
+def test_a_takeover_is_reported_once_and_a_swept_lock_is_not() -> None:
+    lone = SingleMember()
     assert lone.call(c.Acquire("l1", "a", HOLD_MS)) == c.Granted(1)
     assert lone.call(c.Acquire("l2", "a", HOLD_MS)) == c.Granted(2)
     lone.wait(HOLD_MS / 1000 + 0.1)
@@ -125,12 +125,12 @@
         ("locks.expire", "two words", b'{"fence":1,"Reason":"x"}'),
     ],
 )
-def test_what_an_operator_may_not_send_is_refused_with_400(call: str, of: str, body: bytes) -> None:
+def test_invalid_operator_calls_are_answered_400(call: str, of: str, body: bytes) -> None:
     found = read_call(call, of, body)
     assert isinstance(found, Problem) and found.kind is Kind.BAD_REQUEST and found.status == 400
 
 
-def test_operators_calls_are_read_and_pages_written() -> None:
+def test_operator_calls_are_parsed_and_pages_encoded() -> None:
     assert read_call("coordination.list", "locks", b"") == c.ListNames(c.NameKind.LOCKS)
     asked = read_call("coordination.list", "keys", b'{"After":"g1.a","Prefix":"g1.","Most":3}')
     assert asked == c.ListNames(c.NameKind.KEYS, "g1.a", "g1.", 3)
@@ -144,7 +144,7 @@
     )
 
 
-def test_figures_count_by_call_and_outcome_and_never_by_name() -> None:
+def test_metrics_count_by_call_and_outcome_and_never_by_name() -> None:
     figures = CoordinationFigures()
     for n in range(1000):
         figures.settled(c.Acquire(f"l{n}", f"a{n}", 1000), c.Granted(n), 0.004)
@@ -161,7 +161,7 @@
     }
     assert figures.answers == {("acquire", 200): 1000}
     assert figures.full == {"too many keys are kept": 9}
-    assert sum(figures.delays) == 1010  # a watch's time is no delay
+    assert sum(figures.delays) == 1010  # the wait of a watch is not counted as delay
     assert (figures.delay_ms(0.5), figures.delay_ms(0.995), figures.delay_ms(1.0)) == (5, 80, DELAYS_MS[-1])
     figures.look(10.0, 40)
     figures.look(12.0, 100)
@@ -173,14 +173,14 @@
     [
         ([200], 0, 1),
         ([409], 1, 1),
-        ([503, 429, 409], 1, 3),  # both promise that nothing was done
-        ([504, 409], 0, 2),  # the first try may have done it, and the lock is not held so any more
+        ([503, 429, 409], 1, 3),  # both mean that nothing was done
+        ([504, 409], 0, 2),  # the first attempt may have released it; the lock is not held any more
         ([None, 409], 0, 2),
         ([400], 2, 1),
         ([None] * 99, 2, 20),
     ],
 )
-def test_a_release_is_sent_again_until_it_is_known_what_became_of_it(
+def test_a_release_is_retried_until_its_outcome_is_known(
     monkeypatch: pytest.MonkeyPatch, answers: list[int | None], code: int, tried: int
 ) -> None:
     asked: list[str] = []
--- a/tests/cluster/test_coordination_processes.py
+++ b/tests/cluster/test_coordination_processes.py
@@ -1,4 +1,4 @@
-"""Locks, numbers, keys and watches over real sockets, and operators' commands about them."""
+"""Coordination over real sockets with gateway processes, and the operators' commands for it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 async def rpc(cluster: LocalCluster, name: str, of: str, **body: Any) -> Any:
-    """The clear answer to an application's call, asked of one gateway after another."""
+    """Status and body of the first clear answer to a call, trying one gateway after another."""
     found: list[Any] = []
 
     async def clear() -> bool:
@@ -32,7 +32,7 @@
     return found
 
 
-def test_an_operator_sees_locks_numbers_and_keys_takes_a_lock_by_hand_and_watches(
+def test_operator_commands_list_release_and_watch(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     async def say(*words: str) -> tuple[int, list[Any]]:
@@ -109,7 +109,7 @@
     play(scene)
 
 
-def test_a_watch_that_waits_is_answered_when_its_gateway_is_told_to_end() -> None:
+def test_a_waiting_watch_is_answered_when_its_gateway_stops() -> None:
     async def scene(cluster: LocalCluster) -> None:
         status, body = await rpc(cluster, "cells.replace", "g1.a", Val="first", Duty=0)
         assert status == 200
--- a/tests/cluster/test_coordination_schedules.py
+++ b/tests/cluster/test_coordination_schedules.py
@@ -1,5 +1,7 @@
-"""Locks, numbers, keys and watches through kills, wipes, cuts, freezes, late calls and replaced members; and each
-thing that they rely on, taken out, is missed."""
+"""Simulated coordination under kills, wipes, partitions, freezes, delayed calls and replaced members.
+
+Each mutant that breaks one property has to be detected by the rule for that property.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +10,7 @@
 from collections.abc import Callable
 
 import pytest
-from coordination_mutants import MUTANTS, Suspect
+from coordination_mutants import MUTANTS, Mutant
 from coordination_scenes import SCENES
 from coordination_world import MEMBERS, CoordinationWorld, play
 
@@ -17,7 +19,7 @@
 
 
 @pytest.mark.parametrize("members", MEMBERS)
-def test_no_schedule_breaks_a_rule(members: int) -> None:
+def test_random_schedules_break_no_rule(members: int) -> None:
     outcomes, late = Counter[str](), 0
     for seed in range(SEEDS):
         broken, of_one, late_ones = play((seed, members))
@@ -30,13 +32,13 @@
 
 
 @pytest.mark.parametrize("scene", SCENES, ids=lambda scene: scene.__name__)
-def test_no_scene_breaks_a_rule(scene: Callable[[CoordinationWorld], None]) -> None:
+def test_scripted_scenes_break_no_rule(scene: Callable[[CoordinationWorld], None]) -> None:
     for seed in range(SCENE_SEEDS):
         scene(CoordinationWorld(seed, MEMBERS[seed % len(MEMBERS)]))
 
 
-@pytest.mark.parametrize("suspect", MUTANTS, ids=lambda suspect: suspect.name)
-def test_what_is_taken_out_is_missed(suspect: Suspect) -> None:
-    seed, broken = suspect.hunt()
-    assert broken, f"{suspect.name}: nothing broke"
-    print(f"mutant {suspect.name}: seed {seed}: {broken}")
+@pytest.mark.parametrize("mutant", MUTANTS, ids=lambda mutant: mutant.name)
+def test_each_mutant_is_detected_by_its_rule(mutant: Mutant) -> None:
+    seed, broken = mutant.find_violation()
+    assert broken, f"{mutant.name}: nothing broke"
+    print(f"mutant {mutant.name}: seed {seed}: {broken}")
--- a/tests/cluster/test_coordination_state.py
+++ b/tests/cluster/test_coordination_state.py
@@ -1,4 +1,4 @@
-"""What is kept of locks, numbers and keys: its bounds, its image, and what an older program wrote."""
+"""The state of locks, numbers and keys: size limits, snapshots, and compatibility with other versions."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 def lived() -> CoordinationState:
-    """A state that has something of everything."""
+    """A state with locks, numbers, keys, compacted and kept events."""
     state = CoordinationState()
     apply(state, c.Acquire("l1", "a", 500), c.Acquire("l2", "b", 500), c.NextNumber("n1"))
     apply(state, c.Acquire("l1", "a", 900), c.Release("l2", "b", 2), c.Put("g1.a", "v1"), time_ms=10)
@@ -34,7 +34,7 @@
     return state
 
 
-def test_an_image_holds_all_of_it() -> None:
+def test_a_restored_image_behaves_like_the_original_state() -> None:
     state, again = lived(), CoordinationState()
     again.restore(state.image())
     assert again.image() == state.image() and again.stored_bytes == state.stored_bytes
@@ -46,7 +46,7 @@
     assert again.watch("g1.", 0) == c.Compacted() and isinstance(again.watch("g1.", 1), c.Watched)
 
 
-def test_a_put_that_was_refused_for_a_revision_to_come_is_refused_when_its_copy_arrives_there() -> None:
+def test_a_delayed_copy_of_a_refused_put_stays_refused_once_the_key_reaches_its_expected_revision() -> None:
     state = CoordinationState()
     apply(state, c.Put("g1.a", "v1"))
     early = c.Put("g1.a", "early", 3)
@@ -58,7 +58,7 @@
     assert apply(again, c.Put("g1.a", "late", 3)) == [c.Stored(4)]
 
 
-def test_what_a_lost_log_may_have_given_is_left_out() -> None:
+def test_values_that_a_lost_log_may_have_issued_are_skipped() -> None:
     state = lived()
     fence, given, revision = state.last_fence, state.numbers["n1"], state.group_revision("g1.")
     state.skip_ahead(1000)
@@ -73,16 +73,16 @@
     assert again.image() == state.image() and again.stored_bytes == state.stored_bytes
 
 
-def test_an_image_goes_with_the_history_of_changes_and_an_older_one_has_none() -> None:
+def test_the_state_is_part_of_the_history_image_and_missing_in_an_older_one() -> None:
     state, history = lived(), ChangeHistory()
     assert ChangeHistory().restore(history.image(b"", state.image())).coordination == state.image()
-    older = msgspec.msgpack.decode(history.image())[:5]  # before coordination, the shares were the last
+    older = msgspec.msgpack.decode(history.image())[:5]  # without coordination, which came after the shares
     again = lived()
     again.restore(ChangeHistory().restore(msgspec.msgpack.encode(older)).coordination)
     assert again.image() == CoordinationState().image()
 
 
-def test_what_an_older_program_wrote_is_read_with_defaults_and_what_a_newer_one_adds_is_passed_over() -> None:
+def test_entries_of_older_and_newer_versions_are_decoded() -> None:
     older = [7, 1, 0, 0, [[1, "l1", "a", 500], [5, "g1.a", "v1"]]]
     batch = c.unpack_batch(msgspec.msgpack.encode(older))
     assert batch.operations == (c.Acquire("l1", "a", 500, 0), c.Put("g1.a", "v1", None))
@@ -103,7 +103,7 @@
 
 
 @pytest.mark.parametrize(("bound", "value", "first", "second"), BOUNDS)
-def test_what_passes_a_bound_is_refused_and_changes_nothing(
+def test_an_operation_beyond_a_size_limit_is_refused_without_effect(
     monkeypatch: pytest.MonkeyPatch, bound: str, value: int, first: c.Operation, second: c.Operation
 ) -> None:
     monkeypatch.setattr(state_module, bound, value)
@@ -113,11 +113,11 @@
     (refused,) = apply(state, second)
     assert not isinstance(done, c.Full) and isinstance(refused, c.Full) and refused.reason
     assert state.image() == before
-    again = apply(state, first)  # what is there goes on
+    again = apply(state, first)  # existing names still work
     assert bound == "MAX_NUMBERS" or again == [done]
 
 
-def test_a_watch_that_is_far_behind_is_told_part_and_skips_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_watch_far_behind_gets_events_in_parts_without_gaps(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(state_module, "MAX_EVENTS_PER_ANSWER", 2)
     state, after, seen = CoordinationState(), 1, list[int]()
     apply(state, *(c.Put("g1.a", f"v{n}") for n in range(1, 7)))
@@ -129,7 +129,7 @@
     assert seen == [2, 3, 4, 5, 6]
 
 
-def test_bytes_are_given_back_with_what_is_not_kept_any_more() -> None:
+def test_stored_bytes_shrink_when_puts_and_events_expire() -> None:
     state = CoordinationState()
     for n in range(200):
         apply(state, c.Put("g1.a", f"v{n}"), time_ms=n * 1000)
@@ -139,8 +139,8 @@
     assert len(state.puts) <= 121 and len(state.groups["g1."].events) <= 51
 
 
-class Alone:
-    """A desk on a core of one, whose disk takes writes when it is told to."""
+class SlowDiskMember:
+    """A handler on a one-member core whose disk completes writes only on `sync`."""
 
     def __init__(self) -> None:
         self.replica = Replica(
@@ -181,18 +181,18 @@
         return self.answers.get(token)
 
 
-def test_calls_beyond_those_that_may_wait_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_calls_beyond_the_queue_limit_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(desk_module, "MAX_WAITING_CALLS", 3)
-    alone = Alone()
+    alone = SlowDiskMember()
     found = [alone.call(0.1, c.NextNumber("n1"), sync=False) for _ in range(6)]
     assert found[:4] == [None] * 4 and all(isinstance(outcome, c.Full) for outcome in found[4:])
     alone.sync(0.1)
     assert sorted(a.value for a in alone.answers.values() if isinstance(a, c.Number)) == [1, 2, 3, 4]
 
 
-def test_watches_beyond_those_that_may_wait_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_watches_beyond_the_limit_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watches_module, "MAX_WATCHES", 2)
-    alone = Alone()
+    alone = SlowDiskMember()
     assert alone.call(0.1, c.Put("g1.a", "v1")) == c.Stored(1)
     found = [alone.call(0.1, c.Watch("g1.", 1, 1000)) for _ in range(3)]
     assert found[:2] == [None, None] and isinstance(found[2], c.Full)
@@ -200,21 +200,19 @@
     assert [a for a in alone.answers.values() if isinstance(a, c.Watched)] == [c.Watched((), 1)] * 2
 
 
-def test_a_call_that_waits_too_long_is_refused_and_what_was_proposed_is_not() -> None:
-    alone = Alone()
+def test_a_call_queued_too_long_is_refused_but_a_proposed_one_is_not() -> None:
+    alone = SlowDiskMember()
     alone.call(0.1, c.NextNumber("n1"), sync=False)
     alone.call(0.1, c.NextNumber("n1"), sync=False)
     alone.do(1.0, alone.desk.tick(1.0))
     assert [type(a) for a in alone.answers.values()] == [c.Unavailable]
     alone.sync(1.0)
     assert list(alone.answers.values())[1:] == [c.Number(1)]
-    assert alone.call(1.0, c.NextNumber("n1")) == c.Number(2)  # the one that was refused left no trace
+    assert alone.call(1.0, c.NextNumber("n1")) == c.Number(2)  # the refused call had no effect
 
 
-def test_a_lock_that_nobody_asks_for_is_dropped_long_after_its_time_and_its_fence_is_not_given_again() -> (
-    None
-):
-    alone = Alone()
+def test_an_abandoned_lock_is_removed_long_after_its_lease_and_its_fence_is_not_reused() -> None:
+    alone = SlowDiskMember()
     assert alone.call(0.1, c.Acquire("l1", "a", 1000)) == c.Granted(1)
     for seconds in (5.0, 30.0, 61.0):
         alone.do(seconds, alone.desk.tick(seconds))
@@ -228,10 +226,10 @@
 
 
 @pytest.mark.parametrize(("at", "expected"), [(1.0, c.Held), (1.6, c.Held), (2.5, c.Held), (2.7, c.Granted)])
-def test_a_lock_is_taken_over_once_its_last_renewal_is_over(
+def test_a_lock_is_taken_over_only_after_its_longest_renewal(
     at: float, expected: Callable[..., c.Outcome]
 ) -> None:
-    alone = Alone()
+    alone = SlowDiskMember()
     assert alone.call(0.1, c.Acquire("l1", "a", 500)) == c.Granted(1)
     assert alone.call(0.5, c.Renew("l1", "a", 1, 2100)) == c.Renewed()
     assert alone.call(0.6, c.Renew("l1", "a", 1, 100)) == c.Renewed()
--- a/tests/cluster/test_news.py
+++ b/tests/cluster/test_news.py
@@ -1,4 +1,4 @@
-"""What one that starts may believe of the news that it gets."""
+"""Which updates a starting gateway without a replica may trust."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 IPS = [f"10.0.0.{n}" for n in range(1, 6)]
 
 
-def first_news(sure: bool) -> tuple[GatewayNode, list[str]]:
-    """One without a disk that knows nobody but its seeds, after its first answer."""
+def first_update(sure: bool) -> tuple[GatewayNode, list[str]]:
+    """A gateway without a disk that knows only its seeds, after its first answer, and the seeds it asked."""
     history = ChangeHistory()
     assert history.deliver(pack(Change(0, True, json.dumps(configuration(3, ["s"])).encode())))
 
@@ -35,7 +35,7 @@
                 asked.append(self.ip)
                 assert isinstance(parcel, Ask)
                 if node.changes.configuration.version:
-                    await asyncio.Event().wait()  # nothing newer: the question is kept
+                    await asyncio.Event().wait()  # nothing newer: the request stays open
                 return Told(number, history.update_since(parcel.version), False, sure)
 
         fake: Any = node
@@ -51,10 +51,10 @@
 
 
 @pytest.mark.parametrize("sure", [True, False])
-def test_seeds_are_asked_at_once_and_what_an_unsettled_one_has_is_not_taken_for_what_is_bound(
+def test_a_starting_gateway_uses_an_unsettled_seeds_configuration_but_not_its_region_bindings(
     sure: bool,
 ) -> None:
-    node, asked = first_news(sure)
-    assert set(asked) <= set(IPS[:3]) and node.changes.configuration.version == 3  # it serves by it
+    node, asked = first_update(sure)
+    assert set(asked) <= set(IPS[:3]) and node.changes.configuration.version == 3  # it uses the configuration
     now = node.runtime.clock.monotonic()
-    assert node.home.fresh(now) is sure  # but nothing that is bound until it hears one that is settled
+    assert node.home.fresh(now) is sure  # but serves nothing bound to a region until a settled member answers
--- a/tests/cluster/test_readers.py
+++ b/tests/cluster/test_readers.py
@@ -1,4 +1,4 @@
-"""Whatever comes, what reads it gives an answer or a named error, and keeps no more than its bound."""
+"""Decoders return a result or a named error for any input, and buffer no more than their limit."""
 
 from __future__ import annotations
 
@@ -43,48 +43,50 @@
     lambda inner: st.lists(inner, max_size=4) | st.dictionaries(st.text(max_size=8), inner, max_size=4),
     max_leaves=12,
 )
-ROUNDS = settings(deadline=None, max_examples=300, print_blob=True)
+EXAMPLES = settings(deadline=None, max_examples=300, print_blob=True)
 BEAT = {"Svc": "s", "Address": "10.0.0.1:80", "Capacity": 4, "State": "up", "Calls": 1}
 
 
-@ROUNDS
+@EXAMPLES
 @given(st.binary(max_size=200) | JSON.map(msgspec.json.encode))
-def test_configurations_and_beats_that_are_anything(data: bytes) -> None:
+def test_arbitrary_configurations_and_heartbeats_give_a_result_or_a_named_error(data: bytes) -> None:
     found = ChangeHistory().validate(Change(0, True, data))
     assert isinstance(found, Problem) and found.reason
     assert isinstance(ChangeHistory().validate(Change(0, False, data)), Problem)
     assert isinstance(read_beat("i-1", data), Problem | Row)
 
 
-@ROUNDS
+@EXAMPLES
 @given(
     st.sampled_from(["Routes", "Svcs", "Limits", "Tenants"]),
     st.sampled_from(["r", "deep", "s", "t", "new"]),
     JSON,
 )
-def test_a_configuration_with_anything_in_one_place(section: str, name: str, value: Any) -> None:
+def test_a_configuration_with_one_arbitrary_item_gives_a_result_or_a_reason(
+    section: str, name: str, value: Any
+) -> None:
     config = {**WHOLE, section: {**WHOLE[section], name: value}}
     found = parse_configuration(msgspec.json.decode(msgspec.json.encode(config)), Configuration())
     assert isinstance(found, Configuration) or found.reason
 
 
-@ROUNDS
+@EXAMPLES
 @given(st.sampled_from(sorted(BEAT)), JSON)
-def test_a_beat_with_anything_in_one_place(name: str, value: Any) -> None:
+def test_a_heartbeat_with_one_arbitrary_field_gives_a_row_or_an_error(name: str, value: Any) -> None:
     found = read_beat("i-1", msgspec.json.encode({**BEAT, name: value}))
     assert isinstance(found, Problem) or (found.slots >= 1 and 0 < found.port < 65536)
 
 
-@ROUNDS
+@EXAMPLES
 @given(st.text(max_size=200) | JSON.map(lambda value: msgspec.json.encode(value).decode()))
-def test_settings_that_are_anything(text: str) -> None:
+def test_arbitrary_settings_give_a_result_or_a_named_error(text: str) -> None:
     try:
         assert isinstance(parse(text), Settings)
     except SettingsError as error:
         assert str(error)
 
 
-def test_good_settings_with_one_line_taken_out_are_named_or_read(tmp_path: Any) -> None:
+def test_settings_without_one_line_are_accepted_or_the_line_is_named(tmp_path: Any) -> None:
     lines = settings_text(0, ["10.0.0.1", "10.0.0.2"], 1, tmp_path, True).splitlines()
     assert parse("\n".join(lines)).holds_state
     for n, line in enumerate(lines):
@@ -94,9 +96,9 @@
             assert line.partition(":")[0] in str(error) or "YAML" in str(error)
 
 
-@ROUNDS
+@EXAMPLES
 @given(st.binary(max_size=120))
-def test_datagrams_that_are_anything(data: bytes) -> None:
+def test_arbitrary_datagrams_are_decoded_or_refused(data: bytes) -> None:
     with contextlib.suppress(msgspec.MsgspecError):
         assert isinstance(decode_word(data), Word)
     for unpack in (unpack_out, unpack_health, lambda d: unpack_use(d, {1: "a"})):
@@ -107,7 +109,7 @@
     Peers.unpack(data)
 
 
-def test_what_is_packed_comes_out_and_fits_a_datagram() -> None:
+def test_packed_data_round_trips_and_fits_a_datagram() -> None:
     use = {f"tenant-{n}": (n * 9, n) for n in range(160)}
     assert unpack_use(pack_use(use), {crc32(n.encode()): n for n in use}) == use
     assert unpack_out(pack_out([(n, 300) for n in range(250)]))[7] == (7, 255)
@@ -118,8 +120,8 @@
     assert len(encode(word)) < 1400
 
 
-class Wire:
-    """What a connection does with bytes, without one."""
+class FakeTransport:
+    """A fake transport that records whether it was closed."""
 
     def __init__(self) -> None:
         self.closed = False
@@ -131,17 +133,19 @@
         return self.closed
 
 
-def frames() -> tuple[Frames, list[Parcel], Wire]:
+def make_frames() -> tuple[Frames, list[Parcel], FakeTransport]:
     taken: list[Parcel] = []
-    made, wire = Frames(lambda _, parcel: taken.append(parcel), lambda _: None), Wire()
+    made, wire = Frames(lambda _, parcel: taken.append(parcel), lambda _: None), FakeTransport()
     made.transport = wire  # type: ignore[assignment]
     return made, taken, wire
 
 
-@ROUNDS
+@EXAMPLES
 @given(st.lists(st.integers(1, 9), max_size=60), st.binary(max_size=40))
-def test_parcels_in_any_pieces_and_then_anything(cuts: list[int], rest: bytes) -> None:
-    made, taken, wire = frames()
+def test_parcels_survive_any_fragmentation_and_trailing_bytes_stay_bounded(
+    cuts: list[int], rest: bytes
+) -> None:
+    made, taken, wire = make_frames()
     data = b"".join(framed(Noted(n)) for n in range(20))
     for cut in cuts:
         made.data_received(data[:cut])
@@ -153,14 +157,14 @@
 
 
 @pytest.mark.parametrize("size, closed", [(MOST + 1, True), (1 << 31, True), (MOST, False)])
-def test_a_frame_past_the_bound_ends_its_connection(size: int, closed: bool) -> None:
-    made, taken, wire = frames()
+def test_a_frame_beyond_the_size_limit_closes_its_connection(size: int, closed: bool) -> None:
+    made, taken, wire = make_frames()
     made.data_received(FRAME.pack(size) + b"x")
     assert wire.closed is closed and not taken
 
 
-def test_a_parcel_of_a_kind_that_a_newer_program_sends_is_passed_over() -> None:
-    made, taken, wire = frames()
+def test_parcels_and_fields_of_a_newer_version_are_ignored() -> None:
+    made, taken, wire = make_frames()
     unknown = msgspec.msgpack.encode([99, 1, "what"])
     made.data_received(FRAME.pack(len(unknown)) + unknown + framed(Noted(1)))
     assert taken == [Noted(1)] and not wire.closed
