--- a/benchmarks/coordination.py
+++ b/benchmarks/coordination.py
@@ -69,7 +69,7 @@
 
     replica: Replica
     state: CoordinationState
-    desk: CoordinationHandler
+    handler: CoordinationHandler
     history: ChangeHistory = field(factory=ChangeHistory)
     jobs: deque[Job] = field(factory=deque)
     busy: bool = False
@@ -102,8 +102,8 @@
         chance = random.Random(number)
         replica = Replica(me, DurableState(), Timing(least=MEMBERS), chance, self.now)
         state = CoordinationState()
-        desk = CoordinationHandler(replica, state, lambda: next(self.tokens), chance, RETAIN_S)
-        return Machine(replica, state, desk)
+        handler = CoordinationHandler(replica, state, lambda: next(self.tokens), chance, RETAIN_S)
+        return Machine(replica, state, handler)
 
     def at(self, when: float, then: Callable[[], None]) -> None:
         heapq.heappush(self.due, (when, next(self.serials), then))
@@ -143,12 +143,12 @@
             match action:
                 case m.Deliver():
                     if action.entry.kind == m.COORDINATION:
-                        left.extend(machine.desk.deliver(self.now, action.entry.body))
+                        left.extend(machine.handler.deliver(self.now, action.entry.body))
                 case m.Settled():
-                    left.extend(machine.desk.settled(self.now, action.token, action.accepted))
+                    left.extend(machine.handler.settled(self.now, action.token, action.accepted))
                 case m.Restore():
                     image = machine.history.restore(action.snapshot.body)
-                    left.extend(machine.desk.restore(image.coordination))
+                    left.extend(machine.handler.restore(image.coordination))
                 case _:
                     out.append(action)
         return out
@@ -186,7 +186,7 @@
 
     def _run_tick(self, machine: Machine) -> list[Any]:
         replica = machine.replica
-        actions: list[Any] = [*replica.tick(self.now), *machine.desk.tick(self.now)]
+        actions: list[Any] = [*replica.tick(self.now), *machine.handler.tick(self.now)]
         if replica.due_for_snapshot():
             actions += replica.save(machine.history.image(b"", machine.state.image()))
         if replica.needs_seat(self.now):
@@ -203,7 +203,7 @@
         self.model.answered = self._answered
         self.leader = self.model.leader
         self.begun, self.cpu, self.syncs = self.model.now, self.leader.cpu, self.leader.syncs
-        self.turns = self.leader.desk.turns
+        self.turns = self.leader.handler.turns
         self.sent: dict[int, float] = {}
         self.delays: list[float] = []
         self.outcomes: Counter[str] = Counter()
@@ -221,7 +221,7 @@
     def _ask(self, call: c.Call) -> None:
         token = next(self.model.tokens)
         self.sent[token] = self.model.now
-        self.model.do(self.leader, lambda: self.leader.desk.call(self.model.now, token, call))
+        self.model.do(self.leader, lambda: self.leader.handler.call(self.model.now, token, call))
 
     def _answered(self, token: int, outcome: c.Outcome) -> None:
         self.outcomes[type(outcome).__name__] += 1
@@ -256,7 +256,7 @@
 
     def figures(self, seconds: float) -> dict[str, Any]:
         good = sorted(self.delays)
-        turns = self.leader.desk.turns - self.turns
+        turns = self.leader.handler.turns - self.turns
         calls = sum(self.outcomes.values())
         return {
             "calls_a_second": round(len(good) / seconds),
--- a/coralvale/cluster/coordination/desk.py
+++ b/coralvale/cluster/coordination/desk.py
@@ -157,11 +157,11 @@
         proposed_here = self.turn is not None and self.turn.number == batch.number
         if self.turn and proposed_here:
             self.turn.outcomes = outcomes
-        told = collect_notices(batch, outcomes, before, proposed_here)
-        done: Result = [CoordinationNotice(notice) for notice in told]
+        notices = collect_notices(batch, outcomes, before, proposed_here)
+        result: Result = [CoordinationNotice(notice) for notice in notices]
         for group in {group_of(o.key) for o in batch.operations if isinstance(o, Put)}:
-            done += self._notify_watches(group)
-        return done
+            result += self._notify_watches(group)
+        return result
 
     def restore(self, body: bytes) -> Result:
         """Replaces the state by that of a snapshot."""
@@ -181,13 +181,13 @@
         """Handles timeouts: of queued calls, of watches, and of abandoned locks."""
         if not self._may_answer(now):
             return self._reject_all()
-        done: Result = []
+        result: Result = []
         while self.waiting and now - self.waiting[0].received_at > MAX_WAIT_S:
             pending = self.waiting.popleft()
-            done.append(CoordinationAnswer(pending.token, Unavailable("the log takes too long")))
+            result.append(CoordinationAnswer(pending.token, Unavailable("the log takes too long")))
         for watch in self.watches.take_expired(now):
-            done.append(CoordinationAnswer(watch.token, Watched((), watch.after)))
-        return [*done, *self._next_turn(now)]
+            result.append(CoordinationAnswer(watch.token, Watched((), watch.after)))
+        return [*result, *self._next_turn(now)]
 
     # Leadership and time
 
@@ -225,16 +225,16 @@
     # Turns
 
     def _next_turn(self, now: float) -> Result:
-        done: Result = []
+        result: Result = []
         while self.turn is None and (self.waiting or self._sweep_due(now)):
             if not self._may_answer(now):
-                return [*done, *self._reject_all()]
+                return [*result, *self._reject_all()]
             turn = Turn(self.next_token(), self.rng.getrandbits(62))
             for _ in range(min(len(self.waiting), MAX_CALLS_PER_TURN)):
-                done += self._add_to_turn(now, turn, self.waiting.popleft())
+                result += self._add_to_turn(now, turn, self.waiting.popleft())
             self._sweep(now, turn)
-            done += self._submit_turn(now, turn)
-        return done
+            result += self._submit_turn(now, turn)
+        return result
 
     def _add_to_turn(self, now: float, turn: Turn, pending: PendingCall) -> Result:
         """Adds a call to the turn, or answers it at once."""
--- a/coralvale/cluster/orders.py
+++ b/coralvale/cluster/orders.py
@@ -96,10 +96,10 @@
         return [*self._resolve(now, request), *self._start_next(now)]
 
     def _start_next(self, now: float) -> Result:
-        done: Result = []
+        result: Result = []
         while self.current is None and self.waiting:
-            done += self._begin(now, self.waiting.popleft())
-        return done
+            result += self._begin(now, self.waiting.popleft())
+        return result
 
     def _begin(self, now: float, request: ChangeRequest) -> Result:
         replica = self.replica
--- a/experiments/coordination/book_slots.py
+++ b/experiments/coordination/book_slots.py
@@ -264,7 +264,7 @@
 def main() -> int:
     parser = argparse.ArgumentParser(description="Books slots under a lock, with a store that checks fences.")
     parser.add_argument("addresses", nargs="+", help="Ctl addresses of gateways, ip:port")
-    parser.add_argument("--folder", type=Path, required=True, help="for the store; empty at first")
+    parser.add_argument("--folder", type=Path, required=True, help="for the store, empty at first")
     parser.add_argument("--slots", type=int, default=30)
     parser.add_argument("--workers", type=int, default=3)
     parser.add_argument("--seconds", type=float, default=120.0, help="at most")
--- a/tests/cluster/coordination_checker.py
+++ b/tests/cluster/coordination_checker.py
@@ -45,7 +45,7 @@
 
     caller: str
     fence: int
-    begun: float
+    started: float
     ended: float
 
 
@@ -129,37 +129,37 @@
 
 
 def _holds_of(caller: str, records: list[Record]) -> Iterator[Hold]:
-    fence, begun, until = 0, 0.0, -1.0  # of the current hold
+    fence, started, until = 0, 0.0, -1.0  # of the current hold
     for record in records:
         call, outcome = record.call, record.outcome
         at = record.sent if isinstance(call, model.Release) else record.ended
         if fence and at >= until:
-            yield Hold(caller, fence, begun, until)
+            yield Hold(caller, fence, started, until)
             fence = 0
         if isinstance(call, model.Release):
             if fence == call.fence:
-                yield Hold(caller, fence, begun, at)
+                yield Hold(caller, fence, started, at)
                 fence = 0
             continue
         assert isinstance(call, model.Acquire | model.Renew)
         good_until = record.sent + call.hold_ms / 1000
         if isinstance(outcome, model.Granted) and at < good_until:
             if fence and fence != outcome.fence:
-                yield Hold(caller, fence, begun, at)
-            begun = begun if fence == outcome.fence else at
+                yield Hold(caller, fence, started, at)
+            started = started if fence == outcome.fence else at
             fence, until = outcome.fence, good_until
         elif isinstance(outcome, model.Renewed) and isinstance(call, model.Renew) and fence == call.fence:
             until = good_until
     if fence:
-        yield Hold(caller, fence, begun, until)
+        yield Hold(caller, fence, started, until)
 
 
 def check_one(evidence: Evidence) -> Iterator[str]:
     """At most one holder of a lock at a time, and rising fences."""
     for name, of_lock in holds(evidence.records).items():
         latest: Hold | None = None
-        for hold in sorted((h for h in of_lock if h.ended > h.begun), key=lambda h: h.begun):
-            if latest and latest.caller != hold.caller and hold.begun < latest.ended:
+        for hold in sorted((h for h in of_lock if h.ended > h.started), key=lambda h: h.started):
+            if latest and latest.caller != hold.caller and hold.started < latest.ended:
                 yield f"lock {name}: {latest} and {hold}"
             if latest is None or hold.ended > latest.ended:
                 latest = hold
@@ -399,7 +399,7 @@
 def check(history: Iterable[Record], retain_s: float, end: float | None = None) -> list[Violation]:
     """All violations. `end`: the time from which everything was read back."""
     evidence = Evidence.from_history(history, retain_s)
-    found = [Violation(rule, reason) for rule, judge in RULES.items() for reason in judge(evidence)]
+    found = [Violation(rule, reason) for rule, check_rule in RULES.items() for reason in check_rule(evidence)]
     if end is not None:
         found += [Violation("LOST", reason) for reason in check_lost_at_end(evidence.records, end)]
     return found
--- a/tests/cluster/coordination_desk.py
+++ b/tests/cluster/coordination_desk.py
@@ -24,7 +24,7 @@
             m.Member("a", "gateway-a", "10.0.0.1"), DurableState(), Timing(least=1), chance, self.now
         )
         self.state, self.tokens = CoordinationState(), count(1)
-        self.desk = CoordinationHandler(self.replica, self.state, lambda: next(self.tokens), chance, 20.0)
+        self.handler = CoordinationHandler(self.replica, self.state, lambda: next(self.tokens), chance, 20.0)
         self.answers: dict[int, Outcome] = {}
         self.notices: list[Notice] = []
         self.act([*self.replica.start(self.now), *self.replica.found(self.now)])
@@ -33,13 +33,13 @@
     def call(self, call: Call) -> Outcome | None:
         """The outcome, None while the call is pending."""
         token = next(self.tokens)
-        self.act(self.desk.call(self.now, token, call))
+        self.act(self.handler.call(self.now, token, call))
         return self.answers.get(token)
 
     def wait(self, seconds: float) -> None:
         """Advances the clock and ticks."""
         self.now += seconds
-        self.act([*self.replica.tick(self.now), *self.desk.tick(self.now)])
+        self.act([*self.replica.tick(self.now), *self.handler.tick(self.now)])
 
     def act(self, actions: list[Any]) -> None:
         """Carries out actions of the replica and the handler, with all that follow from them."""
@@ -51,9 +51,9 @@
                     left += self.replica.wrote(self.now, action.number)
                 case m.Deliver():
                     if action.entry.kind == m.COORDINATION:
-                        left += self.desk.deliver(self.now, action.entry.body)
+                        left += self.handler.deliver(self.now, action.entry.body)
                 case m.Settled():
-                    left += self.desk.settled(self.now, action.token, action.accepted)
+                    left += self.handler.settled(self.now, action.token, action.accepted)
                 case CoordinationAnswer():
                     self.answers[action.token] = action.outcome
                 case CoordinationNotice():
--- a/tests/cluster/coordination_mutants.py
+++ b/tests/cluster/coordination_mutants.py
@@ -187,14 +187,14 @@
     """Watches are notified of puts when they are proposed, before the commit."""
 
     def _submit_turn(self, now: float, turn: Turn) -> Result:
-        done = super()._submit_turn(now, turn)
+        completed = super()._submit_turn(now, turn)
         foreseen = CoordinationState()
         foreseen.restore(self.state.image())
         foreseen.apply(c.Batch(0, foreseen.time_ms, 0, 0, tuple(turn.operations)))
         for group in {c.group_of(o.key) for o in turn.operations if isinstance(o, c.Put)}:
             for watch in self.watches.take_group(group):
-                done.append(CoordinationAnswer(watch.token, foreseen.watch(group, watch.after)))
-        return done
+                completed.append(CoordinationAnswer(watch.token, foreseen.watch(group, watch.after)))
+        return completed
 
 
 class SkipsEvents(CoordinationState):
@@ -211,14 +211,14 @@
 
     name: str
     rules: str
-    desk: type[CoordinationHandler] = CoordinationHandler
+    handler: type[CoordinationHandler] = CoordinationHandler
     state: type[CoordinationState] = CoordinationState
     scene: Callable[[CoordinationWorld], object] = lambda world: world.play(SECONDS)
 
     def find_violation(self) -> tuple[int, str]:
         """The seed with which one of the rules was broken, and how; (-1, "") if none was."""
         for seed in range(SEEDS):
-            world = CoordinationWorld(seed, 3, self.desk, self.state)
+            world = CoordinationWorld(seed, 3, self.handler, self.state)
             try:
                 self.scene(world)
             except Broken as error:
--- a/tests/cluster/coordination_scenes.py
+++ b/tests/cluster/coordination_scenes.py
@@ -74,22 +74,22 @@
     assert isinstance(granted, c.Granted)
     until = world.env.now + 2.5
 
-    def renewing() -> Process:
+    def renew() -> Process:
         while world.env.now < until:
             world.env.process(world.ask("a", c.Renew("l1", "a", granted.fence, HOLD_MS), leader))
             yield world.env.timeout(4 * STEP_S)
 
-    def taking(at: Place) -> Process:
+    def acquire(at: Place) -> Process:
         while world.env.now < until:
             outcome = yield from world.ask("b", c.Acquire("l1", "b", HOLD_MS), at)
             if isinstance(outcome, c.Granted):
                 return
             yield world.env.timeout(STEP_S)
 
-    world.env.process(renewing())
+    world.env.process(renew())
     _, new = isolate_leader(world)
     if new:
-        world.env.run(world.env.process(taking(new)))
+        world.env.run(world.env.process(acquire(new)))
     heal_and_finish(world)
 
 
@@ -98,12 +98,12 @@
     leader = wait_for_leader(world)
     world.cut |= {(ip, leader.ip) for ip in world.places if ip != leader.ip}
 
-    def putting() -> Process:
+    def put_values() -> Process:
         for n in range(20):
             world.env.process(world.ask("p", c.Put("g1.a", f"v{n}"), leader))
             yield world.env.timeout(0.05)
 
-    world.env.process(putting())
+    world.env.process(put_values())
     world.env.run(until=world.env.now + ELECTION_S)
     heal_and_finish(world)
 
--- a/tests/cluster/coordination_world.py
+++ b/tests/cluster/coordination_world.py
@@ -1,12 +1,14 @@
-"""Simulates applications' calls on a virtual clock against replicas that crash, freeze, stall or are partitioned.
+"""Simulates applications' calls on a virtual clock against replicas that crash, freeze, stall or are
+partitioned.
 
     PYTHONPATH=.:tests/cluster python tests/cluster/coordination_world.py --seeds 250 --first 0 --jobs 2
 
 runs that many schedules with each number of members and prints a summary; the exit code is 1 if a rule was
-broken. A schedule is a seed and a number of members, and is reproducible from these two.
+broken. A schedule is a seed and a number of members; the same two give the same run with the same
+PYTHONHASHSEED.
 
-Behind each replica stand the real `CoordinationHandler` and `CoordinationState`. Callers use any gateway and try
-another after a second without an answer; calls on their way to the leader may be delayed by seconds.
+Behind each replica stand the real `CoordinationHandler` and `CoordinationState`. Callers use any gateway and
+try another after a second without an answer; calls on their way to the leader may be delayed by seconds.
 `coordination_checker` checks what callers observed and knows nothing of the simulation.
 """
 
@@ -63,7 +65,7 @@
 
     life: int
     state: CoordinationState
-    desk: CoordinationHandler
+    handler: CoordinationHandler
 
 
 @frozen
@@ -81,11 +83,11 @@
         self,
         seed: int,
         members: int,
-        desk: type[CoordinationHandler] = CoordinationHandler,
+        handler: type[CoordinationHandler] = CoordinationHandler,
         state: type[CoordinationState] = CoordinationState,
         kind: type[Replica] = Replica,
     ) -> None:
-        self.handler_type, self.state_type = desk, state
+        self.handler_type, self.state_type = handler, state
         self.members: dict[str, Member] = {}
         self.at_leader: dict[int, Waiting] = {}
         self.history: list[Record] = []
@@ -109,9 +111,9 @@
         assert place.replica
         state = self.state_type()
         chance = random.Random(self.chance.random())
-        desk = self.handler_type(place.replica, state, self.next_token, chance, RETAIN_S)
-        desk.event_retention_ms -= 10_000  # the margin is longer than a schedule
-        return Member(place.life, state, desk)
+        handler = self.handler_type(place.replica, state, self.next_token, chance, RETAIN_S)
+        handler.event_retention_ms -= 10_000  # the margin is longer than a schedule
+        return Member(place.life, state, handler)
 
     def next_token(self) -> int:
         self.tokens += 1
@@ -126,7 +128,7 @@
                 return
             replica, member = place.replica, self.member(place)
             self.act(place, replica.tick(self.env.now))
-            self.act(place, member.desk.tick(self.env.now))
+            self.act(place, member.handler.tick(self.env.now))
             if replica.due_for_snapshot():
                 self.act(place, replica.save(place.history.image(b"", member.state.image())))
             if replica.needs_seat(self.env.now) and not replica.leaving and (leader := self.leader()):
@@ -137,12 +139,12 @@
         match action:
             case m.Deliver() if action.entry.kind == m.COORDINATION:
                 self.see(place, action.entry)
-                place.pending.extend(self.member(place).desk.deliver(now, action.entry.body))
+                place.pending.extend(self.member(place).handler.deliver(now, action.entry.body))
             case m.Restore():
                 image = place.history.restore(action.snapshot.body)
-                place.pending.extend(self.member(place).desk.restore(image.coordination))
+                place.pending.extend(self.member(place).handler.restore(image.coordination))
             case m.Settled():
-                place.pending.extend(self.member(place).desk.settled(now, action.token, action.accepted))
+                place.pending.extend(self.member(place).handler.settled(now, action.token, action.accepted))
             case CoordinationAnswer():
                 if waiting := self.at_leader.pop(action.token, None):
                     self.env.process(self.send_answer(place, waiting, action.outcome))
@@ -228,7 +230,7 @@
         if not place.replica.leading:
             self.act(place, [CoordinationAnswer(token, c.Unavailable("not the leader"))])
             return
-        self.act(place, self.member(place).desk.call(self.env.now, token, call))
+        self.act(place, self.member(place).handler.call(self.env.now, token, call))
 
     def send_answer(self, leader: Place, waiting: Waiting, outcome: c.Outcome) -> Process:
         yield self.env.timeout(0.001 + 0.01 * self.chance.random() ** 3)
@@ -408,10 +410,10 @@
         end = self.env.now
         self.env.run(self.env.process(self.read_back()))
         self.env.run(self.env.process(self.whole()))
-        self.judge(end)
+        self.check_history(end)
         self.check_end()
 
-    def judge(self, end: float | None = None) -> None:
+    def check_history(self, end: float | None = None) -> None:
         """Checks the history. Raises Broken."""
         if found := check(self.history, RETAIN_S, end):
             raise Broken("; ".join(f"{violation.rule}: {violation.reason}" for violation in found[:3]))
--- a/tests/cluster/test_coordination_api.py
+++ b/tests/cluster/test_coordination_api.py
@@ -140,5 +140,5 @@
 
 @pytest.mark.parametrize(("outcome", "status", "body"), ANSWERS)
 def test_each_outcome_has_its_documented_answer(outcome: c.Outcome, status: int, body: Any) -> None:  # noqa: ANN401
-    told, sent = answer(outcome)
-    assert (told, json.loads(sent)) == (status, body)
+    actual_status, sent = answer(outcome)
+    assert (actual_status, json.loads(sent)) == (status, body)
--- a/tests/cluster/test_coordination_checker.py
+++ b/tests/cluster/test_coordination_checker.py
@@ -45,7 +45,7 @@
     return Record(caller, c.Watch("g1.", after, 1000), sent, sent + 0.1, outcome)
 
 
-def told(revision: int, *events: tuple[str, str, int]) -> c.Watched:
+def watched(revision: int, *events: tuple[str, str, int]) -> c.Watched:
     return c.Watched(tuple(c.Event(key, value, n, 0) for key, value, n in events), revision)
 
 
@@ -53,21 +53,21 @@
 STORED = [put("v1", 0, c.Stored(1)), put("v2", 1, c.Stored(2))]
 
 GOOD = {
-    "a lock goes on when its time is over": [
+    "a lock changes hands after its lease": [
         acquire("a", 0, 0.1, c.Granted(1)),
         renew("a", 1, 1.2, c.Renewed()),
         acquire("b", 3.9, 4.05, c.Granted(2)),
     ],
-    "a lock goes on once a finish was sent": [
+    "a lock changes hands once a finish was sent": [
         acquire("a", 0, 0.1, c.Granted(1)),
         release("a", 0.5),
         acquire("b", 0.4, 0.55, c.Granted(2)),
     ],
-    "a grant that comes too late counts for nothing": [
+    "a grant that arrives after its lease is no hold": [
         acquire("a", 0, 3.5, c.Granted(1)),
         acquire("b", 3.1, 3.2, c.Granted(2)),
     ],
-    "a renewal that comes too late counts for nothing": [
+    "a renewal that arrives after the lease extends nothing": [
         acquire("a", 0, 0.1, c.Granted(1)),
         renew("a", 2.5, 3.1, c.Renewed()),
         acquire("b", 3.5, 3.6, c.Granted(2)),
@@ -76,23 +76,23 @@
         acquire("a", 0, 0.1, c.Granted(1)),
         acquire("a", 1, 1.1, c.Granted(1)),
     ],
-    "calls side by side may be given numbers in any order": [
+    "concurrent calls may get numbers in any order": [
         number(0, 1, 2),
         number(0.5, 0.6, 1),
         number(2, 2.1, 5),
     ],
-    "a put that comes again has its first revision": [
+    "a repeated put has its first revision": [
         *STORED,
         put("v1", 2, c.Stored(1)),
     ],
     "a put over what it expected": [*STORED, put("v3", 2, c.Stored(3), expected=2)],
     "a put that got no clear answer may be there": [put("v1", 0, None), get(1, c.Found("v1", 1))],
     "a refusal that names the key's revision": [*STORED, put("v3", 2, c.Conflict(2), expected=1)],
-    "a watch": [*STORED, watch(2, 1, told(2, A2)), watch(3, 2, told(2))],
-    "a read of a put beside it": [put("v1", 0, c.Stored(1)), get(0.05, c.NotFound())],
-    "an old revision is not kept": [
+    "a watch": [*STORED, watch(2, 1, watched(2, A2)), watch(3, 2, watched(2))],
+    "a read concurrent with a put": [put("v1", 0, c.Stored(1)), get(0.05, c.NotFound())],
+    "an old revision is compacted": [
         *STORED,
-        watch(2, 0, told(2)),
+        watch(2, 0, watched(2)),
         watch(30, 2, c.Compacted()),
     ],
 }
@@ -131,39 +131,39 @@
     "a revision twice": ("ORDER", [put("v1", 0, c.Stored(1)), put("v2", 0, c.Stored(1), key="g1.b")]),
     "a revision goes back": ("ORDER", [put("v1", 0, c.Stored(5)), put("v2", 2, c.Stored(4))]),
     "a put over a later revision": ("ORDER", [*STORED, put("v3", 2, c.Stored(3), expected=1)]),
-    "events that do not rise": ("ORDER", [*STORED, watch(2, 1, told(2, A2, A2))]),
-    "events outside the span": ("ORDER", [*STORED, watch(2, 2, told(2, A2))]),
+    "events that do not rise": ("ORDER", [*STORED, watch(2, 1, watched(2, A2, A2))]),
+    "events outside the span": ("ORDER", [*STORED, watch(2, 2, watched(2, A2))]),
     "a skipped event": (
         "ORDER",
-        [*STORED, put("v3", 2, c.Stored(3)), watch(3, 1, told(3, ("g1.a", "v3", 3)))],
+        [*STORED, put("v3", 2, c.Stored(3)), watch(3, 1, watched(3, ("g1.a", "v3", 3)))],
     ),
-    "a watch that goes on over what it was not told": ("ORDER", [*STORED, watch(2, 1, told(2))]),
-    "a read that lags": ("STALE", [*STORED, get(2, c.Found("v1", 1))]),
-    "a key that is gone": ("STALE", [*STORED, get(2, c.NotFound())]),
-    "a value from nowhere": ("MIXED", [*STORED, get(2, c.Found("v9", 3))]),
+    "a watch passes over an event": ("ORDER", [*STORED, watch(2, 1, watched(2))]),
+    "a stale read": ("STALE", [*STORED, get(2, c.Found("v1", 1))]),
+    "a stored key is missing": ("STALE", [*STORED, get(2, c.NotFound())]),
+    "a value that was never put": ("MIXED", [*STORED, get(2, c.Found("v9", 3))]),
     "a value of another key": ("MIXED", [*STORED, get(2, c.Found("v1", 3), key="g1.b")]),
     "a value under two revisions": ("MIXED", [*STORED, put("v1", 2, c.Stored(3))]),
     "a refusal by another key's revision": (
         "MIXED",
         [*STORED, put("w", 2, c.Conflict(2), key="g1.b", expected=1)],
     ),
-    "a refusal by nobody's revision": ("MIXED", [*STORED, put("w", 2, c.Conflict(9), expected=1)]),
-    "a put that was turned away is there": (
+    "a refusal by a revision that no put had": ("MIXED", [*STORED, put("w", 2, c.Conflict(9), expected=1)]),
+    "a refused put is stored": (
         "REFUSED",
         [put("v1", 0, c.Unavailable("")), get(1, c.Found("v1", 1))],
     ),
-    "a put that was in conflict is there": (
+    "a put in conflict is stored": (
         "REFUSED",
         [*STORED, put("v3", 2, c.Conflict(2), expected=1), get(3, c.Found("v3", 3))],
     ),
-    "a put that comes again is in conflict with itself": (
+    "a repeated put is in conflict with itself": (
         "REFUSED",
         [*STORED, put("v2", 2, c.Conflict(2), expected=1)],
     ),
-    "a put beyond a bound is there": ("REFUSED", [put("v1", 0, c.Full("")), get(1, c.Found("v1", 1))]),
-    "a revision is forgotten too early": (
+    "a put beyond a limit is stored": ("REFUSED", [put("v1", 0, c.Full("")), get(1, c.Found("v1", 1))]),
+    "a revision is compacted too early": (
         "LOST",
-        [*STORED, watch(2, 0, told(2)), watch(21, 2, c.Compacted())],
+        [*STORED, watch(2, 0, watched(2)), watch(21, 2, c.Compacted())],
     ),
 }
 
@@ -171,7 +171,7 @@
     acquire("a", END + 1, END + 1.1, c.Held()),
     number(END + 1, END + 1.1, 6),
     get(END + 1, c.Found("v2", 2)),
-    watch(END + 1, 0, told(2)),
+    watch(END + 1, 0, watched(2)),
 ]
 BEFORE = [acquire("a", 0, 0.1, c.Granted(1)), number(0, 0.1, 5), *STORED]
 
@@ -199,7 +199,7 @@
 
 @pytest.mark.parametrize(
     "lags",
-    [number(END + 1, END + 1.1, 4), get(END + 1, c.Found("v1", 1)), watch(END + 1, 0, told(1))],
+    [number(END + 1, END + 1.1, 4), get(END + 1, c.Found("v1", 1)), watch(END + 1, 0, watched(1))],
 )
 def test_an_older_value_at_the_end_is_lost(lags: Record) -> None:
     history = [*BEFORE, *(r for r in READ_BACK if type(r.call) is not type(lags.call)), lags]
@@ -209,4 +209,4 @@
 def test_a_hold_lasts_from_its_grant_until_its_time_after_the_last_successful_call() -> None:
     history = [acquire("a", 0, 0.5, c.Granted(1)), renew("a", 2, 2.2, c.Renewed()), renew("a", 3, 3.2, None)]
     (hold,) = holds(history)["l1"]
-    assert (hold.begun, hold.ended) == (0.5, 5.0)
+    assert (hold.started, hold.ended) == (0.5, 5.0)
--- a/tests/cluster/test_coordination_kills.py
+++ b/tests/cluster/test_coordination_kills.py
@@ -41,8 +41,8 @@
 
     async def known() -> bool:
         for number, ip in enumerate(cluster.ips):
-            told = await call(ip, CTL, "POST", "/rpc?call=gateway.status")
-            if told and json.loads(told.body)["leader"] == ip:
+            response = await call(ip, CTL, "POST", "/rpc?call=gateway.status")
+            if response and json.loads(response.body)["leader"] == ip:
                 found.append(number)
         return bool(found)
 
@@ -99,11 +99,11 @@
         status, body = await begin(cluster, "kept", "holder", LONG_MS)
         assert status == 200
         fence = body["fence"]
-        words = {"Owner": "holder", "fence": fence}
+        credentials = {"Owner": "holder", "fence": fence}
 
         async def renew(times: int) -> None:
             for _ in range(times):
-                answered = await rpc(cluster, "locks.heartbeat", "kept", **words, HoldMs=LONG_MS)
+                answered = await rpc(cluster, "locks.heartbeat", "kept", **credentials, HoldMs=LONG_MS)
                 assert answered[0] == 200
 
         await renew(3)
@@ -131,11 +131,11 @@
 
         await cluster.begin(killed)
         await renew(5)
-        status, _ = await clear_answer(cluster, "POST", "/rpc?call=locks.finish&of=kept", **words)
+        status, _ = await clear_answer(cluster, "POST", "/rpc?call=locks.finish&of=kept", **credentials)
         assert status == 200
         _, last = await kept  # within LONG_MS: a release is ignored where begin was sent twice
         assert last > next_fence
-        lost = await rpc(cluster, "locks.heartbeat", "kept", **words, HoldMs=LONG_MS)
+        lost = await rpc(cluster, "locks.heartbeat", "kept", **credentials, HoldMs=LONG_MS)
         assert lost[0] == 409
 
     play(scene)
@@ -197,8 +197,8 @@
             assert status == 200 and (body["Val"], body["Rev"]) == (stored[revision][1], revision)
         status, _ = await begin(cluster, "kept", "rival", LONG_MS)
         assert status == 409
-        words = {"Owner": "holder", "fence": fence}
-        renewed = await rpc(cluster, "locks.heartbeat", "kept", **words, HoldMs=LONG_MS)
+        credentials = {"Owner": "holder", "fence": fence}
+        renewed = await rpc(cluster, "locks.heartbeat", "kept", **credentials, HoldMs=LONG_MS)
         assert renewed[0] == 200
 
     play(scene)
@@ -229,7 +229,7 @@
         _, number = await clear_answer(cluster, "POST", "/numbers/n1")
         status, body = await begin(cluster, "kept", "holder", LONG_MS)
         assert status == 200
-        words = {"Owner": "holder", "fence": body["fence"]}
+        credentials = {"Owner": "holder", "fence": body["fence"]}
 
         version = 1
         for rounds in range(MAX_ROUNDS):  # a killed member may have been about to save
@@ -258,9 +258,9 @@
         assert status == 200 and body["Val"] > number["Val"]
         status, _ = await begin(cluster, "kept", "rival", LONG_MS)
         assert status == 409
-        renewed = await rpc(cluster, "locks.heartbeat", "kept", **words, HoldMs=LONG_MS)
+        renewed = await rpc(cluster, "locks.heartbeat", "kept", **credentials, HoldMs=LONG_MS)
         assert renewed[0] == 200
         status, body = await begin(cluster, "other", "rival", LONG_MS)
-        assert status == 200 and body["fence"] > words["fence"]
+        assert status == 200 and body["fence"] > credentials["fence"]
 
     play(scene)
--- a/tests/cluster/test_coordination_operators.py
+++ b/tests/cluster/test_coordination_operators.py
@@ -20,90 +20,90 @@
 HOLD_MS = 3000
 
 
-def listed(lone: SingleMember, call: c.ListNames) -> list[Any]:
-    found = lone.call(call)
+def listed(member: SingleMember, call: c.ListNames) -> list[Any]:
+    found = member.call(call)
     assert isinstance(found, c.Listed)
     return list(found.rows)
 
 
 def test_paged_lists_hold_every_name_once_in_order() -> None:
-    lone = SingleMember()
+    member = SingleMember()
     names = [f"g{n % 3}.{n:03d}" for n in range(40)]
     for n, name in enumerate(names):
-        assert lone.call(c.Put(name, f"value-{n}")) == c.Stored(n // 3 + 1)
-        assert lone.call(c.NextNumber(name)) == c.Number(1)
+        assert member.call(c.Put(name, f"value-{n}")) == c.Stored(n // 3 + 1)
+        assert member.call(c.NextNumber(name)) == c.Number(1)
     for kind in (c.NameKind.KEYS, c.NameKind.NUMBERS):
         seen: list[str] = []
         more = True
         while more:
-            page = lone.call(c.ListNames(kind, seen[-1] if seen else "", "", 7))
+            page = member.call(c.ListNames(kind, seen[-1] if seen else "", "", 7))
             assert isinstance(page, c.Listed) and 0 < len(page.rows) <= 7
             seen += [row.name for row in page.rows]
             more = page.more
         assert seen == sorted(names)
-    group = listed(lone, c.ListNames(c.NameKind.KEYS, "", "g1."))
+    group = listed(member, c.ListNames(c.NameKind.KEYS, "", "g1."))
     assert group == [c.KeyRow(name, f"value-{n}", n // 3 + 1) for n, name in enumerate(names) if n % 3 == 1]
-    assert listed(lone, c.ListNames(c.NameKind.LOCKS)) == []
+    assert listed(member, c.ListNames(c.NameKind.LOCKS)) == []
 
 
 def test_a_listed_lock_shows_its_last_renewal_and_its_remaining_lease() -> None:
-    lone = SingleMember()
-    assert lone.call(c.Acquire("l1", "a", HOLD_MS)) == c.Granted(1)
-    lone.wait(1.0)
-    assert lone.call(c.Renew("l1", "a", 1, 2000)) == c.Renewed()
-    lone.wait(0.5)
-    (row,) = listed(lone, c.ListNames(c.NameKind.LOCKS))
+    member = SingleMember()
+    assert member.call(c.Acquire("l1", "a", HOLD_MS)) == c.Granted(1)
+    member.wait(1.0)
+    assert member.call(c.Renew("l1", "a", 1, 2000)) == c.Renewed()
+    member.wait(0.5)
+    (row,) = listed(member, c.ListNames(c.NameKind.LOCKS))
     assert (row.name, row.owner, row.fence, row.hold_ms) == ("l1", "a", 1, HOLD_MS)
     assert row.renewed_s == pytest.approx(0.5) and 1.5 <= row.left_s < 1.6
-    lone.wait(10.0)
-    (row,) = listed(lone, c.ListNames(c.NameKind.LOCKS))
+    member.wait(10.0)
+    (row,) = listed(member, c.ListNames(c.NameKind.LOCKS))
     assert row.left_s == pytest.approx(-8.5, abs=0.1)  # not taken over yet
-    lone.desk.view = 0  # as if a new leader had been elected
-    (row,) = listed(lone, c.ListNames(c.NameKind.LOCKS))
+    member.handler.view = 0  # as if a new leader had been elected
+    (row,) = listed(member, c.ListNames(c.NameKind.LOCKS))
     assert row.renewed_s is None and row.left_s >= HOLD_MS / 1000
 
 
 def test_an_operator_can_release_a_lock_and_the_old_holder_cannot_renew_it() -> None:
-    lone = SingleMember()
-    assert lone.call(c.Acquire("l1", "a", HOLD_MS)) == c.Granted(1)
-    assert lone.call(c.Acquire("l1", "b", HOLD_MS)) == c.Held()
-    assert lone.call(c.Expire("l1", 7, "wrong fence")) == c.NotHeld()
-    assert lone.call(c.Expire("l2", 1, "no such lock")) == c.NotHeld()
-    assert lone.notices == [] and lone.call(c.Renew("l1", "a", 1, HOLD_MS)) == c.Renewed()
-    assert lone.call(c.Expire("l1", 1, "host-7 hangs")) == c.Released()
-    assert lone.notices == [ExpiredByHand("l1", "a", 1, "host-7 hangs")]
-    assert lone.call(c.Renew("l1", "a", 1, HOLD_MS)) == c.NotHeld()
-    assert lone.call(c.Acquire("l1", "b", HOLD_MS)) == c.Granted(2)
-    assert lone.call(c.Expire("l1", 1, "sent again")) == c.NotHeld()
-    assert lone.call(c.Renew("l1", "b", 2, HOLD_MS)) == c.Renewed()
-    assert len(lone.notices) == 1
+    member = SingleMember()
+    assert member.call(c.Acquire("l1", "a", HOLD_MS)) == c.Granted(1)
+    assert member.call(c.Acquire("l1", "b", HOLD_MS)) == c.Held()
+    assert member.call(c.Expire("l1", 7, "wrong fence")) == c.NotHeld()
+    assert member.call(c.Expire("l2", 1, "no such lock")) == c.NotHeld()
+    assert member.notices == [] and member.call(c.Renew("l1", "a", 1, HOLD_MS)) == c.Renewed()
+    assert member.call(c.Expire("l1", 1, "host-7 hangs")) == c.Released()
+    assert member.notices == [ExpiredByHand("l1", "a", 1, "host-7 hangs")]
+    assert member.call(c.Renew("l1", "a", 1, HOLD_MS)) == c.NotHeld()
+    assert member.call(c.Acquire("l1", "b", HOLD_MS)) == c.Granted(2)
+    assert member.call(c.Expire("l1", 1, "sent again")) == c.NotHeld()
+    assert member.call(c.Renew("l1", "b", 2, HOLD_MS)) == c.Renewed()
+    assert len(member.notices) == 1
 
 
 def test_renewals_reads_and_lists_write_no_log_entry() -> None:
-    lone = SingleMember()
-    assert lone.call(c.Acquire("l1", "a", HOLD_MS)) == c.Granted(1)
-    written = lone.replica.last
+    member = SingleMember()
+    assert member.call(c.Acquire("l1", "a", HOLD_MS)) == c.Granted(1)
+    written = member.replica.last
     for _ in range(100):
-        lone.wait(0.1)
-        assert lone.call(c.Renew("l1", "a", 1, HOLD_MS)) == c.Renewed()
-        assert lone.call(c.Get("g1.a")) == c.NotFound()
-        assert len(listed(lone, c.ListNames(c.NameKind.LOCKS))) == 1
-    assert lone.replica.last == written
-    assert lone.call(c.Renew("l1", "a", 1, HOLD_MS + 1)) == c.Renewed()
-    assert lone.replica.last == written + 1  # a longer hold is in the log
+        member.wait(0.1)
+        assert member.call(c.Renew("l1", "a", 1, HOLD_MS)) == c.Renewed()
+        assert member.call(c.Get("g1.a")) == c.NotFound()
+        assert len(listed(member, c.ListNames(c.NameKind.LOCKS))) == 1
+    assert member.replica.last == written
+    assert member.call(c.Renew("l1", "a", 1, HOLD_MS + 1)) == c.Renewed()
+    assert member.replica.last == written + 1  # a longer hold is in the log
 
 
 def test_a_takeover_is_reported_once_and_a_swept_lock_is_not() -> None:
-    lone = SingleMember()
-    assert lone.call(c.Acquire("l1", "a", HOLD_MS)) == c.Granted(1)
-    assert lone.call(c.Acquire("l2", "a", HOLD_MS)) == c.Granted(2)
-    lone.wait(HOLD_MS / 1000 + 0.1)
-    assert lone.call(c.Acquire("l1", "b", HOLD_MS)) == c.Granted(3)
-    assert lone.call(c.Acquire("l1", "b", HOLD_MS)) == c.Granted(3)
-    assert lone.notices == [TakenOver("l1", "a", 1, "b", 3)]
-    lone.wait(200.0)
-    lone.wait(20.0)
-    assert listed(lone, c.ListNames(c.NameKind.LOCKS)) == [] and len(lone.notices) == 1
+    member = SingleMember()
+    assert member.call(c.Acquire("l1", "a", HOLD_MS)) == c.Granted(1)
+    assert member.call(c.Acquire("l2", "a", HOLD_MS)) == c.Granted(2)
+    member.wait(HOLD_MS / 1000 + 0.1)
+    assert member.call(c.Acquire("l1", "b", HOLD_MS)) == c.Granted(3)
+    assert member.call(c.Acquire("l1", "b", HOLD_MS)) == c.Granted(3)
+    assert member.notices == [TakenOver("l1", "a", 1, "b", 3)]
+    member.wait(200.0)
+    member.wait(20.0)
+    assert listed(member, c.ListNames(c.NameKind.LOCKS)) == [] and len(member.notices) == 1
 
 
 @pytest.mark.parametrize(
--- a/tests/cluster/test_coordination_processes.py
+++ b/tests/cluster/test_coordination_processes.py
@@ -85,12 +85,12 @@
         code, rows = await watch
         assert code == 0 and [r["Rev"] for r in rows] == [2, 3]
 
-        async def told() -> bool:
+        async def sizes_reported() -> bool:
             found = await call(cluster.ips[0], CTL, "POST", "/rpc?call=gateway.status")
             held = json.loads(found.body)["coordination"] if found else {}
             return [held.get(name) for name in ("locks", "numbers", "keys", "groups")] == [1, 1, 3, 1]
 
-        await cluster.until(told)
+        await cluster.until(sizes_reported)
         expired = [(await settled_at(cluster, n)).get("expire", {}) for n in range(3)]
         assert sum(count for outcomes in expired for count in outcomes.values()) >= 2
         page = await call(cluster.ips[0], METRICS, "GET", "/metrics", patience=20.0)
@@ -122,8 +122,8 @@
                 early = waiting.result()
                 assert early is not None and early.status == 503
                 waiting = asyncio.create_task(call(cluster.ips[3], CTL, "GET", path, patience=25.0))
-            told = [await call(ip, CTL, "POST", "/rpc?call=gateway.status") for ip in cluster.ips[:3]]
-            watches = [json.loads(found.body)["coordination"]["watches"] for found in told if found]
+            statuses = [await call(ip, CTL, "POST", "/rpc?call=gateway.status") for ip in cluster.ips[:3]]
+            watches = [json.loads(found.body)["coordination"]["watches"] for found in statuses if found]
             return sum(watches) == 1
 
         await cluster.until(waits)
--- a/tests/cluster/test_coordination_state.py
+++ b/tests/cluster/test_coordination_state.py
@@ -25,7 +25,7 @@
     return state.apply(c.Batch(1, time_ms, time_ms - 50_000, time_ms - 120_000, operations))
 
 
-def lived() -> CoordinationState:
+def populated_state() -> CoordinationState:
     """A state with locks, numbers, keys, compacted and kept events."""
     state = CoordinationState()
     apply(state, c.Acquire("l1", "a", 500), c.Acquire("l2", "b", 500), c.NextNumber("n1"))
@@ -35,7 +35,7 @@
 
 
 def test_a_restored_image_behaves_like_the_original_state() -> None:
-    state, again = lived(), CoordinationState()
+    state, again = populated_state(), CoordinationState()
     again.restore(state.image())
     assert again.image() == state.image() and again.stored_bytes == state.stored_bytes
     after = (c.Acquire("l1", "b", 500, 1), c.NextNumber("n1"), c.Put("g1.a", "v1"), c.Put("g1.b", "x", 2))
@@ -59,7 +59,7 @@
 
 
 def test_values_that_a_lost_log_may_have_issued_are_skipped() -> None:
-    state = lived()
+    state = populated_state()
     fence, given, revision = state.last_fence, state.numbers["n1"], state.group_revision("g1.")
     state.skip_ahead(1000)
     assert apply(state, c.Acquire("l9", "a", 500), c.NextNumber("n1"), c.Put("g1.a", "v9")) == [
@@ -74,10 +74,10 @@
 
 
 def test_the_state_is_part_of_the_history_image_and_missing_in_an_older_one() -> None:
-    state, history = lived(), ChangeHistory()
+    state, history = populated_state(), ChangeHistory()
     assert ChangeHistory().restore(history.image(b"", state.image())).coordination == state.image()
     older = msgspec.msgpack.decode(history.image())[:5]  # without coordination, which came after the shares
-    again = lived()
+    again = populated_state()
     again.restore(ChangeHistory().restore(msgspec.msgpack.encode(older)).coordination)
     assert again.image() == CoordinationState().image()
 
@@ -147,7 +147,7 @@
             m.Member("d1", "n1", "10.0.0.1"), DurableState(), Timing(least=1), random.Random(1), 0.0
         )
         self.state, self.answers, self.tokens = CoordinationState(), dict[int, c.Outcome](), 0
-        self.desk = CoordinationHandler(self.replica, self.state, self.token, random.Random(1), 20.0)
+        self.handler = CoordinationHandler(self.replica, self.state, self.token, random.Random(1), 20.0)
         self.disk: list[m.Write] = []
         self.do(0.0, self.replica.found(0.0))
         self.sync(0.0)
@@ -163,9 +163,9 @@
                 case m.Write() as write:
                     self.disk.append(write)
                 case m.Deliver(entry):
-                    queue.extend(self.desk.deliver(now, entry.body))
+                    queue.extend(self.handler.deliver(now, entry.body))
                 case m.Settled(token, accepted):
-                    queue.extend(self.desk.settled(now, token, accepted))
+                    queue.extend(self.handler.settled(now, token, accepted))
                 case CoordinationAnswer(token, outcome):
                     self.answers[token] = outcome
 
@@ -175,7 +175,7 @@
 
     def call(self, now: float, call: c.Call, sync: bool = True) -> c.Outcome | None:
         token = self.token()
-        self.do(now, self.desk.call(now, token, call))
+        self.do(now, self.handler.call(now, token, call))
         if sync:
             self.sync(now)
         return self.answers.get(token)
@@ -183,55 +183,55 @@
 
 def test_calls_beyond_the_queue_limit_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(desk_module, "MAX_WAITING_CALLS", 3)
-    alone = SlowDiskMember()
-    found = [alone.call(0.1, c.NextNumber("n1"), sync=False) for _ in range(6)]
+    member = SlowDiskMember()
+    found = [member.call(0.1, c.NextNumber("n1"), sync=False) for _ in range(6)]
     assert found[:4] == [None] * 4 and all(isinstance(outcome, c.Full) for outcome in found[4:])
-    alone.sync(0.1)
-    assert sorted(a.value for a in alone.answers.values() if isinstance(a, c.Number)) == [1, 2, 3, 4]
+    member.sync(0.1)
+    assert sorted(a.value for a in member.answers.values() if isinstance(a, c.Number)) == [1, 2, 3, 4]
 
 
 def test_watches_beyond_the_limit_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watches_module, "MAX_WATCHES", 2)
-    alone = SlowDiskMember()
-    assert alone.call(0.1, c.Put("g1.a", "v1")) == c.Stored(1)
-    found = [alone.call(0.1, c.Watch("g1.", 1, 1000)) for _ in range(3)]
+    member = SlowDiskMember()
+    assert member.call(0.1, c.Put("g1.a", "v1")) == c.Stored(1)
+    found = [member.call(0.1, c.Watch("g1.", 1, 1000)) for _ in range(3)]
     assert found[:2] == [None, None] and isinstance(found[2], c.Full)
-    alone.do(1.2, alone.desk.tick(1.2))
-    assert [a for a in alone.answers.values() if isinstance(a, c.Watched)] == [c.Watched((), 1)] * 2
+    member.do(1.2, member.handler.tick(1.2))
+    assert [a for a in member.answers.values() if isinstance(a, c.Watched)] == [c.Watched((), 1)] * 2
 
 
 def test_a_call_queued_too_long_is_refused_but_a_proposed_one_is_not() -> None:
-    alone = SlowDiskMember()
-    alone.call(0.1, c.NextNumber("n1"), sync=False)
-    alone.call(0.1, c.NextNumber("n1"), sync=False)
-    alone.do(1.0, alone.desk.tick(1.0))
-    assert [type(a) for a in alone.answers.values()] == [c.Unavailable]
-    alone.sync(1.0)
-    assert list(alone.answers.values())[1:] == [c.Number(1)]
-    assert alone.call(1.0, c.NextNumber("n1")) == c.Number(2)  # the refused call had no effect
+    member = SlowDiskMember()
+    member.call(0.1, c.NextNumber("n1"), sync=False)
+    member.call(0.1, c.NextNumber("n1"), sync=False)
+    member.do(1.0, member.handler.tick(1.0))
+    assert [type(a) for a in member.answers.values()] == [c.Unavailable]
+    member.sync(1.0)
+    assert list(member.answers.values())[1:] == [c.Number(1)]
+    assert member.call(1.0, c.NextNumber("n1")) == c.Number(2)  # the refused call had no effect
 
 
 def test_an_abandoned_lock_is_removed_long_after_its_lease_and_its_fence_is_not_reused() -> None:
-    alone = SlowDiskMember()
-    assert alone.call(0.1, c.Acquire("l1", "a", 1000)) == c.Granted(1)
+    member = SlowDiskMember()
+    assert member.call(0.1, c.Acquire("l1", "a", 1000)) == c.Granted(1)
     for seconds in (5.0, 30.0, 61.0):
-        alone.do(seconds, alone.desk.tick(seconds))
-        alone.sync(seconds)
-        assert "l1" in alone.state.locks
-    alone.do(75.0, alone.desk.tick(75.0))
-    alone.sync(75.0)
-    assert "l1" not in alone.state.locks
-    assert alone.call(75.0, c.Renew("l1", "a", 1, 1000)) == c.NotHeld()
-    assert alone.call(75.0, c.Acquire("l1", "b", 1000)) == c.Granted(2)
+        member.do(seconds, member.handler.tick(seconds))
+        member.sync(seconds)
+        assert "l1" in member.state.locks
+    member.do(75.0, member.handler.tick(75.0))
+    member.sync(75.0)
+    assert "l1" not in member.state.locks
+    assert member.call(75.0, c.Renew("l1", "a", 1, 1000)) == c.NotHeld()
+    assert member.call(75.0, c.Acquire("l1", "b", 1000)) == c.Granted(2)
 
 
 @pytest.mark.parametrize(("at", "expected"), [(1.0, c.Held), (1.6, c.Held), (2.5, c.Held), (2.7, c.Granted)])
 def test_a_lock_is_taken_over_only_after_its_longest_renewal(
     at: float, expected: Callable[..., c.Outcome]
 ) -> None:
-    alone = SlowDiskMember()
-    assert alone.call(0.1, c.Acquire("l1", "a", 500)) == c.Granted(1)
-    assert alone.call(0.5, c.Renew("l1", "a", 1, 2100)) == c.Renewed()
-    assert alone.call(0.6, c.Renew("l1", "a", 1, 100)) == c.Renewed()
-    found = alone.call(at, c.Acquire("l1", "b", 500))
+    member = SlowDiskMember()
+    assert member.call(0.1, c.Acquire("l1", "a", 500)) == c.Granted(1)
+    assert member.call(0.5, c.Renew("l1", "a", 1, 2100)) == c.Renewed()
+    assert member.call(0.6, c.Renew("l1", "a", 1, 100)) == c.Renewed()
+    found = member.call(at, c.Acquire("l1", "b", 500))
     assert type(found) is expected
