--- a/coralvale/cluster/routing/home.py
+++ b/coralvale/cluster/routing/home.py
@@ -61,7 +61,7 @@
             if (region := self._service_region(name, service.Region))
         }
         self.routes = {}
-        if not self.services and not self.rules and not configuration.narrowed:
+        if not self.services and not self.rules and not configuration.has_route_regions:
             return  # nothing is bound, so no route can be
         for name, (_, route) in configuration.items.get("Routes", {}).items():
             if region := self._route_region(route):
--- a/coralvale/cluster/storage/keeper.py
+++ b/coralvale/cluster/storage/keeper.py
@@ -130,7 +130,7 @@
     history, coordination = ChangeHistory(), CoordinationState()
     image = history.restore(body)
     coordination.restore(image.coordination)
-    coordination.skip(COUNTER_SKIP)
+    coordination.skip_ahead(COUNTER_SKIP)
     return history.image(image.shares, coordination.image())
 
 
--- a/tests/cluster/consensus_world.py
+++ b/tests/cluster/consensus_world.py
@@ -1,7 +1,7 @@
 """A simulation of replicas on a virtual clock: their disks, the messages between them, operators, and faults.
 
 The schedule follows from a seed. Operators send orders and reads to any replica and retry until they get a
-clear answer, as the protocol requires. Each replica has a real `OrderDesk` and `ChangeHistory`. After each
+clear answer, as the protocol requires. Each replica has a real `ChangeRequestHandler` and `ChangeHistory`. After each
 step the invariants are checked only against what was delivered and what was answered.
 """
 
@@ -19,7 +19,7 @@
 from coralvale.cluster.configuration.history import Change, ChangeHistory
 from coralvale.cluster.consensus import messages as m
 from coralvale.cluster.consensus.replica import DurableState, Replica, Timing
-from coralvale.cluster.orders import OrderAnswer, OrderDesk
+from coralvale.cluster.orders import ChangeAnswer, ChangeRequestHandler
 
 TIMING = Timing()
 ANSWER_TIMEOUT_S = 0.9  # for one answer
@@ -73,7 +73,7 @@
     ip: str
     disk: Disk
     replica: Replica | None = None
-    desk: OrderDesk | None = None
+    desk: ChangeRequestHandler | None = None
     history: ChangeHistory = field(factory=ChangeHistory)
     life: int = 0
     busy_until: float = 0.0  # of the disk
@@ -81,7 +81,7 @@
     frozen_until: float = 0.0  # its process is suspended; messages are read afterwards
     link: float = 0.0  # bytes per second, 0 for no limit
     link_until: float = 0.0
-    pending: deque[m.Action | OrderAnswer] = field(factory=deque)
+    pending: deque[m.Action | ChangeAnswer] = field(factory=deque)
     acting: bool = False
 
 
@@ -92,7 +92,7 @@
     change: Change | None
     begun: float
     min_version: int  # newest version acknowledged before the call
-    on_answer: Callable[[OrderAnswer], None]
+    on_answer: Callable[[ChangeAnswer], None]
 
 
 def message_size(message: m.Message) -> int:
@@ -116,7 +116,7 @@
             else replica_class
         )
         self.keeps_ids: bool = more.get("keeps_ids", False)
-        self.desk_class: type[OrderDesk] = more.get("desk", OrderDesk)
+        self.desk_class: type[ChangeRequestHandler] = more.get("desk", ChangeRequestHandler)
         self.machines: dict[str, Machine] = {}
         self.blocked_links: set[tuple[str, str]] = set()  # from, to
         self.delivered: dict[int, m.Entry] = {}
@@ -198,7 +198,7 @@
         ):
             raise InvariantViolation(f"two leaders of view {replica.view}")
 
-    def carry_out(self, machine: Machine, action: m.Action | OrderAnswer) -> None:
+    def carry_out(self, machine: Machine, action: m.Action | ChangeAnswer) -> None:
         match action:
             case m.Send():
                 self.send(machine, action.to.ip, action.message, action.to.id)
@@ -214,7 +214,7 @@
             case m.Settled():
                 if machine.desk:
                     machine.pending.extend(machine.desk.settled(self.env.now, action.token, action.accepted))
-            case OrderAnswer():
+            case ChangeAnswer():
                 self.check_answer(action)
 
     def check_delivered(self, machine: Machine, entry: m.Entry) -> None:
@@ -227,7 +227,7 @@
         version = history.configuration.version
         if version > self.newest_version:
             self.newest_version, self.newest_changed_at = version, self.env.now
-        for digest, to in history.taken.items():
+        for digest, to in history.applied.items():
             if self.effective.setdefault(to, digest) != digest:
                 raise InvariantViolation(f"two changes led to version {to}")
 
@@ -268,7 +268,9 @@
 
     # Operators
 
-    def call(self, machine: Machine, change: Change | None, on_answer: Callable[[OrderAnswer], None]) -> None:
+    def call(
+        self, machine: Machine, change: Change | None, on_answer: Callable[[ChangeAnswer], None]
+    ) -> None:
         """Sends one call to a machine, which forwards it to the leader that it knows."""
         replica = machine.replica
         if replica and not replica.leading:
@@ -294,10 +296,11 @@
             change = self.calls[token].change
             desk = machine.desk
             self.act(
-                machine, desk.order(self.env.now, token, change) if change else desk.read(self.env.now, token)
+                machine,
+                desk.submit(self.env.now, token, change) if change else desk.read(self.env.now, token),
             )
 
-    def check_answer(self, answer: OrderAnswer) -> None:
+    def check_answer(self, answer: ChangeAnswer) -> None:
         """Checks an answer against everything that was delivered and answered so far."""
         call = self.calls.pop(answer.token, None)
         if call is None:
@@ -331,7 +334,7 @@
             raise InvariantViolation(f"two changes on top of {change.base} were acknowledged")
         self.newest_acknowledged = max(self.newest_acknowledged, versions[0])
 
-    def check_refused(self, call: Call, answer: OrderAnswer) -> None:
+    def check_refused(self, call: Call, answer: ChangeAnswer) -> None:
         self.refusals += 1
         assert call.change
         if call.change.digest() in self.effective.values():
@@ -368,7 +371,7 @@
                     self.env.process(self.call_until_clear(change, until))
 
     def call_until_clear(self, change: Change | None, until: float) -> Any:
-        found: list[OrderAnswer] = []
+        found: list[ChangeAnswer] = []
         while self.env.now < until:
             machine = self.chance.choice(list(self.machines.values()))
             self.call(machine, change, lambda answer: found.append(answer) if answer.status != 503 else None)
@@ -514,7 +517,7 @@
         self.env.run(self.env.process(self.leave(leaves)))
         self.kill(leaves)
         self.wipe(leader)
-        if set(self.acknowledged) - set(history_on(lags.disk).taken):
+        if set(self.acknowledged) - set(history_on(lags.disk).applied):
             raise InvariantViolation("the replica that left had the only copy of an acknowledged change")
 
     def check_late_replies(self) -> None:
@@ -572,14 +575,14 @@
             if (
                 machine.replica
                 and machine.replica.is_voter
-                and set(self.acknowledged) - set(machine.history.taken)
+                and set(self.acknowledged) - set(machine.history.applied)
             ):
                 raise InvariantViolation("an acknowledged change is lost")
         return went_on
 
     def check_end(self) -> None:
         for machine in self.machines.values():
-            lost = set(self.acknowledged) - set(machine.history.taken)
+            lost = set(self.acknowledged) - set(machine.history.applied)
             if lost:
                 raise InvariantViolation(f"{machine.ip} lacks {len(lost)} changes that were acknowledged")
             if machine.history.configuration.version != self.newest_version:
--- a/tests/cluster/coordination_mutants.py
+++ b/tests/cluster/coordination_mutants.py
@@ -1,4 +1,4 @@
-"""Broken variants of coordination, one for each thing that it relies on, and the rules that are to miss it."""
+"""Broken variants of coordination, one per property that it relies on, and the rules that detect them."""
 
 from __future__ import annotations
 
@@ -8,19 +8,19 @@
 from attrs import frozen
 from consensus_world import InvariantViolation
 from coordination_scenes import (
-    late_put,
-    late_release,
-    mute_leader,
-    stale_reading,
+    delayed_put,
+    delayed_release,
+    leader_without_followers,
+    leader_without_replies,
+    stale_read,
     stale_renewals,
-    unheard_leader,
 )
 from coordination_world import RETAIN_S, CoordinationWorld
 
 from coralvale.cluster.coordination import model as c
 from coralvale.cluster.coordination.desk import (
     CoordinationAnswer,
-    CoordinationDesk,
+    CoordinationHandler,
     PendingCall,
     Result,
     Turn,
@@ -35,15 +35,15 @@
 
 
 class FenceNotInSnapshot(CoordinationState):
-    """The count of fences begins anew with a snapshot."""
+    """The fence counter restarts at 0 when a snapshot is loaded."""
 
     def replace(self, image: Image) -> None:
         super().replace(image)
-        self.fence = 0
+        self.last_fence = 0
 
 
 class NumbersNotInSnapshot(CoordinationState):
-    """Numbers begin anew with a snapshot."""
+    """Numbers restart when a snapshot is loaded."""
 
     def replace(self, image: Image) -> None:
         super().replace(image)
@@ -51,7 +51,7 @@
 
 
 class EventsNotInSnapshot(CoordinationState):
-    """A snapshot has a group's count and not its events, and does not say so."""
+    """A snapshot has a group's revision without its events, and `compacted` does not say so."""
 
     def image(self) -> bytes:
         for group in self.groups.values():
@@ -65,8 +65,8 @@
         return c.Watched(tuple(e for e in group.events if e.revision > after), group.revision)
 
 
-class TakesOverUnseen(CoordinationState):
-    """A lock that was seen to be over is taken, whoever holds it by now."""
+class TakesOverWithoutFenceCheck(CoordinationState):
+    """An acquire after an expired lease takes the lock, whoever holds it by then."""
 
     def _acquire(self, operation: c.Acquire) -> c.Outcome:
         if operation.expired_fence:
@@ -74,8 +74,8 @@
         return super()._acquire(operation)
 
 
-class ReleasesWhatWasReacquired(CoordinationState):
-    """A release that is late ends the hold after it."""
+class ReleasesReacquiredLock(CoordinationState):
+    """A delayed release ends the next hold of the same owner."""
 
     def _acquire(self, operation: c.Acquire) -> c.Outcome:
         outcome = super()._acquire(operation)
@@ -85,14 +85,14 @@
 
 
 class ForgetsFirstRevisions(CoordinationState):
-    """A put that comes again is known only while its value stands."""
+    """A retried put is recognised only while its value is the current one."""
 
-    def _forget_puts(self, horizon_ms: int) -> None:
+    def _expire_puts(self, horizon_ms: int) -> None:
         self.puts.clear()
 
 
 class PutsNotInSnapshot(CoordinationState):
-    """What is known of puts that may come again is not in a snapshot."""
+    """The puts remembered to recognise retries are not in a snapshot."""
 
     def replace(self, image: Image) -> None:
         super().replace(image)
@@ -100,105 +100,105 @@
 
 
 class IgnoresExpected(CoordinationState):
-    """A put takes effect whatever has come before it."""
+    """A put takes effect whatever its expected revision is."""
 
     def _put(self, operation: c.Put) -> c.Outcome:
         return super()._put(c.Put(operation.key, operation.value))
 
 
-class CountsFromZero(CoordinationDesk):
-    """A new leader waits for nobody whom an earlier one may have told to hold on."""
+class IgnoresEarlierLeases(CoordinationHandler):
+    """A new leader does not wait out leases that an earlier leader may have renewed."""
 
     def _begin_view(self, now: float) -> None:
         super()._begin_view(now)
         self.leases = Leases(-1e9)
 
 
-class RenewsUnconfirmed(CoordinationDesk):
-    """A renewal is acknowledged without a majority's answer."""
+class RenewsWithoutBarrier(CoordinationHandler):
+    """A renewal is acknowledged without confirmation by a majority."""
 
-    def _consider(self, now: float, pending: PendingCall) -> Found:
-        found = super()._consider(now, pending)
+    def _classify(self, now: float, pending: PendingCall) -> Found:
+        found = super()._classify(now, pending)
         if found is None and isinstance(pending.call, c.Renew):
             return self._read(pending.call)
         return found
 
 
-class RenewsWithoutTime(CoordinationDesk):
-    """A renewal is acknowledged, and its time is not counted."""
+class RenewsWithoutExtending(CoordinationHandler):
+    """A renewal is acknowledged without extending the lease."""
 
     def _extend_lease(self, now: float, call: c.Call) -> None:
         if not isinstance(call, c.Renew):
             super()._extend_lease(now, call)
 
 
-class LongerUnwritten(CoordinationDesk):
-    """A renewal for longer than the log knows is not written."""
+class LongerHoldNotLogged(CoordinationHandler):
+    """A renewal for longer than the hold time in the log is not logged."""
 
-    def _consider(self, now: float, pending: PendingCall) -> Found:
-        return None if isinstance(pending.call, c.Renew) else super()._consider(now, pending)
+    def _classify(self, now: float, pending: PendingCall) -> Found:
+        return None if isinstance(pending.call, c.Renew) else super()._classify(now, pending)
 
 
-class ReadsUnconfirmed(CoordinationDesk):
-    """A key is read as it is here."""
+class ReadsWithoutBarrier(CoordinationHandler):
+    """A key is read from the local state without confirmation by a majority."""
 
-    def _consider(self, now: float, pending: PendingCall) -> Found:
+    def _classify(self, now: float, pending: PendingCall) -> Found:
         if isinstance(pending.call, c.Get):
             return self.state.get(pending.call.key)
-        return super()._consider(now, pending)
+        return super()._classify(now, pending)
 
 
-class RefusesWhatWasProposed(CoordinationDesk):
-    """A put whose entry may yet be committed is answered that nothing was done."""
+class RejectsProposedCalls(CoordinationHandler):
+    """A put whose entry may still be committed is answered `Unavailable`."""
 
-    def _give_up(self, turn: Turn) -> Result:
+    def _abandon_turn(self, turn: Turn) -> Result:
         refused = c.Unavailable("the leader changed")
         return self._answer_all(turn, refused, refused)
 
 
-class ConflictBeforeKnown(CoordinationDesk):
-    """A put that comes again is judged by the revision that it made itself."""
+class ConflictWithOwnRetry(CoordinationHandler):
+    """A retried put conflicts with the revision that it created itself."""
 
-    def _consider_put(self, call: c.Put) -> c.Operation | c.Outcome:
-        revision = self.state.revision(call.key)
+    def _classify_put(self, call: c.Put) -> c.Operation | c.Outcome:
+        revision = self.state.key_revision(call.key)
         if call.expected is not None and revision > call.expected:
             return c.Conflict(revision)
-        return super()._consider_put(call)
+        return super()._classify_put(call)
 
 
-class ConflictByGroup(CoordinationDesk):
-    """A conflict names the group's revision."""
+class ConflictWithGroupRevision(CoordinationHandler):
+    """A conflict reports the group's revision instead of the key's."""
 
-    def _consider_put(self, call: c.Put) -> c.Operation | c.Outcome:
-        found = super()._consider_put(call)
+    def _classify_put(self, call: c.Put) -> c.Operation | c.Outcome:
+        found = super()._classify_put(call)
         revision = self.state.group_revision(c.group_of(call.key))
         return c.Conflict(revision) if isinstance(found, c.Conflict) else found
 
 
-class CompactsEarly(CoordinationDesk):
-    """Events are kept for less than was promised."""
+class CompactsEarly(CoordinationHandler):
+    """Events are kept for less than the promised retention."""
 
-    def _begin(self, now: float, turn: Turn) -> Result:
-        self.events_kept_ms = int(300 * RETAIN_S)
-        return super()._begin(now, turn)
+    def _submit_turn(self, now: float, turn: Turn) -> Result:
+        self.event_retention_ms = int(300 * RETAIN_S)
+        return super()._submit_turn(now, turn)
 
 
-class TellsUncommitted(CoordinationDesk):
-    """Watches are told of puts when they are proposed."""
+class NotifiesBeforeCommit(CoordinationHandler):
+    """Watches are notified of puts when they are proposed, before the commit."""
 
-    def _begin(self, now: float, turn: Turn) -> Result:
-        done = super()._begin(now, turn)
+    def _submit_turn(self, now: float, turn: Turn) -> Result:
+        completed = super()._submit_turn(now, turn)
         foreseen = CoordinationState()
         foreseen.restore(self.state.image())
         foreseen.apply(c.Batch(0, foreseen.time_ms, 0, 0, tuple(turn.operations)))
         for group in {c.group_of(o.key) for o in turn.operations if isinstance(o, c.Put)}:
-            for watch in self.watches.take(group):
-                done.append(CoordinationAnswer(watch.token, foreseen.watch(group, watch.after)))
-        return done
+            for watch in self.watches.take_group(group):
+                completed.append(CoordinationAnswer(watch.token, foreseen.watch(group, watch.after)))
+        return completed
 
 
 class SkipsEvents(CoordinationState):
-    """A watch that is behind is told the newest events alone."""
+    """A watch that lags is given only the newest events."""
 
     def watch(self, name: str, after: int) -> c.Watched | c.Compacted:
         found = super().watch(name, after)
@@ -206,19 +206,19 @@
 
 
 @frozen
-class Suspect:
-    """A broken variant, and the rules one of which is to miss what it takes out."""
+class Mutant:
+    """A broken variant, and a pattern of the rules of which one has to detect it."""
 
     name: str
     rules: str
-    desk: type[CoordinationDesk] = CoordinationDesk
+    handler: type[CoordinationHandler] = CoordinationHandler
     state: type[CoordinationState] = CoordinationState
     scene: Callable[[CoordinationWorld], object] = lambda world: world.play(SECONDS)
 
-    def hunt(self) -> tuple[int, str]:
-        """In which schedule one of the rules was broken, and how; (-1, "") if none was."""
+    def find_violation(self) -> tuple[int, str]:
+        """The seed with which one of the rules was broken, and how; (-1, "") if none was."""
         for seed in range(SEEDS):
-            world = CoordinationWorld(seed, 3, self.desk, self.state)
+            world = CoordinationWorld(seed, 3, self.handler, self.state)
             try:
                 self.scene(world)
             except InvariantViolation as error:
@@ -228,23 +228,28 @@
 
 
 MUTANTS = (
-    Suspect("fences not in the snapshot", "ONE", state=FenceNotInSnapshot),
-    Suspect("numbers not in the snapshot", "ORDER", state=NumbersNotInSnapshot),
-    Suspect("events not in the snapshot", "ORDER", state=EventsNotInSnapshot),
-    Suspect("known puts not in the snapshot", "MIXED", state=PutsNotInSnapshot, scene=late_put),
-    Suspect("takes over without comparing the fence", "ONE", state=TakesOverUnseen),
-    Suspect("releases what was reacquired", "ONE", state=ReleasesWhatWasReacquired, scene=late_release),
-    Suspect("forgets first revisions", "MIXED", state=ForgetsFirstRevisions),
-    Suspect("ignores the expected revision", "ORDER", state=IgnoresExpected),
-    Suspect("skips events", "ORDER", state=SkipsEvents),
-    Suspect("counts leases from zero", "ONE", CountsFromZero),
-    Suspect("renews without a majority", "ONE", RenewsUnconfirmed, scene=stale_renewals),
-    Suspect("renews without counting the time", "ONE", RenewsWithoutTime),
-    Suspect("does not write a longer hold", "ONE", LongerUnwritten),
-    Suspect("reads without a majority", "STALE", ReadsUnconfirmed, scene=stale_reading),
-    Suspect("refuses what was proposed", "REFUSED", RefusesWhatWasProposed, scene=unheard_leader),
-    Suspect("finds a conflict with itself", "REFUSED", ConflictBeforeKnown),
-    Suspect("names the group's revision", "MIXED", ConflictByGroup),
-    Suspect("compacts too early", "LOST", CompactsEarly),
-    Suspect("tells what is not committed", "ORDER|MIXED|LOST", TellsUncommitted, scene=mute_leader),
+    Mutant("fences not in the snapshot", "ONE", state=FenceNotInSnapshot),
+    Mutant("numbers not in the snapshot", "ORDER", state=NumbersNotInSnapshot),
+    Mutant("events not in the snapshot", "ORDER", state=EventsNotInSnapshot),
+    Mutant("known puts not in the snapshot", "MIXED", state=PutsNotInSnapshot, scene=delayed_put),
+    Mutant("takes over without comparing the fence", "ONE", state=TakesOverWithoutFenceCheck),
+    Mutant("releases what was reacquired", "ONE", state=ReleasesReacquiredLock, scene=delayed_release),
+    Mutant("forgets first revisions", "MIXED", state=ForgetsFirstRevisions),
+    Mutant("ignores the expected revision", "ORDER", state=IgnoresExpected),
+    Mutant("skips events", "ORDER", state=SkipsEvents),
+    Mutant("counts leases from zero", "ONE", IgnoresEarlierLeases),
+    Mutant("renews without a majority", "ONE", RenewsWithoutBarrier, scene=stale_renewals),
+    Mutant("renews without counting the time", "ONE", RenewsWithoutExtending),
+    Mutant("does not write a longer hold", "ONE", LongerHoldNotLogged),
+    Mutant("reads without a majority", "STALE", ReadsWithoutBarrier, scene=stale_read),
+    Mutant("refuses what was proposed", "REFUSED", RejectsProposedCalls, scene=leader_without_replies),
+    Mutant("finds a conflict with itself", "REFUSED", ConflictWithOwnRetry),
+    Mutant("names the group's revision", "MIXED", ConflictWithGroupRevision),
+    Mutant("compacts too early", "LOST", CompactsEarly),
+    Mutant(
+        "tells what is not committed",
+        "ORDER|MIXED|LOST",
+        NotifiesBeforeCommit,
+        scene=leader_without_followers,
+    ),
 )
--- a/tests/cluster/test_home.py
+++ b/tests/cluster/test_home.py
@@ -20,7 +20,7 @@
 from test_configuration import ROUTE, changed
 
 from coralvale.cluster import commands
-from coralvale.cluster.configuration.model import Configuration, survey
+from coralvale.cluster.configuration.model import Configuration, parse_configuration
 from coralvale.cluster.errors import ANSWERS, Kind, Problem, Promise
 from coralvale.cluster.regions import parse
 from coralvale.cluster.registry.register import Register, Row
@@ -87,7 +87,7 @@
             },
             "Svcs": {"free": {}, "bound": {"Region": region}},
         }  # fmt: skip
-        configuration = survey(config, before)
+        configuration = parse_configuration(config, before)
         assert isinstance(configuration, Configuration), configuration
         self.history.append((self.now, configuration))
 
@@ -187,7 +187,7 @@
 
 
 def bound(**at: Any) -> Configuration | Problem:
-    return survey(changed(**at), Configuration())
+    return parse_configuration(changed(**at), Configuration())
 
 
 def test_conflicting_bindings_are_refused_with_their_place() -> None:
@@ -202,9 +202,9 @@
     before = bound()
     assert isinstance(before, Configuration)
     # A newly bound service: routes that did not change are checked again.
-    narrowed = survey(changed(Ver=3, Routes__r__Region="delta"), before)
-    assert isinstance(narrowed, Configuration) and narrowed.narrowed
-    again = survey(changed(Ver=4, Routes__r__Region="delta", Svcs__s__Region="coast"), narrowed)
+    narrowed = parse_configuration(changed(Ver=3, Routes__r__Region="delta"), before)
+    assert isinstance(narrowed, Configuration) and narrowed.has_route_regions
+    again = parse_configuration(changed(Ver=4, Routes__r__Region="delta", Svcs__s__Region="coast"), narrowed)
     assert isinstance(again, Problem) and "Routes.r.Region" in again.reason
 
 
@@ -268,7 +268,7 @@
     made = at("coast", bound(Svcs__s__Region="coast"))
     job = admitted(made)
     assert isinstance(job, Job) and not isinstance(made.pick(1.0, job), Problem)
-    moved = survey(changed(Ver=9, Svcs__s__Region="delta"), made.configuration)
+    moved = parse_configuration(changed(Ver=9, Svcs__s__Region="delta"), made.configuration)
     assert isinstance(moved, Configuration) and made.take_configuration(moved)
     job.may_have_run = True
     found = made.pick(1.1, job)
--- a/tests/cluster/test_storage.py
+++ b/tests/cluster/test_storage.py
@@ -156,7 +156,7 @@
     image = msgspec.msgpack.decode(base64.b64decode(again["image"]), type=Image)
     coordination = CoordinationState()
     coordination.restore(image.coordination)
-    assert coordination.fence >= COUNTER_SKIP  # values that the lost core may have given out are skipped
+    assert coordination.last_fence >= COUNTER_SKIP  # values that the lost core may have given out are skipped
     assert [x["id"] for x in again["members"]] == [name]
     for wrong in ({}, {**kept, "image": "!"}, {**kept, "format": 2}):
         with pytest.raises(DiskStateError):
