--- a/coralvale/cluster/routing/copies.py
+++ b/coralvale/cluster/routing/copies.py
@@ -105,7 +105,11 @@
 
     def in_flight_counts(self) -> list[tuple[int, int]]:
         """This gateway's: ID hashes of instances, and its tries in flight there."""
-        return [(number, len(instance.in_flight)) for number, instance in self.by_hash.items() if instance.in_flight]
+        return [
+            (number, len(instance.in_flight))
+            for number, instance in self.by_hash.items()
+            if instance.in_flight
+        ]
 
     def update_in_flight(self, now: float, gateway: str, out: Iterable[tuple[int, int]]) -> None:
         """Another gateway's counts, which replace its previous ones.
--- a/coralvale/cluster/server/zone_reports.py
+++ b/coralvale/cluster/server/zone_reports.py
@@ -131,7 +131,10 @@
         self._send(order, UsageSum(self._head(), pack_use_sum(sum_usage(self._uses(here)))))
         told = self.instances.in_flight_by_gateway
         outs = [[(copy.id_hash, count) for copy, count in told[ip][1]] for ip in here if ip in told]
-        self._send(order, InFlightSum(self._head(), pack_out(sum_in_flight([*outs, self.instances.in_flight_counts()]))))
+        self._send(
+            order,
+            InFlightSum(self._head(), pack_out(sum_in_flight([*outs, self.instances.in_flight_counts()]))),
+        )
         self._report_health(now, order, again=bool(self.ill))
 
     def _head(self) -> ReportHead:
--- a/tests/cluster/consensus_world.py
+++ b/tests/cluster/consensus_world.py
@@ -1,8 +1,8 @@
 """A simulation of replicas on a virtual clock: their disks, the messages between them, operators, and faults.
 
 The schedule follows from a seed. Operators send orders and reads to any replica and retry until they get a
-clear answer, as the protocol requires. Each replica has a real `ChangeRequestHandler` and `ChangeHistory`. After each
-step the invariants are checked only against what was delivered and what was answered.
+clear answer, as the protocol requires. Each replica has a real `ChangeRequestHandler` and `ChangeHistory`.
+After each step the invariants are checked only against what was delivered and what was answered.
 """
 
 from __future__ import annotations
--- a/tests/cluster/coordination_world.py
+++ b/tests/cluster/coordination_world.py
@@ -177,7 +177,9 @@
         """A caller stays at one gateway until it gets a failure or a timeout from it."""
         known = self.gateway_by_caller.get(caller)
         if known is None or (isinstance(known, Machine) and self.machines.get(known.ip) is not known):
-            known = self.gateway_by_caller[caller] = self.chance.choice([*self.machines.values(), *self.edges])
+            known = self.gateway_by_caller[caller] = self.chance.choice(
+                [*self.machines.values(), *self.edges]
+            )
         return known
 
     def route_call(self, gateway: Edge | Machine, call: c.Call, reply: simpy.Event) -> Process:
--- a/tests/cluster/test_news.py
+++ b/tests/cluster/test_news.py
@@ -57,4 +57,6 @@
     node, asked = first_update(sure)
     assert set(asked) <= set(IPS[:3]) and node.changes.configuration.version == 3  # it uses the configuration
     now = node.runtime.clock.monotonic()
-    assert node.home.lease_valid(now) is sure  # but serves nothing bound to a region until a settled member answers
+    assert (
+        node.home.lease_valid(now) is sure
+    )  # but serves nothing bound to a region until a settled member answers
