--- a/tests/lab/test_experiment.py
+++ b/tests/lab/test_experiment.py
@@ -174,7 +174,7 @@
     other = tmp_path / "other" / "coralvale"
     other.mkdir(parents=True)
     for file in (ROOT / "coralvale").glob("*.py"):
-        (other / file.name).write_text(file.read_text().replace("NEAR = 8", "NEAR = 1"))
+        (other / file.name).write_text(file.read_text().replace("SUBSET_SIZE = 8", "SUBSET_SIZE = 1"))
     changed = runs.play(made, Job((), 1, "beside"), beside=str(tmp_path / "other"))
     assert changed.series["asked"] == here.series["asked"] and changed.figures != here.figures
     with pytest.raises(LabError, match="no coralvale/logic.py"):
