--- a/benchmarks/capacity.py
+++ b/benchmarks/capacity.py
@@ -29,7 +29,7 @@
 from coralvale.cluster.rate_limit.shares import ShareTable, even_table
 from coralvale.cluster.registry import register as registry
 from coralvale.cluster.registry.register import Register, Row
-from coralvale.cluster.server.messages import Told, framed
+from coralvale.cluster.server.messages import UpdateReply, frame
 
 
 def names(tenants: int) -> list[str]:
@@ -115,7 +115,7 @@
     image = history.image()
     imaged = time.process_time() - begun
     news = history.update_since(rounds)
-    size = len(framed(Told(1, news)))
+    size = len(frame(UpdateReply(1, news)))
     return {
         "change_ms": by_name * 1e3,
         "image_ms": imaged * 1e3,
--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -39,15 +39,15 @@
 from coralvale.cluster.routing.home import HomeRegion
 from coralvale.cluster.routing.router import Job, Router
 from coralvale.cluster.server.gossip import (
-    CARRIED_OUT_BYTES,
-    CARRIED_OUT_EVERY,
-    OUT_A_SECOND,
-    OUT_EVERY,
-    OUT_SHARE,
+    IN_FLIGHT_INTERVAL_S,
+    IN_FLIGHT_LINK_SHARE,
+    MAX_IN_FLIGHT_MESSAGES_PER_S,
+    RELAYED_IN_FLIGHT_BYTES,
+    RELAYED_IN_FLIGHT_INTERVAL_S,
 )
-from coralvale.cluster.server.membership import MANY
-from coralvale.cluster.server.messages import Word, encode, pack_out, pack_use
-from coralvale.cluster.server.relay import EVERY, RelayBatch
+from coralvale.cluster.server.membership import LARGE_FLEET_FROM
+from coralvale.cluster.server.messages import GossipMessage, encode, pack_in_flight, pack_usage
+from coralvale.cluster.server.relay import BATCH_INTERVAL_S, RelayBatch
 from coralvale.cluster.settings import Bounds
 from coralvale.standins.cluster import LocalCluster, configuration
 
@@ -146,7 +146,9 @@
     They carry reports of all gateways and in-flight counts of their own zone. `word`, `out`: sizes in bytes.
     """
     chance, near = random.Random(3), gateways // zones
-    every = max(CARRIED_OUT_EVERY, near * CARRIED_OUT_BYTES / (OUT_SHARE * 2e6 / 8))
+    every = max(
+        RELAYED_IN_FLIGHT_INTERVAL_S, near * RELAYED_IN_FLIGHT_BYTES / (IN_FLIGHT_LINK_SHARE * 2e6 / 8)
+    )
     sent_datagrams = []
     for number in range(gateways):
         ip = f"10.0.{number >> 8}.{number & 255}"
@@ -160,7 +162,7 @@
     got = size = 0
     slots: list[dict[int, RelayBatch]] = [{}, {}]
     for n, (at, ip, whole, onward) in enumerate(sent_datagrams):
-        slots[n % 2].setdefault(int(at / EVERY), RelayBatch()).add(ip, whole, onward)
+        slots[n % 2].setdefault(int(at / BATCH_INTERVAL_S), RelayBatch()).add(ip, whole, onward)
     sent = 0
     for of in slots:
         for batch in of.values():
@@ -196,17 +198,23 @@
         limiter.usage.record_peer(at[0], others[0], use, False)
 
     def word(usage: dict[str, tuple[int, int]]) -> int:
-        return len(encode(Word(9, 1 << 31, 5, "10.0.0.1", (), pack_use(usage), False, [("i-7f3a91c2", 40)])))
+        return len(
+            encode(
+                GossipMessage(9, 1 << 31, 5, "10.0.0.1", (), pack_usage(usage), False, [("i-7f3a91c2", 40)])
+            )
+        )
 
     sends = (gateways - 1) / zones + zones - 1
     changed = dict(list(use.items())[: tenants // 8])
     idle = (word({}) + 1 + UDP) / PERIOD
-    every = max(OUT_EVERY, (gateways - 1) / OUT_A_SECOND)
+    every = max(IN_FLIGHT_INTERVAL_S, (gateways - 1) / MAX_IN_FLIGHT_MESSAGES_PER_S)
     near = gateways / zones - 1
-    out = len(pack_out([(n, 1) for n in range(6)])) + 1 + UDP
+    out = len(pack_in_flight([(n, 1) for n in range(6)])) + 1 + UDP
     words = (word(changed) + 1 + UDP) / PERIOD
     # To each gateway of the zone, to one of each other zone, and what comes from there to each of the zone.
-    apart = gateways - 1 <= MANY  # in-flight counts are sent apart; else other zones get them in reports
+    apart = (
+        gateways - 1 <= LARGE_FLEET_FROM
+    )  # in-flight counts are sent apart; else other zones get them in reports
     far = out / every if apart else (out - 1 - UDP) / PERIOD
     loaded = words * (near + zones - 1) + out * near / every + far * (zones - 1)
     passed = (words + far) * (zones - 1) * near
--- a/benchmarks/large_fleet.py
+++ b/benchmarks/large_fleet.py
@@ -24,9 +24,9 @@
 from coralvale.cluster.rate_limit.usage import PERIOD
 from coralvale.cluster.registry.register import Row
 from coralvale.cluster.reports import model
-from coralvale.cluster.server.messages import Word, encode, pack_out, pack_use
+from coralvale.cluster.server.messages import GossipMessage, encode, pack_in_flight, pack_usage
 from coralvale.cluster.server.node import GatewayNode
-from coralvale.cluster.server.peers import HEADS, OUT, WORD
+from coralvale.cluster.server.peers import GOSSIP, HEADER_BYTES, IN_FLIGHT
 from coralvale.cluster.settings import parse
 from coralvale.members.model import Member, State, Update
 from coralvale.members.swim import Known
@@ -59,7 +59,7 @@
         self.carriers = self.ips[:zones]
         for one in self.all.values():
             for ip in self.carriers:
-                one.gossip.carriers.hear(self.now, ip, True)
+                one.gossip.carriers.record(self.now, ip, True)
 
     def _make_gateway(self, number: int, reports: bool) -> GatewayNode:
         text = settings(number, self.ips, 3, Path("/nowhere"), False)
@@ -70,14 +70,14 @@
         fake: Any = one
         fake.runtime.clock = self
         fake.gossip.reports.is_ready = lambda: True
-        one.membership.begin()
+        one.membership.start()
         for n, ip in enumerate(self.ips):
             if n != number:
                 member = Member(f"gateway-{n}", (ip, 1), n % self.zones)
                 one.membership.swim.known[member.name] = Known(Update(State.ALIVE, member, 1), self.now)
         one.membership.swim.others, one.membership.swim.there = None, len(self.ips)
-        one.membership.large, one.gossip.relaying = True, True
-        one.membership.by_reports = reports
+        one.membership.is_large, one.gossip.batch_scheduled = True, True
+        one.membership.uses_reports = reports
         one.changes.configuration = Configuration()
         one.changes.tenants = {n: f"tenant-{n}" for n in range(TENANTS)}
         for n in range(HOSTS):
@@ -94,7 +94,7 @@
 
         class Udp:
             def sendto(self, data: bytes, at: tuple[str, int]) -> None:
-                size = len(data) + HEADS
+                size = len(data) + HEADER_BYTES
                 fleet.sent[ip] += size
                 fleet.received[at[0]] += size
                 fleet.cross_zone_bytes += size * (fleet.zone[ip] != fleet.zone[at[0]])
@@ -111,11 +111,11 @@
         while True:
             while self.waiting:
                 ip, at, data = self.waiting.popleft()
-                self.timed(at, self.all[at].gossip.datagram, ip, data)
+                self.timed(at, self.all[at].gossip.handle_datagram, ip, data)
             for ip, one in self.all.items():
                 if one.gossip.batch.near:
                     self.timed(ip, one.gossip.send_batch)
-                    one.gossip.relaying = True
+                    one.gossip.batch_scheduled = True
             if not self.waiting:
                 return
 
@@ -129,9 +129,11 @@
                 self.timed(ip, self.send_gossip, ip, beats)
             every = STEPS // self.out_messages
             for ip in order[step % every :: every]:
-                self.timed(ip, self.all[ip].gossip.tell_all, OUT, pack_out(self.in_flight_rows()))
+                self.timed(
+                    ip, self.all[ip].gossip.send_to_all, IN_FLIGHT, pack_in_flight(self.in_flight_rows())
+                )
             for ip, one in self.all.items():
-                self.timed(ip, one.gossip.reports.turn, self.now)
+                self.timed(ip, one.gossip.reports.step, self.now)
             self.deliver()
 
     def in_flight_rows(self) -> list[tuple[int, int]]:
@@ -143,10 +145,12 @@
         use = {f"tenant-{self.rng.randrange(TENANTS)}": (self.rng.randrange(1, 9), 1) for _ in range(ACTIVE)}
         mine = [(f"i-{n:08x}", int(self.now * 1000)) for n in beats[number :: len(self.ips)]]
         one.gossip.reports.note_beats(mine)
-        out = None if one.membership.by_reports else pack_out(self.in_flight_rows())
+        out = None if one.membership.uses_reports else pack_in_flight(self.in_flight_rows())
         carries = ip in self.carriers
-        word = Word(1, one.register.digest, 1, self.ips[0], (), pack_use(use), False, mine, b"", out, carries)
-        one.gossip.tell_all(WORD, encode(word))
+        word = GossipMessage(
+            1, one.register.digest, 1, self.ips[0], (), pack_usage(use), False, mine, b"", out, carries
+        )
+        one.gossip.send_to_all(GOSSIP, encode(word))
 
 
 def measured(gateways: int, zones: int, reports: bool, periods: int) -> dict[str, float]:
--- a/coralvale/cluster/server/arrivals.py
+++ b/coralvale/cluster/server/arrivals.py
@@ -13,8 +13,8 @@
 from coralvale.cluster.registry.register import Register, Row, gone_row
 from coralvale.cluster.server.core import Core
 from coralvale.cluster.server.membership import Membership
-from coralvale.cluster.server.messages import Pull, Rows, encode
-from coralvale.cluster.server.peers import LIFE
+from coralvale.cluster.server.messages import HostRows, HostRowsRequest, encode
+from coralvale.cluster.server.peers import HOST_ROWS
 from coralvale.cluster.server.runtime import Runtime
 
 DRAINED = 0.75  # s that gateways are given to note that a host leaves
@@ -66,10 +66,10 @@
         self.pulling.add(ip)
         try:
             link = self.runtime.peers.link(ip)
-            number = self.runtime.peers.next()
+            number = self.runtime.peers.next_number()
             parts = tuple(self.register.parts) if self.register.entries else ()
-            answer = await link.request(number, Pull(number, parts), patience)
-            if isinstance(answer, Rows):
+            answer = await link.request(number, HostRowsRequest(number, parts), patience)
+            if isinstance(answer, HostRows):
                 if news := self.note(answer.rows):
                     tell(Event.REGISTER_MENDED, ip=ip, news=news)
                     self.mismatch.clear()  # with others too it may have been this
@@ -81,7 +81,7 @@
     async def pull_first(self) -> None:
         """One that starts asks others for all hosts, until one answers: a seed at once, whose disk remembers
         them; then whom membership knows."""
-        settings, chance = self.runtime.settings, self.runtime.chance
+        settings, chance = self.runtime.settings, self.runtime.rng
         seeds = [ip for ip in settings.seeds if ip != settings.Ip]
         chance.shuffle(seeds)
         while not self.pulled:
@@ -125,20 +125,22 @@
         """Tells all gateways; whether enough of the core know, so that it cannot be forgotten with this
         one. A gateway that knows no core cannot tell, and acknowledges nothing."""
         # A host that is new to a large fleet is not worth a connection to each: digests find who missed it.
-        told = [] if self.membership.large and not row.state else self.membership.others()
+        told = [] if self.membership.is_large and not row.state else self.membership.others()
         others = [m.address[0] for m in told]
-        core = set(self.core.known()[2])
+        core = set(self.core.known_view()[2])
         noted: set[str] = {self.runtime.settings.Ip}
         # By datagram first, to all: what is lost, and whether it was noted, is what the connections are for.
-        self.runtime.peers.cast_all(*self.membership.zones(), LIFE, encode(Rows(0, [row])))
+        self.runtime.peers.broadcast(
+            *self.membership.broadcast_targets(), HOST_ROWS, encode(HostRows(0, [row]))
+        )
         until = self.runtime.clock.monotonic() + (
             self.runtime.settings.Bounds.DrainMs / 1000 if row.state else DRAINED
         )
 
         async def one(ip: str) -> None:
-            link, number = self.runtime.peers.link(ip), self.runtime.peers.next()
+            link, number = self.runtime.peers.link(ip), self.runtime.peers.next_number()
             while (left := until - self.runtime.clock.monotonic()) > 0.02:
-                if await link.request(number, Rows(number, [row]), min(left, 0.35)) is not None:
+                if await link.request(number, HostRows(number, [row]), min(left, 0.35)) is not None:
                     noted.add(ip)
                     return
                 await asyncio.sleep(0.05)
@@ -146,7 +148,7 @@
         work = [self.runtime.loop.create_task(one(ip)) for ip in others]
         self.runtime.tasks.update(work)
         for task in work:
-            task.add_done_callback(self.runtime._done)
+            task.add_done_callback(self.runtime._task_done)
         # Those that have not noted it by then are told again until the host may not be used any more.
         if work:
             await asyncio.wait(work, timeout=DRAINED)
@@ -173,7 +175,7 @@
         """Puts the register on disk when it has changed."""
         while True:
             await asyncio.sleep(KEEP_HOSTS)
-            if self.core.store and self.register.version != self.hosts_put and not self.core.disk_failed:
+            if self.core.store and self.register.version != self.hosts_put and not self.core.disk_failed_at:
                 version, rows = self.register.version, self.register.rows(self.runtime.clock.monotonic())
                 try:
                     await self.runtime.loop.run_in_executor(self.core.disk, self.core.store.save_hosts, rows)
--- a/coralvale/cluster/server/changes.py
+++ b/coralvale/cluster/server/changes.py
@@ -16,38 +16,38 @@
 from coralvale.cluster.routing.router import Router
 from coralvale.cluster.server.core import Core
 from coralvale.cluster.server.ctl import Answered
-from coralvale.cluster.server.messages import Ask, Call, Reply, Told
-from coralvale.cluster.server.peers import Frames
+from coralvale.cluster.server.messages import ConfigurationRequest, Reply, UpdateReply, UpdateRequest
+from coralvale.cluster.server.peers import PeerConnection
 from coralvale.cluster.server.runtime import Runtime
 from coralvale.net.server import Bounds as ClientBounds
 
-ASK_FOR = 1.0  # s for which a question for news is kept when there is none
-LOST_AFTER = 0.25  # s between looks at whether the one that is asked is cut off itself
-LATE = 0.8  # s more, after which the one that was asked is taken for cut off
-PASSED_ON = 0.9  # s that the leader is given for an operator's call
-LARGE = 4.0  # s more for each 10 MB of it
+LONG_POLL_S = 1.0  # s for which a question for news is kept when there is none
+CONTACT_CHECK_INTERVAL_S = 0.25  # s between looks at whether the one that is asked is cut off itself
+REPLY_MARGIN_S = 0.8  # s more, after which the one that was asked is taken for cut off
+FORWARD_TIMEOUT_S = 0.9  # s that the leader is given for an operator's call
+TIMEOUT_PER_10_MB_S = 4.0  # s more for each 10 MB of it
 
 
 class Changes:
     def __init__(
-        self, runtime: Runtime, router: Router, bound_clients: Callable[[ClientBounds], None]
+        self, runtime: Runtime, router: Router, set_client_bounds: Callable[[ClientBounds], None]
     ) -> None:
         """`bound_clients`: with the limits of a configuration that comes into force."""
-        self.runtime, self.router, self.bound_clients = runtime, router, bound_clients
+        self.runtime, self.router, self.set_client_bounds = runtime, router, set_client_bounds
         self.home = router.home
         self.core: Core
         self.configuration = Configuration()
         self.tenants: dict[int, str] = {}  # by what stands for them in words
         self.waiters: set[asyncio.Future[None]] = set()
 
-    def in_force(self, configuration: Configuration) -> None:
+    def apply(self, configuration: Configuration) -> None:
         """Swapped whole; one that is not newer is passed over."""
         if not self.router.take_configuration(configuration):
             return
         self.configuration = configuration
         self.tenants = {crc32(name.encode()): name for name in configuration.tenants()}
         limits = configuration.limits
-        self.bound_clients(
+        self.set_client_bounds(
             ClientBounds(
                 limits.HeaderBytes, limits.BodyBytes, limits.HdrReadMs / 1000, limits.IdleMs / 1000, 431
             )
@@ -64,15 +64,15 @@
             if not waiter.done():
                 waiter.set_result(None)
 
-    async def follow(self) -> None:
+    async def follow_core(self) -> None:
         """A gateway without a vote, or that hears no leader, asks a member of the core for news, and another
         when that one is silent."""
         at = ""
         while True:
-            if self.core.delivers():
+            if self.core.follows_log():
                 await asyncio.sleep(0.2)
                 continue
-            _, _, core = self.core.known()
+            _, _, core = self.core.known_view()
             if not core:
                 # Seeds are the ones that are known from the start, and after the loss of all they have what was
                 # acknowledged on their disks: what they serve by is better than nothing until the core is back.
@@ -82,43 +82,43 @@
                     await asyncio.sleep(0.05)
                     continue
             if at not in core:
-                at = self.runtime.chance.choice(core)
+                at = self.runtime.rng.choice(core)
             number, link, known = (
-                self.runtime.peers.next(),
+                self.runtime.peers.next_number(),
                 self.runtime.peers.link(at),
                 self.configuration.version,
             )
-            answer = await link.request(number, Ask(number, known), ASK_FOR + LATE)
-            if self.core.delivers() or self.configuration.version != known:
+            answer = await link.request(number, UpdateRequest(number, known), LONG_POLL_S + REPLY_MARGIN_S)
+            if self.core.follows_log() or self.configuration.version != known:
                 continue  # it came to know more by another way
-            if not isinstance(answer, Told) or answer.lost:
-                if not isinstance(answer, Told):
+            if not isinstance(answer, UpdateReply) or answer.lost:
+                if not isinstance(answer, UpdateReply):
                     link.reset()
                 others = [ip for ip in core if ip != at]
-                at = self.runtime.chance.choice(others) if others else at
+                at = self.runtime.rng.choice(others) if others else at
                 await asyncio.sleep(0.05)
             elif answer.sure:
                 self.home.core_heard_at = self.runtime.clock.monotonic()
-            if isinstance(answer, Told) and not answer.lost and answer.news:
-                configuration = apply_update(self.configuration, answer.news)
+            if isinstance(answer, UpdateReply) and not answer.lost and answer.update:
+                configuration = apply_update(self.configuration, answer.update)
                 if isinstance(configuration, Problem):
                     tell(Event.NEWS_BAD, reason=configuration.reason)
                     await asyncio.sleep(0.2)
                 else:
-                    self.in_force(configuration)
+                    self.apply(configuration)
 
-    async def asked(self, frames: Frames, ask: Ask) -> None:
+    async def handle_update_request(self, connection: PeerConnection, request: UpdateRequest) -> None:
         """News for a gateway without a vote. What is told was committed; `sure` says that this replica hears a
         leader, so that nothing newer was committed longer ago than a leader may be silent."""
-        ends = self.runtime.clock.monotonic() + ASK_FOR
-        while (news := self.core.history.update_since(ask.version)) is None:
+        ends = self.runtime.clock.monotonic() + LONG_POLL_S
+        while (update := self.core.history.update_since(request.version)) is None:
             left = ends - self.runtime.clock.monotonic()
             if left <= 0:
                 break
             waiter: asyncio.Future[None] = self.runtime.loop.create_future()
             self.waiters.add(waiter)
             try:
-                async with asyncio.timeout(min(left, LOST_AFTER)):
+                async with asyncio.timeout(min(left, CONTACT_CHECK_INTERVAL_S)):
                     await waiter
             except TimeoutError:
                 if not self.core.in_contact():
@@ -126,33 +126,35 @@
             finally:
                 self.waiters.discard(waiter)
         sure = self.core.in_contact()
-        frames.send(Told(ask.number, news, news is None and not sure, sure))
+        connection.send(UpdateReply(request.number, update, update is None and not sure, sure))
 
     async def change(self, change: Change) -> Answered:
         """An operator's change: settled here by the leader, passed on to it by any other."""
-        return await self._call(change)
+        return await self._decide_or_forward(change)
 
     async def read(self) -> Answered:
-        return await self._call(None)
+        return await self._decide_or_forward(None)
 
-    async def _call(self, change: Change | None) -> Answered:
+    async def _decide_or_forward(self, change: Change | None) -> Answered:
         size = len(change.body) if change else len(self.configuration.raw) * 1000
-        patience = PASSED_ON + LARGE * size / 1e7
-        if self.core.leads():
-            return await self._settle(change, patience)
-        _, leader, _ = self.core.known()
+        timeout = FORWARD_TIMEOUT_S + TIMEOUT_PER_10_MB_S * size / 1e7
+        if self.core.is_leader():
+            return await self._decide(change, timeout)
+        _, leader, _ = self.core.known_view()
         if not leader or leader == self.runtime.settings.Ip:
             return 503, b"no leader is known"
-        number = self.runtime.peers.next()
-        answer = await self.runtime.peers.link(leader).request(number, Call(number, change), patience)
+        number = self.runtime.peers.next_number()
+        answer = await self.runtime.peers.link(leader).request(
+            number, ConfigurationRequest(number, change), timeout
+        )
         if isinstance(answer, Reply):
             return answer.status, answer.body
         return 503, b"the leader does not answer"
 
-    async def _settle(self, change: Change | None, patience: float) -> Answered:
+    async def _decide(self, change: Change | None, timeout: float) -> Answered:
         """By the leader: see `coralvale.cluster.orders`."""
         begun = self.runtime.clock.monotonic()
-        answer = await self.core.order(change, patience)
+        answer = await self.core.submit_change(change, timeout)
         if answer is None:
             return 503, b"no majority answers"
         if answer.change:
@@ -164,17 +166,17 @@
             return answer.status, problem.reason.encode()
         return answer.status, answer.body
 
-    async def called(self, frames: Frames, call: Call) -> None:
-        if self.core.leads():
-            status, body = await self._call(call.change)
+    async def handle_request(self, connection: PeerConnection, request: ConfigurationRequest) -> None:
+        if self.core.is_leader():
+            status, body = await self._decide_or_forward(request.change)
         else:
             status, body = 503, b"not the leader"
-        frames.send(Reply(call.number, status, body))
+        connection.send(Reply(request.number, status, body))
 
     def history(self) -> Answered:
         """The newest changes and what they did, where this gateway has a seat."""
-        if not self.core.delivers():
-            at = ", ".join(self.core.known()[2])
+        if not self.core.follows_log():
+            at = ", ".join(self.core.known_view()[2])
             return 503, f"this gateway holds no state; ask a member of the core: {at}".encode()
         return 200, msgspec.json.encode(
             [msgspec.structs.asdict(step) for step in self.core.history.summaries]
--- a/coralvale/cluster/server/coordination.py
+++ b/coralvale/cluster/server/coordination.py
@@ -40,8 +40,8 @@
 from coralvale.cluster.server.coordination_figures import CoordinationFigures
 from coralvale.cluster.server.core import Core
 from coralvale.cluster.server.ctl import Answered
-from coralvale.cluster.server.messages import Coordinate, Reply
-from coralvale.cluster.server.peers import Frames
+from coralvale.cluster.server.messages import CoordinationRequest, Reply
+from coralvale.cluster.server.peers import PeerConnection
 from coralvale.cluster.server.runtime import Runtime
 
 PATIENCE = 0.95  # s for one call; callers turn elsewhere after a second of silence
@@ -75,21 +75,21 @@
 
     async def _call(self, call: Call) -> Answered:
         patience = _patience(call)
-        if self.core.leads():
+        if self.core.is_leader():
             return answer(await self._settle(call, patience))
-        _, leader, _ = self.core.known()
+        _, leader, _ = self.core.known_view()
         if not leader or leader == self.runtime.settings.Ip:
             return answer(Unavailable("no leader is known"))
-        number = self.runtime.peers.next()
-        request = Coordinate(number, call)
+        number = self.runtime.peers.next_number()
+        request = CoordinationRequest(number, call)
         reply = await self.runtime.peers.link(leader).request(number, request, patience)
         if isinstance(reply, Reply):
             return reply.status, reply.body
         return answer(Unknown("the leader does not answer"))
 
-    async def called(self, frames: Frames, request: Coordinate) -> None:
+    async def called(self, frames: PeerConnection, request: CoordinationRequest) -> None:
         """A call that another gateway passed on; it is not passed on again."""
-        if self.core.leads():
+        if self.core.is_leader():
             outcome = await self._settle(request.call, _patience(request.call) - HOP)
         else:
             outcome = Unavailable("not the leader")
--- a/coralvale/cluster/server/core.py
+++ b/coralvale/cluster/server/core.py
@@ -26,20 +26,24 @@
 from coralvale.cluster.share_desk import ShareAnswer, ShareClaim, ShareDesk
 from coralvale.cluster.storage.store import DamagedStoreError, Store, StoreError, set_aside
 
-RETRY_DISK = 0.25  # s until a write that failed is tried again
-SHARES_LOOK = 0.2  # s between looks at whether the table of shares is to change
-Work = consensus.Action | ChangeAnswer | ShareAnswer | CoordinationAnswer | CoordinationNotice
+DISK_RETRY_S = 0.25  # s until a write that failed is tried again
+SHARES_CHECK_INTERVAL_S = 0.2  # s between looks at whether the table of shares is to change
+CoreAction = consensus.Action | ChangeAnswer | ShareAnswer | CoordinationAnswer | CoordinationNotice
 
 
 class Core:
     def __init__(
         self,
         runtime: Runtime,
-        take_configuration: Callable[[Configuration], None],
-        remember: Callable[[list[Row]], None],
+        apply_configuration: Callable[[Configuration], None],
+        restore_hosts: Callable[[list[Row]], None],
     ) -> None:
         """`take_configuration`: one that was delivered; `remember`: hosts that the disk has."""
-        self.runtime, self.take_configuration, self.remember = runtime, take_configuration, remember
+        self.runtime, self.apply_configuration, self.restore_hosts = (
+            runtime,
+            apply_configuration,
+            restore_hosts,
+        )
         settings = runtime.settings
         self.replica: Replica | None = None
         self.store: Store | None = None
@@ -48,24 +52,24 @@
         self.disk = ThreadPoolExecutor(1)
         self.writes: list[consensus.Write] = []
         self.writing = False
-        self.disk_failed = self.shares_looked = 0.0
+        self.disk_failed_at = self.shares_checked_at = 0.0
         self.answers: dict[int, asyncio.Future[ChangeAnswer]] = {}
         self.share_answers: dict[int, asyncio.Future[ShareAnswer]] = {}
-        self.outcomes: dict[int, asyncio.Future[Outcome]] = {}  # by token, of coordination calls
-        self.pending: deque[Work] = deque()
-        self.acting = False
+        self.coordination_answers: dict[int, asyncio.Future[Outcome]] = {}  # by token, of coordination calls
+        self.pending: deque[CoreAction] = deque()
+        self.executing = False
         self.desk: ChangeRequestHandler | None = None
         self.share_desk: ShareDesk | None = None
         self.coordination_desk: CoordinationHandler | None = None
-        self.notice: Callable[[Notice], None] = lambda notice: None  # told of locks that left their holder
+        self.on_notice: Callable[[Notice], None] = lambda notice: None  # told of locks that left their holder
         self.founding = CoreBootstrap(
-            settings.Ip, tuple(settings.seeds), settings.Bootstrap, settings.holds_state, runtime.born
+            settings.Ip, tuple(settings.seeds), settings.Bootstrap, settings.holds_state, runtime.started_at
         )
-        self.heard: tuple[int, str, tuple[str, ...]] = (0, "", ())  # view, leader, voters
-        self.view_told = (0, "")
-        self.voters_told: consensus.VoterSet | None = None
+        self.heard_view: tuple[int, str, tuple[str, ...]] = (0, "", ())  # view, leader, voters
+        self.logged_view = (0, "")
+        self.logged_voters: consensus.VoterSet | None = None
 
-    def known(self) -> tuple[int, str, tuple[str, ...]]:
+    def known_view(self) -> tuple[int, str, tuple[str, ...]]:
         """The newest view that is known of: its number, its leader's address, its voters'."""
         replica = self.replica
         if replica and replica.bootstrapped and replica.is_voter:
@@ -73,40 +77,40 @@
             leader = voters.get(replica.leader)
             addresses = tuple(sorted({m.ip for m in voters.values()}))
             mine = (replica.view, leader.ip if leader else "", addresses)
-            view, _, core = self.heard
+            view, _, core = self.heard_view
             # One that has lost its vote while it was away knows an old view, and others a core without it.
             among = not core or self.runtime.settings.Ip in core
             if leader or mine[0] > view or (mine[0] == view and among):
                 return mine
-        return self.heard
+        return self.heard_view
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         return self.replica is not None and self.replica.leading
 
     def in_contact(self) -> bool:
         """Whether this gateway's replica is, as far as it can know, on the side that goes on."""
         return self.replica is not None and self.replica.in_contact(self.runtime.clock.monotonic())
 
-    def delivers(self) -> bool:
+    def follows_log(self) -> bool:
         """Whether the log of changes brings this gateway what is new."""
         return self.replica is not None and not self.replica.needs_join(self.runtime.clock.monotonic())
 
-    def act(self, actions: Sequence[Work]) -> None:
+    def execute(self, actions: Sequence[CoreAction]) -> None:
         """Carries out what the replica and the desk return, in order; what that leads to comes after it."""
         self.pending.extend(actions)
-        if self.acting:
+        if self.executing:
             return
-        self.acting = True
+        self.executing = True
         try:
             while self.pending:
-                self._carry_out(self.pending.popleft())
+                self._execute_action(self.pending.popleft())
         finally:
-            self.acting = False
+            self.executing = False
         if self.writes and not self.writing:
             self.writing = True
             self.runtime.spawn(self._write())
 
-    def _carry_out(self, action: Work) -> None:
+    def _execute_action(self, action: CoreAction) -> None:
         match action:
             case consensus.Send():
                 self.runtime.peers.link(action.to.ip).send(ConsensusMessage(action.message, action.to.id))
@@ -119,7 +123,7 @@
                 assert self.share_desk and self.coordination_desk
                 self.share_desk.restore(self.runtime.clock.monotonic(), image.shares)
                 self.pending.extend(self.coordination_desk.restore(image.coordination))
-                self.take_configuration(self.history.configuration)
+                self.apply_configuration(self.history.configuration)
             case consensus.Settled():
                 now = self.runtime.clock.monotonic()
                 for desk in (self.desk, self.share_desk, self.coordination_desk):
@@ -132,10 +136,10 @@
                 if (answer := self.share_answers.get(action.token)) and not answer.done():
                     answer.set_result(action)
             case CoordinationAnswer():
-                if (outcome := self.outcomes.get(action.token)) and not outcome.done():
+                if (outcome := self.coordination_answers.get(action.token)) and not outcome.done():
                     outcome.set_result(action.outcome)
             case CoordinationNotice():
-                self.notice(action.notice)
+                self.on_notice(action.notice)
 
     async def _write(self) -> None:
         """What is to be on disk goes there in order; a disk in trouble is tried until it takes it."""
@@ -146,41 +150,41 @@
                 try:
                     await self.runtime.loop.run_in_executor(self.disk, self.store.write, batch)
                 except (sqlite3.Error, OSError) as error:
-                    if not self.disk_failed:
-                        self.disk_failed = self.runtime.clock.monotonic()
+                    if not self.disk_failed_at:
+                        self.disk_failed_at = self.runtime.clock.monotonic()
                         tell(Event.DISK_FAILS, reason=str(error))
-                    await asyncio.sleep(RETRY_DISK)
+                    await asyncio.sleep(DISK_RETRY_S)
                     continue
-                if self.disk_failed:
-                    tell(Event.DISK_WELL, seconds=self.runtime.clock.monotonic() - self.disk_failed)
-                    self.disk_failed = 0.0
+                if self.disk_failed_at:
+                    tell(Event.DISK_WELL, seconds=self.runtime.clock.monotonic() - self.disk_failed_at)
+                    self.disk_failed_at = 0.0
                 del self.writes[: len(batch)]
-                self.act(self.replica.write_completed(self.runtime.clock.monotonic(), batch[-1].number))
+                self.execute(self.replica.write_completed(self.runtime.clock.monotonic(), batch[-1].number))
         finally:
             self.writing = False
 
     def _deliver(self, entry: consensus.Entry) -> None:
         if entry.kind == consensus.CHANGE and self.history.deliver(entry.body):
-            self.take_configuration(self.history.configuration)
+            self.apply_configuration(self.history.configuration)
         elif entry.kind == consensus.SHARES and self.share_desk:
             self.share_desk.deliver(self.runtime.clock.monotonic(), entry.body)
         elif entry.kind == consensus.COORDINATION and self.coordination_desk:
             self.pending.extend(self.coordination_desk.deliver(self.runtime.clock.monotonic(), entry.body))
 
-    def tell_view(self) -> None:
+    def log_view_and_snapshot(self) -> None:
         """Logs a new view, leader or set of voters, and takes a snapshot when one is due."""
         replica = self.replica
         assert replica
-        if replica.leader and (replica.view, replica.leader) != self.view_told:
-            self.view_told = (replica.view, replica.leader)
+        if replica.leader and (replica.view, replica.leader) != self.logged_view:
+            self.logged_view = (replica.view, replica.leader)
             named = replica.voters.all().get(replica.leader)
             tell(Event.VIEW, view=replica.view, leader=named.name if named else replica.leader)
-        if replica.voters != self.voters_told:
-            self.voters_told = replica.voters
+        if replica.voters != self.logged_voters:
+            self.logged_voters = replica.voters
             names = ", ".join(m.name for m in replica.voters.new)
             tell(Event.VOTERS, members=names + (" (changing)" if replica.voters.old else ""))
         if replica.due_for_snapshot():
-            self.act(
+            self.execute(
                 replica.save_snapshot(self.history.image(self.shares.image(), self.coordination.image()))
             )
 
@@ -195,49 +199,53 @@
             self.founding.mark_disk_lost()
             aside = await self.runtime.loop.run_in_executor(self.disk, set_aside, s.Datadir)
             tell(Event.DISK_ASIDE, name=aside)
-            self.runtime.spawn(self._open_again())
+            self.runtime.spawn(self._reopen())
             return
         except (StoreError, sqlite3.Error, OSError) as error:
             tell(Event.DISK_FOREIGN, reason=str(error))
             await self.close()  # it holds the file's lock, which the next try needs
             self.store = None
-            self.runtime.spawn(self._open_again())
+            self.runtime.spawn(self._reopen())
             return
-        self.remember(await self.runtime.loop.run_in_executor(self.disk, self.store.load_hosts))
-        self._begin(state)
+        self.restore_hosts(await self.runtime.loop.run_in_executor(self.disk, self.store.load_hosts))
+        self._start_replica(state)
 
-    async def _open_again(self) -> None:
+    async def _reopen(self) -> None:
         """A disk in trouble at the start: this gateway serves, and is no member until its disk can be
         read."""
         await asyncio.sleep(1.0)
         await self.open()
 
-    def _begin(self, state: DurableState) -> None:
+    def _start_replica(self, state: DurableState) -> None:
         s = self.runtime.settings
         assert self.store
         me = consensus.Member(self.store.id, s.Hostname, s.Ip)
         self.founding.disk_id = me.id
         timing = Timing(min_voters=2 * s.FaultBudget.Nodes + 1, remove_spare_after=s.Bounds.SyncS)
-        self.replica = Replica(me, state, timing, self.runtime.chance, self.runtime.clock.monotonic())
+        self.replica = Replica(me, state, timing, self.runtime.rng, self.runtime.clock.monotonic())
         self.desk = ChangeRequestHandler(self.replica, self.history)
         now = self.runtime.clock.monotonic()
         self.share_desk = ShareDesk(
-            self.replica, self.shares, self.runtime.peers.next, now, s.Bounds.QuotaWindowS
+            self.replica, self.shares, self.runtime.peers.next_number, now, s.Bounds.QuotaWindowS
         )
         self.coordination_desk = CoordinationHandler(
-            self.replica, self.coordination, self.runtime.peers.next, self.runtime.chance, s.Bounds.RetainS
+            self.replica,
+            self.coordination,
+            self.runtime.peers.next_number,
+            self.runtime.rng,
+            s.Bounds.RetainS,
         )
-        self.act(self.replica.start(now))
+        self.execute(self.replica.start(now))
 
     async def close(self) -> None:
         """Closes the disk, behind the write that is in hand: sqlite's connection bears one thread at a time."""
         if self.store:
             await self.runtime.loop.run_in_executor(self.disk, self.store.close)
 
-    async def join(self) -> None:
+    async def join_loop(self) -> None:
         """A disk without a vote asks to be kept up to date; on the very first start one gateway names who
         founds the core."""
-        told = False
+        logged = False
         while True:
             await asyncio.sleep(0.2)
             replica = self.replica
@@ -245,91 +253,91 @@
                 continue
             if not replica.needs_join(self.runtime.clock.monotonic()):
                 continue
-            _, leader, core = self.known()
+            _, leader, core = self.known_view()
             if not replica.bootstrapped and not replica.last_seq and self.founding.should_ask(bool(core)):
                 await self._nominate(replica)
                 continue
-            if not told and not replica.is_voter:
-                told = True
+            if not logged and not replica.is_voter:
+                logged = True
                 tell(Event.JOINING, id=replica.me.id)
             for ip in {leader} if leader else set(core):
                 self.runtime.peers.link(ip).send(ConsensusMessage(consensus.JoinRequest(replica.me)))
 
     async def _nominate(self, replica: Replica) -> None:
         nominator = self.founding.nominator
-        now, core_known = self.runtime.clock.monotonic(), bool(self.known()[2])
+        now, core_known = self.runtime.clock.monotonic(), bool(self.known_view()[2])
         if nominator == self.runtime.settings.Ip:
             named = self.founding.answer_request(now, replica.me.id, core_known)
         else:
-            number = self.runtime.peers.next()
+            number = self.runtime.peers.next_number()
             link = self.runtime.peers.link(nominator)
             answer = await link.request(number, Nominate(number, replica.me), 1.0)
             named = answer.id if isinstance(answer, Nominee) else ""
-        if not replica.bootstrapped and self.founding.accept_answer(named, bool(self.known()[2])):
-            self.act(replica.bootstrap(self.runtime.clock.monotonic()))
+        if not replica.bootstrapped and self.founding.accept_answer(named, bool(self.known_view()[2])):
+            self.execute(replica.bootstrap(self.runtime.clock.monotonic()))
             tell(Event.FOUNDED, id=replica.me.id)
 
-    async def order(self, change: Change | None, patience: float) -> ChangeAnswer | None:
+    async def submit_change(self, change: Change | None, timeout: float) -> ChangeAnswer | None:
         """By the leader: an operator's change, or (None) a reading. None: not decided within `patience` s."""
         assert self.desk
-        token, now = self.runtime.peers.next(), self.runtime.clock.monotonic()
+        token, now = self.runtime.peers.next_number(), self.runtime.clock.monotonic()
         future: asyncio.Future[ChangeAnswer] = self.runtime.loop.create_future()
         self.answers[token] = future
         try:
-            self.act(self.desk.submit(now, token, change) if change else self.desk.read(now, token))
-            async with asyncio.timeout(patience):
+            self.execute(self.desk.submit(now, token, change) if change else self.desk.read(now, token))
+            async with asyncio.timeout(timeout):
                 return await future
         except TimeoutError:
             return None
         finally:
             self.answers.pop(token, None)
 
-    async def claim(self, address: str, version: int, left: bool, patience: float) -> ShareAnswer | None:
+    async def claim(self, address: str, version: int, left: bool, timeout: float) -> ShareAnswer | None:
         """By the leader: a gateway's claim to its shares. None: not answered within `patience` s."""
         if self.share_desk is None:
             return None
-        token, now = self.runtime.peers.next(), self.runtime.clock.monotonic()
+        token, now = self.runtime.peers.next_number(), self.runtime.clock.monotonic()
         future: asyncio.Future[ShareAnswer] = self.runtime.loop.create_future()
         self.share_answers[token] = future
         try:
-            self.act(self.share_desk.claim(now, ShareClaim(token, address, version, left)))
-            async with asyncio.timeout(patience):
+            self.execute(self.share_desk.claim(now, ShareClaim(token, address, version, left)))
+            async with asyncio.timeout(timeout):
                 return await future
         except TimeoutError:
             return None
         finally:
             self.share_answers.pop(token, None)
 
-    async def coordinate(self, call: Call, patience: float) -> Outcome:
+    async def coordinate(self, call: Call, timeout: float) -> Outcome:
         """By the leader: an application's call."""
         assert self.coordination_desk
-        token, now = self.runtime.peers.next(), self.runtime.clock.monotonic()
+        token, now = self.runtime.peers.next_number(), self.runtime.clock.monotonic()
         future: asyncio.Future[Outcome] = self.runtime.loop.create_future()
-        self.outcomes[token] = future
+        self.coordination_answers[token] = future
         try:
-            self.act(self.coordination_desk.call(now, token, call))
-            async with asyncio.timeout(patience):
+            self.execute(self.coordination_desk.call(now, token, call))
+            async with asyncio.timeout(timeout):
                 return await future
         except TimeoutError:
             return Unknown("not agreed on in time")
         finally:
-            self.outcomes.pop(token, None)
+            self.coordination_answers.pop(token, None)
 
     def tick(self, now: float) -> None:
         """What is due at this replica, and at its desks."""
         assert self.replica and self.share_desk and self.coordination_desk
-        self.act(self.replica.tick(now))
-        self.act(self.coordination_desk.tick(now))
-        if now - self.shares_looked >= SHARES_LOOK:
-            self.shares_looked = now
-            self.act(self.share_desk.tick(now))
+        self.execute(self.replica.tick(now))
+        self.execute(self.coordination_desk.tick(now))
+        if now - self.shares_checked_at >= SHARES_CHECK_INTERVAL_S:
+            self.shares_checked_at = now
+            self.execute(self.share_desk.tick(now))
 
     def leave(self) -> None:
         """This process is being stopped: leadership and vote are handed on."""
         if self.replica:
-            self.act(self.replica.leave(self.runtime.clock.monotonic()))
+            self.execute(self.replica.leave(self.runtime.clock.monotonic()))
 
-    def may_end(self) -> bool:
+    def can_stop(self) -> bool:
         """Whether all that is committed is safe without this process; a gateway without a replica always may."""
         return self.replica is None or not self.replica.bootstrapped or self.replica.safe_to_stop
 
--- a/coralvale/cluster/server/figures.py
+++ b/coralvale/cluster/server/figures.py
@@ -37,7 +37,7 @@
     def collect(self) -> Iterator[Any]:
         o = self.node
         now = o.runtime.clock.monotonic()
-        view, leader, core = o.core.known()
+        view, leader, core = o.core.known_view()
         for name, says, value in (
             ("ready", "1 while the platform may send new connections", float(o.is_ready())),
             (
@@ -55,7 +55,7 @@
             (
                 "disk_failing_seconds",
                 "for which the disk has refused writes",
-                now - o.core.disk_failed if o.core.disk_failed else 0.0,
+                now - o.core.disk_failed_at if o.core.disk_failed_at else 0.0,
             ),
         ):
             yield GaugeMetricFamily(f"myrtlehatch_{name}", says, value=value)
--- a/coralvale/cluster/server/gossip.py
+++ b/coralvale/cluster/server/gossip.py
@@ -18,53 +18,55 @@
 from coralvale.cluster.server.arrivals import Arrivals
 from coralvale.cluster.server.changes import Changes
 from coralvale.cluster.server.core import Core
-from coralvale.cluster.server.membership import LARGE_FLEET, MANY, SMALL_FLEET, Membership
+from coralvale.cluster.server.membership import LARGE_FLEET, LARGE_FLEET_FROM, SMALL_FLEET, Membership
 from coralvale.cluster.server.messages import (
-    Word,
+    GossipMessage,
+    decode_gossip,
     decode_rows,
-    decode_word,
     encode,
     pack_health,
-    pack_out,
-    pack_use,
+    pack_in_flight,
+    pack_usage,
     unpack_health,
-    unpack_out,
-    unpack_use,
+    unpack_in_flight,
+    unpack_usage,
 )
 from coralvale.cluster.server.peers import (
-    CARRIED,
-    CARRY,
+    FORWARD,
+    FORWARDED,
+    GOSSIP,
     HEALTH,
-    LIFE,
-    LINK_SHARE,
-    LOAD,
-    OUT,
-    PASS,
-    PASSED,
+    HOST_ROWS,
+    IN_FLIGHT,
+    PACED_LINK_SHARE,
+    PACING_INTERVAL_S,
+    RELAY_BATCH,
+    RELAY_REQUEST,
+    RELAYED,
     REPORT,
     REPORTED,
-    SLICE,
     SWIM,
-    WORD,
 )
 from coralvale.cluster.server.quotas import QuotaExchange
 from coralvale.cluster.server.relay import Carriers, RelayBatch
 from coralvale.cluster.server.runtime import Runtime
 from coralvale.cluster.server.shares import ShareClaims
-from coralvale.cluster.server.zone_reports import ZoneReportExchange, hear_view
+from coralvale.cluster.server.zone_reports import ZoneReportExchange, update_heard_view
 from coralvale.members import wire as swim_wire
 from coralvale.members.model import MembersError
 
-OUT_EVERY = 0.04  # s between words of what is out at copies, at the least
-OUT_A_SECOND = 350  # of them that a gateway sends, and gets, at most
-OUT_SHARE = 0.05  # of the link that they may take
-OUT_BYTES = 70  # of one, with its heads
-CARRIED_OUT_BYTES = 25  # of one that is joined to others
-CARRIED_OUT_EVERY = 0.1  # s between them, at the least
-REPORTED_OUT_EVERY = 0.2  # s where zones report: what is out in one of many zones is the lesser part
-TOLD = (WORD, OUT, HEALTH)  # kinds that carriers bring
-NEAR_ONLY = (OUT,)  # links between zones are dear: there, what is out is told in the other words
-CORE_NEWS = 2.0  # s for which a change of the core is told in each word
+IN_FLIGHT_INTERVAL_S = 0.04  # s between words of what is out at copies, at the least
+MAX_IN_FLIGHT_MESSAGES_PER_S = 350  # of them that a gateway sends, and gets, at most
+IN_FLIGHT_LINK_SHARE = 0.05  # of the link that they may take
+IN_FLIGHT_BYTES = 70  # of one, with its heads
+RELAYED_IN_FLIGHT_BYTES = 25  # of one that is joined to others
+RELAYED_IN_FLIGHT_INTERVAL_S = 0.1  # s between them, at the least
+REPORTED_IN_FLIGHT_INTERVAL_S = (
+    0.2  # s where zones report: what is out in one of many zones is the lesser part
+)
+RELAYED_KINDS = (GOSSIP, IN_FLIGHT, HEALTH)  # kinds that carriers bring
+ZONE_ONLY_KINDS = (IN_FLIGHT,)  # links between zones are dear: there, what is out is told in the other words
+CORE_REPEAT_S = 2.0  # s for which a change of the core is told in each word
 
 
 class GossipExchange:
@@ -84,8 +86,8 @@
         self.arrivals, self.limiter, self.instances, self.is_ready = arrivals, limiter, instances, is_ready
         self.shares, self.quotas = shares, QuotaExchange(runtime, changes, limiter)
         self.register = arrivals.register
-        self.out_in_words = False
-        self.batch, self.carriers, self.relaying = RelayBatch(), Carriers(), False
+        self.in_flight_in_gossip = False
+        self.batch, self.carriers, self.batch_scheduled = RelayBatch(), Carriers(), False
         self.reports = ZoneReportExchange(
             runtime,
             membership,
@@ -99,7 +101,7 @@
             is_ready,
         )
 
-    async def tell(self) -> None:
+    async def gossip_loop(self) -> None:
         """Every half second, to all: what was let through, which beats came, how loaded copies are."""
         due = told_at = self.runtime.clock.monotonic()
         told_core: tuple[int, tuple[str, ...]] = (0, ())
@@ -107,125 +109,139 @@
             now = self.runtime.clock.monotonic()
             self.limiter.step(now)
             self.instances.decay_sent()
-            self.tell_health(self.instances.update_verdicts(now))
-            view, leader, core = self.core.known()
+            self.log_verdicts(self.instances.update_verdicts(now))
+            view, leader, core = self.core.known_view()
             use, whole = self.limiter.usage_report(now)
             if (view, core) != told_core:
                 told_core, told_at = (view, core), now
-            carries = self.carries(now)
-            self.carriers.hear(now, self.runtime.settings.Ip, carries)
+            carries = self.is_carrier(now)
+            self.carriers.record(now, self.runtime.settings.Ip, carries)
             beats = self.register.take_fresh_beats()
             self.reports.note_beats(beats)
-            word = Word(
+            message = GossipMessage(
                 self.changes.configuration.version,
                 self.register.digest,
                 view,
                 leader,
-                core if whole or now - told_at < CORE_NEWS else (),
-                pack_use(use),
+                core if whole or now - told_at < CORE_REPEAT_S else (),
+                pack_usage(use),
                 whole,
                 beats,
                 pack_health(self.instances.health.own_report(now)),
-                pack_out(self.instances.in_flight_counts()) if self.out_in_words else None,
+                pack_in_flight(self.instances.in_flight_counts()) if self.in_flight_in_gossip else None,
                 carries,
                 self.runtime.settings.Region if whole else "",
                 shares=self.limiter.holding.version,
             )
-            self.tell_all(WORD, encode(word))
+            self.send_to_all(GOSSIP, encode(message))
             due = max(due + PERIOD, now + PERIOD / 2)
             await asyncio.sleep(due - now)
 
-    async def tell_out(self) -> None:
+    async def in_flight_loop(self) -> None:
         """What this gateway has out at copies, to all, as often as the link and the processor can bear."""
         before, told_at, ill_at = b"", 0.0, 0.0
         link = self.runtime.settings.Limits.NicMbps * 1e6 / 8
         while True:
             now = self.runtime.clock.monotonic()
             count = self.membership.swim.there - 1
-            self.membership.large = large = count > MANY
-            near, far = self.membership.zones()
-            carried = large and bool(self.carriers.of(now, (*near, self.runtime.settings.Ip), relay.NEAR))
+            self.membership.is_large = large = count > LARGE_FLEET_FROM
+            near, far = self.membership.broadcast_targets()
+            carried = large and bool(
+                self.carriers.active(now, (*near, self.runtime.settings.Ip), relay.NEAR_TIMEOUT_S)
+            )
             if carried:
-                least = REPORTED_OUT_EVERY if self.membership.by_reports else CARRIED_OUT_EVERY
-                every = max(least, len(near) * CARRIED_OUT_BYTES / (OUT_SHARE * link))
+                least = (
+                    REPORTED_IN_FLIGHT_INTERVAL_S
+                    if self.membership.uses_reports
+                    else RELAYED_IN_FLIGHT_INTERVAL_S
+                )
+                every = max(least, len(near) * RELAYED_IN_FLIGHT_BYTES / (IN_FLIGHT_LINK_SHARE * link))
             else:
-                told = len(near) if self.membership.by_reports else count
-                every = max(OUT_EVERY, told / OUT_A_SECOND, told * OUT_BYTES / (OUT_SHARE * link))
+                told = len(near) if self.membership.uses_reports else count
+                every = max(
+                    IN_FLIGHT_INTERVAL_S,
+                    told / MAX_IN_FLIGHT_MESSAGES_PER_S,
+                    told * IN_FLIGHT_BYTES / (IN_FLIGHT_LINK_SHARE * link),
+                )
             # In a large fleet other zones, whose part at a copy is small, are told in the other words.
-            self.out_in_words = large and not self.membership.by_reports
-            self.runtime.peers.bytes_a_slice = LINK_SHARE * link * SLICE if large else 0.0
+            self.in_flight_in_gossip = large and not self.membership.uses_reports
+            self.runtime.peers.bytes_per_interval = (
+                PACED_LINK_SHARE * link * PACING_INTERVAL_S if large else 0.0
+            )
             self.membership.swim.settings = LARGE_FLEET if large else SMALL_FLEET
-            data = pack_out(self.instances.in_flight_counts())
+            data = pack_in_flight(self.instances.in_flight_counts())
             if data != before or (data and now - told_at > PERIOD):
                 before, told_at = data, now
                 if large and not carried:
-                    self.runtime.peers.cast_all(near, [], OUT, data)
+                    self.runtime.peers.broadcast(near, [], IN_FLIGHT, data)
                 else:
-                    self.tell_all(OUT, data)
+                    self.send_to_all(IN_FLIGHT, data)
             # What is ill is told at once, not with the next word; without carriers a large fleet's words are
             # no later.
             if self.instances.health.report_due and (carried or not large) and now - ill_at >= VERDICT_GAP_S:
                 ill_at = now
-                self.tell_all(HEALTH, pack_health(self.instances.health.own_report(now)))
+                self.send_to_all(HEALTH, pack_health(self.instances.health.own_report(now)))
             await asyncio.sleep(every)
 
-    def onward(self, kind: bytes) -> bool:
+    def crosses_zones(self, kind: bytes) -> bool:
         """Whether other zones are told words of a kind, and not by reports."""
-        return kind not in NEAR_ONLY and not self.membership.by_reports
+        return kind not in ZONE_ONLY_KINDS and not self.membership.uses_reports
 
-    def tell_all(self, kind: bytes, data: bytes) -> None:
+    def send_to_all(self, kind: bytes, data: bytes) -> None:
         """A word to all that are told it: by a carrier where there is one, else to each."""
-        near, far = self.membership.zones()
-        if self.membership.by_reports:
+        near, far = self.membership.broadcast_targets()
+        if self.membership.uses_reports:
             far = []
-        if self.membership.large:
+        if self.membership.is_large:
             me, now = self.runtime.settings.Ip, self.runtime.clock.monotonic()
-            if found := self.carriers.of(now, (*near, me), relay.NEAR):
+            if found := self.carriers.active(now, (*near, me), relay.NEAR_TIMEOUT_S):
                 if me in found:
-                    self.relay(me, kind + data, self.onward(kind))
+                    self.add_to_batch(me, kind + data, self.crosses_zones(kind))
                 else:
                     # What is out goes by one and the same: an older one behind a newer would stand for long.
-                    at = found[crc32(me.encode()) % len(found)] if kind in NEAR_ONLY else ""
-                    self.runtime.peers.cast(at or self.carriers.next(found), LOAD, kind + data)
+                    at = found[crc32(me.encode()) % len(found)] if kind in ZONE_ONLY_KINDS else ""
+                    self.runtime.peers.send_datagram(
+                        at or self.carriers.pick(found), RELAY_REQUEST, kind + data
+                    )
                 return
-        self.runtime.peers.cast_all(near, far, kind, data)
+        self.runtime.peers.broadcast(near, far, kind, data)
 
-    def carries(self, now: float) -> bool:
+    def is_carrier(self, now: float) -> bool:
         """Whether this gateway brings the words of others to all in its zone."""
-        near, _ = self.membership.zones()
+        near, _ = self.membership.broadcast_targets()
         link = self.runtime.settings.Limits.NicMbps * 1e6 / 8
         gateways, replica = self.membership.swim.there, self.core.replica is not None
-        if self.membership.by_reports:
-            gateways = len(near) + 1 + relay.REPORT_WORDS * len(self.membership.far)
-        self.carriers.most = relay.wanted(gateways, len(near), PERIOD)
+        if self.membership.uses_reports:
+            gateways = len(near) + 1 + relay.REPORT_WEIGHT * len(self.membership.far)
+        self.carriers.max_active = relay.carrier_count(gateways, len(near), PERIOD)
         return (
-            self.membership.large
+            self.membership.is_large
             and self.is_ready()
             and not self.runtime.stopping
-            and relay.bears(gateways, len(near), link, PERIOD, replica)
+            and relay.can_carry(gateways, len(near), link, PERIOD, replica)
         )
 
-    def relay(self, ip: str, whole: bytes, onward: bool) -> None:
-        self.batch.add(ip, whole, onward)
-        if not self.relaying:
-            self.relaying = True
-            self.runtime.loop.call_later(relay.EVERY, self.send_batch)
+    def add_to_batch(self, ip: str, whole: bytes, to_other_zones: bool) -> None:
+        self.batch.add(ip, whole, to_other_zones)
+        if not self.batch_scheduled:
+            self.batch_scheduled = True
+            self.runtime.loop.call_later(relay.BATCH_INTERVAL_S, self.send_batch)
 
     def send_batch(self) -> None:
-        self.relaying = False
+        self.batch_scheduled = False
         here, abroad = self.batch.take()
-        near, far = self.membership.zones()
+        near, far = self.membership.broadcast_targets()
         now = self.runtime.clock.monotonic()
         for data in here:
-            self.runtime.peers.pace(near, CARRIED + data)
+            self.runtime.peers.send_paced(near, RELAYED + data)
         if abroad:
             for by_lot, ips in zip(far, self.membership.far.values(), strict=True):
-                found = self.carriers.of(now, ips, relay.FAR)
-                at = self.carriers.next(found) if found else by_lot
+                found = self.carriers.active(now, ips, relay.FAR_TIMEOUT_S)
+                at = self.carriers.pick(found) if found else by_lot
                 for data in abroad:
-                    self.runtime.peers.cast(at, CARRY, data)
+                    self.runtime.peers.send_datagram(at, RELAY_BATCH, data)
 
-    def tell_health(self, changes: list[Verdict]) -> None:
+    def log_verdicts(self, changes: list[Verdict]) -> None:
         for change in changes:
             copy = self.instances.by_hash.get(change.id_hash)
             tell(
@@ -238,49 +254,49 @@
                 reporters=change.reporters,
             )
 
-    def datagram(self, ip: str, data: bytes) -> None:
+    def handle_datagram(self, ip: str, data: bytes) -> None:
         kind, body = data[:1], data[1:]
-        if kind in (PASS, PASSED):
-            passed = self.runtime.peers.unpack(body)
+        if kind in (FORWARD, FORWARDED):
+            passed = self.runtime.peers.unpack_forwarded(body)
             if passed is None or passed[0] == self.runtime.settings.Ip:
                 return
-            if kind == PASS:
-                self.runtime.peers.pass_on(self.membership.zones()[0], body)
+            if kind == FORWARD:
+                self.runtime.peers.forward(self.membership.broadcast_targets()[0], body)
             if passed[1] != SWIM:
-                self._said(*passed)
-        elif kind == LOAD:
-            if body and body[:1] in TOLD:
-                self.relay(ip, body, self.onward(body[:1]))
-                self._said(ip, body[:1], body[1:])
-        elif kind in (CARRY, CARRIED):
-            self._carried(ip, kind, body)
+                self._handle_message(*passed)
+        elif kind == RELAY_REQUEST:
+            if body and body[:1] in RELAYED_KINDS:
+                self.add_to_batch(ip, body, self.crosses_zones(body[:1]))
+                self._handle_message(ip, body[:1], body[1:])
+        elif kind in (RELAY_BATCH, RELAYED):
+            self._handle_relayed(ip, kind, body)
         elif kind in (REPORT, REPORTED):
-            self.tell_health(self.reports.datagram(kind, body))
+            self.log_verdicts(self.reports.handle_datagram(kind, body))
         elif kind in quotas.KINDS:
             self.quotas.datagram(ip, kind, body)
         else:
-            self._said(ip, kind, body)
+            self._handle_message(ip, kind, body)
 
-    def _carried(self, ip: str, kind: bytes, body: bytes) -> None:
+    def _handle_relayed(self, ip: str, kind: bytes, body: bytes) -> None:
         """Joined words: to this gateway, or (`CARRY`) for all in its zone."""
-        if kind == CARRIED and ip in self.carriers.heard:
-            self.carriers.heard[ip] = self.runtime.clock.monotonic()
-        for whose, whole in relay.unpack(body):
-            if whose == self.runtime.settings.Ip or whole[:1] not in TOLD:
+        if kind == RELAYED and ip in self.carriers.heard_at:
+            self.carriers.heard_at[ip] = self.runtime.clock.monotonic()
+        for whose, whole in relay.unpack_batch(body):
+            if whose == self.runtime.settings.Ip or whole[:1] not in RELAYED_KINDS:
                 continue
-            if kind == CARRY:
-                self.relay(whose, whole, False)
-            self._said(whose, whole[:1], whole[1:])
+            if kind == RELAY_BATCH:
+                self.add_to_batch(whose, whole, False)
+            self._handle_message(whose, whole[:1], whole[1:])
 
-    def _said(self, ip: str, kind: bytes, body: bytes) -> None:
+    def _handle_message(self, ip: str, kind: bytes, body: bytes) -> None:
         """A datagram, of the gateway at an address."""
         now = self.runtime.clock.monotonic()
-        if kind == OUT:
+        if kind == IN_FLIGHT:
             try:
-                self.instances.update_in_flight(now, ip, unpack_out(body))
+                self.instances.update_in_flight(now, ip, unpack_in_flight(body))
             except struct.error:
                 return
-        elif kind == LIFE:
+        elif kind == HOST_ROWS:
             try:
                 self.arrivals.note(decode_rows(body).rows)
             except msgspec.MsgspecError:
@@ -289,12 +305,12 @@
             if self.reports.zones.covers(now, ip):
                 return
             try:
-                self.tell_health(self.instances.update_health(now, ip, unpack_health(body)))
+                self.log_verdicts(self.instances.update_health(now, ip, unpack_health(body)))
             except struct.error:
                 return
-        elif kind == WORD:
+        elif kind == GOSSIP:
             try:
-                self.word(now, ip, decode_word(body))
+                self.handle_gossip(now, ip, decode_gossip(body))
             except (msgspec.MsgspecError, struct.error):
                 return
         elif kind == SWIM:
@@ -303,23 +319,23 @@
             except MembersError:
                 return
             self.membership.swim.receive(now, (ip, self.runtime.settings.peers_port), packet)
-            self.membership.carry()
+            self.membership.flush()
 
-    def word(self, now: float, ip: str, word: Word) -> None:
-        self.membership.hear(now, (ip,))
-        if word.region and (strange := self.membership.strange(ip, word.region)):
-            tell(Event.REGION_OF_OTHER, **strange)
-        self.carriers.hear(now, ip, word.carries)
-        self.shares.heard(word.shares)
-        hear_view(self.core, word.view, word.leader, word.core)
-        unknown = self.register.merge_beats(now, word.beats)
+    def handle_gossip(self, now: float, ip: str, message: GossipMessage) -> None:
+        self.membership.record_gossip(now, (ip,))
+        if message.region and (mismatch := self.membership.region_mismatch(ip, message.region)):
+            tell(Event.REGION_OF_OTHER, **mismatch)
+        self.carriers.record(now, ip, message.carries)
+        self.shares.note_version(message.shares)
+        update_heard_view(self.core, message.view, message.leader, message.core)
+        unknown = self.register.merge_beats(now, message.beats)
         if self.reports.zones.covers(now, ip):
             return  # what it does is in the report of its zone, and would count twice
         self.limiter.usage.record_peer(
-            now, ip, unpack_use(word.use, self.changes.tenants), word.whole, word.version
+            now, ip, unpack_usage(message.usage, self.changes.tenants), message.whole, message.version
         )
-        self.tell_health(self.instances.update_health(now, ip, unpack_health(word.health)))
-        if word.out is not None:
-            self.instances.update_in_flight(now, ip, unpack_out(word.out))
-        self.reports.note_beats(word.beats)
-        self.arrivals.compare(now, ip, word.digest, unknown)
+        self.log_verdicts(self.instances.update_health(now, ip, unpack_health(message.health)))
+        if message.in_flight is not None:
+            self.instances.update_in_flight(now, ip, unpack_in_flight(message.in_flight))
+        self.reports.note_beats(message.beats)
+        self.arrivals.compare(now, ip, message.digest, unknown)
--- a/coralvale/cluster/server/node.py
+++ b/coralvale/cluster/server/node.py
@@ -29,21 +29,21 @@
 from coralvale.cluster.server.hosts import Hosts
 from coralvale.cluster.server.membership import Membership
 from coralvale.cluster.server.messages import (
-    Ask,
-    Call,
+    Ack,
     ClaimShares,
+    ConfigurationRequest,
     ConsensusMessage,
-    Coordinate,
-    Gossip,
+    CoordinationRequest,
+    HostRows,
+    HostRowsRequest,
+    MembershipPacket,
     Nominate,
     Nominee,
-    Noted,
-    Parcel,
-    Pull,
-    Rows,
+    PeerMessage,
+    UpdateRequest,
 )
-from coralvale.cluster.server.peers import Frames
-from coralvale.cluster.server.runtime import TICK, Runtime
+from coralvale.cluster.server.peers import PeerConnection
+from coralvale.cluster.server.runtime import TICK_S, Runtime
 from coralvale.cluster.server.shares import ShareClaims
 from coralvale.cluster.server.status import status
 from coralvale.cluster.settings import Settings, SettingsError, address, read
@@ -53,17 +53,21 @@
 from coralvale.net.server import Bounds as ClientBounds
 from coralvale.net.server import Server
 
-CONNECT_TIMEOUT = 0.4  # s
-HOST_IDLE = 8.0  # s that a connection to a host is kept idle, unless it says less
-REST = 0.25  # s between looks at what is due at a gateway without a disk, at most
-LOOK = 1.0  # s between looks at the settings file
-ACCEPT = 2.9  # s after SIGTERM for which new connections still come: the platform asks twice
-SPARE = 0.7  # s before the end of GraceS by which all is answered
-CALL = 1.0  # s within which a call of hosts, operators or applications is answered, but for large orders
-RESERVED = 300  # descriptors for files, peers and the loop
-HOSTS_PART = 0.45  # of the others, for connections to hosts
-UNHEARD = 2.0  # s for which one that starts waits until it knows hosts, and what all others let through
-UNSETTLED = 4.0  # s after which a member of the core that hears no majority serves what its disk has
+CONNECT_TIMEOUT_S = 0.4  # s
+HOST_IDLE_S = 8.0  # s that a connection to a host is kept idle, unless it says less
+MAX_REST_S = 0.25  # s between looks at what is due at a gateway without a disk, at most
+SETTINGS_CHECK_INTERVAL_S = 1.0  # s between looks at the settings file
+ACCEPT_AFTER_SIGTERM_S = 2.9  # s after SIGTERM for which new connections still come: the platform asks twice
+GRACE_MARGIN_S = 0.7  # s before the end of GraceS by which all is answered
+CONTROL_ANSWER_S = (
+    1.0  # s within which a call of hosts, operators or applications is answered, but for large orders
+)
+RESERVED_DESCRIPTORS = 300  # descriptors for files, peers and the loop
+HOST_CONNECTIONS_SHARE = 0.45  # of the others, for connections to hosts
+STARTUP_WAIT_S = (
+    2.0  # s for which one that starts waits until it knows hosts, and what all others let through
+)
+QUORUM_WAIT_S = 4.0  # s after which a member of the core that hears no majority serves what its disk has
 
 
 class GatewayNode(Desk):
@@ -79,25 +83,29 @@
         the configuration."""
         self.metrics, bounds = metrics, settings.Bounds
         runtime = self.runtime = Runtime(
-            settings, path, clock or Clock(), self._parcel, lambda ip, data: self.gossip.datagram(ip, data)
+            settings,
+            path,
+            clock or Clock(),
+            self._handle_message,
+            lambda ip, data: self.gossip.handle_datagram(ip, data),
         )
         rules = regions or Regions()
-        self.home = HomeRegion(self._region(settings), settings.Zones, rules.Bindings, rules.Lease)
-        self.abroad_told: dict[str, int] = {}
-        self.hosts_abroad: set[str] = set()
-        self.unsure_told = False
+        self.home = HomeRegion(self._own_region(settings), settings.Zones, rules.Bindings, rules.Lease)
+        self.logged_refusals: dict[str, int] = {}
+        self.logged_hosts_abroad: set[str] = set()
+        self.lease_loss_logged = False
         self.register = Register(settings.HeartbeatMs / 1000)
-        self.instances = InstancePool(self.register, settings.Az, runtime.chance, self.home)
+        self.instances = InstancePool(self.register, settings.Az, runtime.rng, self.home)
         rule = Rule(bounds.QuotaWindowS, bounds.QuotaExcess, bounds.QuotaSlack)
-        self.limiter = RateLimiter(rule, settings.Ip, runtime.chance)
-        self.router = Router(bounds, self.instances, self.limiter, runtime.chance)
+        self.limiter = RateLimiter(rule, settings.Ip, runtime.rng)
+        self.router = Router(bounds, self.instances, self.limiter, runtime.rng)
         self.membership = Membership(runtime, self.limiter.usage)
-        self.changes = Changes(runtime, self.router, self._bound_clients)
+        self.changes = Changes(runtime, self.router, self._set_client_bounds)
         self.arrivals = Arrivals(runtime, self.membership, self.register, self._retire)
-        self.core = Core(runtime, self.changes.in_force, self.arrivals.remember)
+        self.core = Core(runtime, self.changes.apply, self.arrivals.remember)
         self.changes.core = self.arrivals.core = self.core
         self.coordination = Coordination(runtime, self.core)
-        self.core.notice = self.coordination.notice
+        self.core.on_notice = self.coordination.notice
         self.shares = ShareClaims(runtime, self.core, self.limiter.holding)
         self.gossip = GossipExchange(
             runtime,
@@ -111,10 +119,10 @@
             self.is_ready,
         )
         self.was_ready = False
-        self.ended = asyncio.Event()
+        self.stopped = asyncio.Event()
 
     @staticmethod
-    def _region(settings: Settings) -> str:
+    def _own_region(settings: Settings) -> str:
         """Where this gateway is; none where its zone and its region do not go together: nobody is to trust it
         then, itself least."""
         by_zone = settings.Zones.get(settings.Az, "")
@@ -138,21 +146,21 @@
         )
         for number in (signal.SIGTERM, signal.SIGINT):
             self.runtime.loop.add_signal_handler(number, self.stop)
-        self.runtime.loop.add_signal_handler(signal.SIGHUP, self.read_again)
+        self.runtime.loop.add_signal_handler(signal.SIGHUP, self.reload_settings)
         limits = settings.Limits
-        descriptors = max(64, limits.MaxFds - RESERVED)
-        most_hosts = int(descriptors * HOSTS_PART)
+        descriptors = max(64, limits.MaxFds - RESERVED_DESCRIPTORS)
+        most_hosts = int(descriptors * HOST_CONNECTIONS_SHARE)
         bodies = int(limits.MemMb * 0.25 * 1e6)
-        self.hosts = Hosts(self.runtime.clock, CONNECT_TIMEOUT, HOST_IDLE / 0.8, most_hosts)
+        self.hosts = Hosts(self.runtime.clock, CONNECT_TIMEOUT_S, HOST_IDLE_S / 0.8, most_hosts)
         self.edge = Edge(self.router, self.hosts, self.runtime.clock, self.gossip.quotas.carry_out)
         self.gossip.quotas.decided = self.edge.decided
         self.control = Control(self)
         self.servers: list[Server] = []
         if settings.Listen.Edge:
-            self.front = EdgeServer(
+            self.edge_server = EdgeServer(
                 address(settings.Listen.Edge), self.edge, descriptors - most_hosts, bodies, self.runtime.clock
             )
-            self.servers.append(self.front)
+            self.servers.append(self.edge_server)
         for text in (settings.Listen.Readyz, settings.Listen.Ctl):
             if text:
                 self.servers.append(ControlServer(address(text), self.control, self.runtime.clock))
@@ -161,25 +169,25 @@
 
             self.servers.append(FiguresServer(address(self.metrics), Figures(self), self.runtime.clock))
         await self.runtime.peers.start()
-        self.membership.begin()
+        self.membership.start()
         if settings.holds_state:
             await self.core.open()
         for server in self.servers:
             server.start()
         for work in (
-            self._pulse,
-            self.gossip.tell,
-            self.gossip.tell_out,
-            self.gossip.reports.tell,
-            self.changes.follow,
-            self._watch,
-            self.core.join,
-            self.shares.follow,
+            self._tick_loop,
+            self.gossip.gossip_loop,
+            self.gossip.in_flight_loop,
+            self.gossip.reports.report_loop,
+            self.changes.follow_core,
+            self._watch_settings,
+            self.core.join_loop,
+            self.shares.claim_loop,
             self.arrivals.keep_hosts,
         ):
-            self.runtime.spawn(self.runtime.keep(work))
+            self.runtime.spawn(self.runtime.run_forever(work))
         self.runtime.spawn(self.arrivals.pull_first())
-        await self.ended.wait()
+        await self.stopped.wait()
         for task in list(self.runtime.tasks):
             task.cancel()
         for server in self.servers:
@@ -191,43 +199,45 @@
     def stop(self) -> None:
         if not self.runtime.stopping:
             self.runtime.stopping = True
-            self.runtime.spawn(self._leave())
+            self.runtime.spawn(self._shut_down())
 
-    async def _leave(self) -> None:
+    async def _shut_down(self) -> None:
         """Out of the platform's list, then out: nobody is cut, and duties are handed on first."""
         tell(Event.LEAVING, open=len(self.edge.open))
         begun = self.runtime.clock.monotonic()
-        ends = begun + max(1.0, self.runtime.settings.Bounds.GraceS - SPARE)
-        self.front.drain()
+        ends = begun + max(1.0, self.runtime.settings.Bounds.GraceS - GRACE_MARGIN_S)
+        self.edge_server.drain()
         self.coordination.stop()
         self.core.leave()
-        self.front.close_idle()
-        await asyncio.sleep(min(ACCEPT, max(0.0, ends - self.runtime.clock.monotonic() - 0.5)))
-        self.front.stop_accepting()
+        self.edge_server.close_idle()
+        await asyncio.sleep(
+            min(ACCEPT_AFTER_SIGTERM_S, max(0.0, ends - self.runtime.clock.monotonic() - 0.5))
+        )
+        self.edge_server.stop_accepting()
         while self.edge.open and self.runtime.clock.monotonic() < ends:
-            self.front.close_idle()
+            self.edge_server.close_idle()
             await asyncio.sleep(0.02)
-        self.front.close_idle()
-        while not self.core.may_end() and self.runtime.clock.monotonic() < ends:
+        self.edge_server.close_idle()
+        while not self.core.can_stop() and self.runtime.clock.monotonic() < ends:
             await asyncio.sleep(0.02)
-        if not self.core.may_end():
+        if not self.core.can_stop():
             tell(Event.ENDS_UNSAFE)
-        await self._answer_control(ends)
-        self.runtime.spawn(self.shares.give_up())  # heard or not: they are kept for this address for a while
+        await self._finish_control_calls(ends)
+        self.runtime.spawn(self.shares.release())  # heard or not: they are kept for this address for a while
         self.membership.swim.leave(self.runtime.clock.monotonic())
         for _ in range(4):
-            self.membership.carry()
+            self.membership.flush()
             await asyncio.sleep(0.06)
         tell(Event.ENDED, open=len(self.edge.open))
-        self.ended.set()
+        self.stopped.set()
 
-    async def _answer_control(self, ends: float) -> None:
+    async def _finish_control_calls(self, ends: float) -> None:
         """Calls of hosts, operators and applications that are in hand get their answers first."""
-        left = min(CALL, ends - self.runtime.clock.monotonic())
+        left = min(CONTROL_ANSWER_S, ends - self.runtime.clock.monotonic())
         if self.control.tasks and left > 0:
             await asyncio.wait(set(self.control.tasks), timeout=left)
 
-    def read_again(self) -> None:
+    def reload_settings(self) -> None:
         try:
             fresh = read(self.runtime.path)
         except SettingsError as error:
@@ -235,12 +245,12 @@
             return
         if fresh != self.runtime.settings:
             self.runtime.settings = fresh
-            self.home.set_regions(self._region(fresh), fresh.Zones)
+            self.home.set_regions(self._own_region(fresh), fresh.Zones)
             self.instances.candidates.clear()
             self.membership.swim.seeds = [(ip, fresh.peers_port) for ip in fresh.seeds if ip != fresh.Ip]
             tell(Event.SETTINGS_READ, seeds=len(fresh.Seeds))
 
-    async def _watch(self) -> None:
+    async def _watch_settings(self) -> None:
         """The settings file may change without a signal."""
         before: object = None
         while True:
@@ -250,9 +260,9 @@
             except OSError:
                 seen = before  # type: ignore[assignment]
             if before is not None and seen != before:
-                self.read_again()
+                self.reload_settings()
             before = seen
-            await asyncio.sleep(LOOK)
+            await asyncio.sleep(SETTINGS_CHECK_INTERVAL_S)
 
     # Readiness
 
@@ -260,16 +270,16 @@
         if self.runtime.stopping or not self.changes.configuration.version:
             return False
         now = self.runtime.clock.monotonic()
-        age = now - self.runtime.born
+        age = now - self.runtime.started_at
         if not self.was_ready:
             if (
                 self.core.replica
                 and self.core.replica.bootstrapped
                 and not self.core.replica.caught_up
-                and age < UNSETTLED
+                and age < QUORUM_WAIT_S
             ):
                 return False
-            if age < UNHEARD and not (self.register.entries and self._knows_others()):
+            if age < STARTUP_WAIT_S and not (self.register.entries and self._knows_others()):
                 return False
             self.was_ready = True
             tell(
@@ -293,29 +303,29 @@
 
     # What is due
 
-    async def _pulse(self) -> None:
+    async def _tick_loop(self) -> None:
         """What is due: membership, the order of changes."""
         swept = 0.0
         while True:
             now = self.runtime.clock.monotonic()
-            if self.core.delivers():
+            if self.core.follows_log():
                 self.home.core_heard_at = now
             if now >= self.membership.swim.due():
                 self.membership.swim.tick(now)
-            self.membership.carry()
+            self.membership.flush()
             if self.core.replica:
                 self.core.tick(now)
-                self.core.tell_view()
+                self.core.log_view_and_snapshot()
             if now - swept > 1.0:
                 swept = now
                 self._sweep(now)
             # The order of changes has many clocks; without it membership's next moment is known.
-            rest = (
-                TICK
+            pause = (
+                TICK_S
                 if self.core.replica
-                else min(REST, self.membership.swim.due() - self.runtime.clock.monotonic())
+                else min(MAX_REST_S, self.membership.swim.due() - self.runtime.clock.monotonic())
             )
-            await asyncio.sleep(max(TICK, rest))
+            await asyncio.sleep(max(TICK_S, pause))
 
     def _sweep(self, now: float) -> None:
         for name in self.register.sweep(now):
@@ -324,21 +334,21 @@
         for copy in self.instances.sweep():
             row = copy.entry.row
             self._retire(row)
-        self._tell_quotas()
+        self._log_quotas()
         self.coordination.look(now)
         if self.home.routes:
-            self._tell_home(now)
+            self._log_home_region(now)
         self.membership.near = None  # who only talks may have come or gone
-        self.limiter.borrowing.same_zone = frozenset(self.membership.zones()[0])
+        self.limiter.borrowing.same_zone = frozenset(self.membership.broadcast_targets()[0])
         known = (
             {m.address[0] for m in self.membership.others()}
-            | set(self.core.known()[2])
+            | set(self.core.known_view()[2])
             | set(self.runtime.settings.seeds)
         )
-        self.runtime.peers.keep(known)
-        self.gossip.carriers.keep(known | {self.runtime.settings.Ip})
+        self.runtime.peers.retain_links(known)
+        self.gossip.carriers.retain(known | {self.runtime.settings.Ip})
 
-    def _tell_quotas(self) -> None:
+    def _log_quotas(self) -> None:
         """What was refused of tenants past their quota since the last time, and what was let through."""
         for tenant, tally in self.limiter.take_tallies().items():
             tell(Event.QUOTA, count=tally.refused, tenant=tenant)
@@ -351,26 +361,29 @@
                 lent=tally.lent,
             )
 
-    def _tell_home(self, now: float) -> None:
+    def _log_home_region(self, now: float) -> None:
         for bound, count in self.home.refused.items():
-            if news := count - self.abroad_told.get(bound, 0):
+            if news := count - self.logged_refusals.get(bound, 0):
                 tell(Event.ABROAD, count=news, bound=bound)
-                self.abroad_told[bound] = count
+                self.logged_refusals[bound] = count
         unsure = not self.home.lease_valid(now)
-        if unsure and not self.unsure_told:
-            tell(Event.BINDING_UNSURE, seconds=min(now - self.home.core_heard_at, now - self.runtime.born))
-        self.unsure_told = unsure
+        if unsure and not self.lease_loss_logged:
+            tell(
+                Event.BINDING_UNSURE,
+                seconds=min(now - self.home.core_heard_at, now - self.runtime.started_at),
+            )
+        self.lease_loss_logged = unsure
         here = set()
         for service, bound in self.home.services.items():
             for name, life in self.register.by_service.get(service, {}).items():
                 if not self.home.host_allowed(service, life.row.az):
                     here.add(name)
-                    if name not in self.hosts_abroad:
+                    if name not in self.logged_hosts_abroad:
                         tell(Event.HOST_ABROAD, id=name, service=service, bound=bound, zone=life.row.az)
-        self.hosts_abroad = here
+        self.logged_hosts_abroad = here
 
-    def _bound_clients(self, bounds: ClientBounds) -> None:
-        self.front.bounds = bounds
+    def _set_client_bounds(self, bounds: ClientBounds) -> None:
+        self.edge_server.bounds = bounds
 
     def _retire(self, row: Row) -> None:
         self.hosts.retire((row.id, 0.0, (row.ip, row.port)))
@@ -400,34 +413,34 @@
 
     # What other gateways send
 
-    def _parcel(self, frames: Frames, parcel: Parcel) -> None:
+    def _handle_message(self, connection: PeerConnection, message: PeerMessage) -> None:
         now = self.runtime.clock.monotonic()
-        if isinstance(parcel, ConsensusMessage):
+        if isinstance(message, ConsensusMessage):
             if self.core.replica:
-                self.core.act(self.core.replica.receive(now, parcel.message, frames.ip, parcel.to))
-        elif isinstance(parcel, Gossip):
+                self.core.execute(self.core.replica.receive(now, message.message, connection.ip, message.to))
+        elif isinstance(message, MembershipPacket):
             try:
-                packet = swim_wire.read(parcel.packet)
+                packet = swim_wire.read(message.packet)
             except MembersError:
                 return
-            self.membership.swim.receive(now, (frames.ip, self.runtime.settings.peers_port), packet)
-            self.membership.carry()
-        elif isinstance(parcel, Ask):
-            self.runtime.spawn(self.changes.asked(frames, parcel))
-        elif isinstance(parcel, Call):
-            self.runtime.spawn(self.changes.called(frames, parcel))
-        elif isinstance(parcel, Coordinate):
-            self.runtime.spawn(self.coordination.called(frames, parcel))
-        elif isinstance(parcel, ClaimShares):
-            self.runtime.spawn(self.shares.claimed(frames, parcel))
-        elif isinstance(parcel, Rows):
-            self.arrivals.note(parcel.rows)
-            frames.send(Noted(parcel.number))
-        elif isinstance(parcel, Pull):
-            frames.send(Rows(parcel.number, self.register.rows(now, parcel.parts)))
-        elif isinstance(parcel, Nominate):
-            named = self.core.founding.answer_request(now, parcel.member.id, bool(self.core.known()[2]))
-            frames.send(Nominee(parcel.number, named))
+            self.membership.swim.receive(now, (connection.ip, self.runtime.settings.peers_port), packet)
+            self.membership.flush()
+        elif isinstance(message, UpdateRequest):
+            self.runtime.spawn(self.changes.handle_update_request(connection, message))
+        elif isinstance(message, ConfigurationRequest):
+            self.runtime.spawn(self.changes.handle_request(connection, message))
+        elif isinstance(message, CoordinationRequest):
+            self.runtime.spawn(self.coordination.called(connection, message))
+        elif isinstance(message, ClaimShares):
+            self.runtime.spawn(self.shares.handle_claim(connection, message))
+        elif isinstance(message, HostRows):
+            self.arrivals.note(message.rows)
+            connection.send(Ack(message.number))
+        elif isinstance(message, HostRowsRequest):
+            connection.send(HostRows(message.number, self.register.rows(now, message.parts)))
+        elif isinstance(message, Nominate):
+            named = self.core.founding.answer_request(now, message.member.id, bool(self.core.known_view()[2]))
+            connection.send(Nominee(message.number, named))
 
 
 async def serve(path: str, metrics: str = "", regions: str = "") -> None:
--- a/coralvale/cluster/server/quotas.py
+++ b/coralvale/cluster/server/quotas.py
@@ -37,14 +37,14 @@
                         self.decided(action)
                     case AskTokens():
                         body = _TOKENS.pack(action.number, _mark(action.tenant), action.count)
-                        self.runtime.peers.cast(action.to, ASK, body)
+                        self.runtime.peers.send_datagram(action.to, ASK, body)
                     case ReturnTokens():
                         body = _TOKENS.pack(action.number, _mark(action.tenant), action.count)
-                        self.runtime.peers.cast(action.to, RETURN, body)
+                        self.runtime.peers.send_datagram(action.to, RETURN, body)
                     case GrantTokens():
                         ms = min(MOST_MS, int(action.retry_after * 1000))
                         body = _GRANT.pack(action.number, _mark(action.tenant), action.count, ms)
-                        self.runtime.peers.cast(action.to, GRANT, body)
+                        self.runtime.peers.send_datagram(action.to, GRANT, body)
         self._set_timer()
 
     def _set_timer(self) -> None:
--- a/coralvale/cluster/server/shares.py
+++ b/coralvale/cluster/server/shares.py
@@ -10,40 +10,40 @@
 from coralvale.cluster.rate_limit.holding import Holding
 from coralvale.cluster.rate_limit.shares import ShareTable
 from coralvale.cluster.server.core import Core
-from coralvale.cluster.server.messages import ClaimShares, Shares
-from coralvale.cluster.server.peers import Frames
+from coralvale.cluster.server.messages import ClaimShares, SharesReply
+from coralvale.cluster.server.peers import PeerConnection
 from coralvale.cluster.server.runtime import Runtime
 from coralvale.cluster.share_desk import MAX_ANSWER_AGE_S, ShareAnswer
 
-RENEW = 10.0  # s between claims while all is as it should be
-SOON = 0.15  # s until the next one where the last got no answer, or this gateway owns nothing yet
-PATIENCE = 1.0  # s for an answer
-SPREAD = 0.1  # s over which gateways that hear of a newer table at once spread their claims
+RENEW_INTERVAL_S = 10.0  # s between claims while all is as it should be
+RETRY_INTERVAL_S = 0.15  # s until the next one where the last got no answer, or this gateway owns nothing yet
+CLAIM_TIMEOUT_S = 1.0  # s for an answer
+MAX_JITTER_S = 0.1  # s over which gateways that hear of a newer table at once spread their claims
 
 
 class ShareClaims:
     def __init__(self, runtime: Runtime, core: Core, holding: Holding) -> None:
         self.runtime, self.core, self.holding = runtime, core, holding
-        self.news = asyncio.Event()
+        self.newer_table = asyncio.Event()
 
-    def heard(self, version: int) -> None:
+    def note_version(self, version: int) -> None:
         """Another gateway follows the table of this version."""
         if version > self.holding.version:
-            self.news.set()
+            self.newer_table.set()
 
-    async def follow(self) -> None:
+    async def claim_loop(self) -> None:
         while True:
             answered = await self._claim(left=False)
-            pause = RENEW if answered and self.holding.owns_any() else SOON
-            self.news.clear()
+            pause = RENEW_INTERVAL_S if answered and self.holding.owns_any() else RETRY_INTERVAL_S
+            self.newer_table.clear()
             try:
-                async with asyncio.timeout(pause * (0.75 + 0.5 * self.runtime.chance.random())):
-                    await self.news.wait()
-                await asyncio.sleep(SPREAD * self.runtime.chance.random())
+                async with asyncio.timeout(pause * (0.75 + 0.5 * self.runtime.rng.random())):
+                    await self.newer_table.wait()
+                await asyncio.sleep(MAX_JITTER_S * self.runtime.rng.random())
             except TimeoutError:
                 continue
 
-    async def give_up(self) -> None:
+    async def release(self) -> None:
         """This process ends: its parts are nobody's from now on, and may go to others if it stays away."""
         self.holding.release_all()
         await self._claim(left=True)
@@ -62,7 +62,7 @@
             tell(Event.FAILED, reason=str(error))
             return False
         now = self.runtime.clock.monotonic()
-        since = max(self.runtime.born, now - answer.age)
+        since = max(self.runtime.started_at, now - answer.age)
         # An answer that was read late, by a process that stood still, brings no allowance.
         allowed = answer.allowed and now - asked_at < MAX_ANSWER_AGE_S
         if self.holding.apply_answer(since, asked_at, table, allowed):
@@ -70,41 +70,41 @@
             tell(Event.SHARES, version=self.holding.version, cells=cells)
         return True
 
-    async def _ask(self, left: bool) -> Shares | None:
-        number, version = self.runtime.peers.next(), self.holding.version
-        if self.core.leads():
-            answer = await self.core.claim(self.runtime.settings.Ip, version, left, PATIENCE)
-            return _told(number, answer)
-        return await self._pass_on(ClaimShares(number, version, left))
+    async def _ask(self, left: bool) -> SharesReply | None:
+        number, version = self.runtime.peers.next_number(), self.holding.version
+        if self.core.is_leader():
+            answer = await self.core.claim(self.runtime.settings.Ip, version, left, CLAIM_TIMEOUT_S)
+            return _reply(number, answer)
+        return await self._forward(ClaimShares(number, version, left))
 
-    async def _pass_on(self, claim: ClaimShares) -> Shares | None:
+    async def _forward(self, claim: ClaimShares) -> SharesReply | None:
         """To the leader; where it is not known, to one of the core, who may know it."""
-        _, leader, core = self.core.known()
+        _, leader, core = self.core.known_view()
         own = self.runtime.settings.Ip
         asked = [leader] if leader else [ip for ip in core or self.runtime.settings.seeds if ip != own]
         if not asked or asked == [own]:
             return None
-        link = self.runtime.peers.link(self.runtime.chance.choice(asked))
-        told = await link.request(claim.number, claim, PATIENCE)
-        return told if isinstance(told, Shares) else None
+        link = self.runtime.peers.link(self.runtime.rng.choice(asked))
+        reply = await link.request(claim.number, claim, CLAIM_TIMEOUT_S)
+        return reply if isinstance(reply, SharesReply) else None
 
-    async def claimed(self, frames: Frames, claim: ClaimShares) -> None:
+    async def handle_claim(self, connection: PeerConnection, claim: ClaimShares) -> None:
         """Another gateway's claim: answered by the leader, passed on to it once by a member of the core."""
-        address = claim.address or frames.ip
-        if self.core.leads():
-            answer = await self.core.claim(address, claim.version, claim.left, PATIENCE)
-            frames.send(_told(claim.number, answer))
+        address = claim.address or connection.ip
+        if self.core.is_leader():
+            answer = await self.core.claim(address, claim.version, claim.left, CLAIM_TIMEOUT_S)
+            connection.send(_reply(claim.number, answer))
             return
-        told: Shares | None = None
-        if not claim.address and self.core.known()[1]:
-            number = self.runtime.peers.next()
-            told = await self._pass_on(ClaimShares(number, claim.version, claim.left, address))
-        if told is None:
-            told = Shares(claim.number, settled=False)
-        frames.send(replace(told, number=claim.number))
+        reply: SharesReply | None = None
+        if not claim.address and self.core.known_view()[1]:
+            number = self.runtime.peers.next_number()
+            reply = await self._forward(ClaimShares(number, claim.version, claim.left, address))
+        if reply is None:
+            reply = SharesReply(claim.number, settled=False)
+        connection.send(replace(reply, number=claim.number))
 
 
-def _told(number: int, answer: ShareAnswer | None) -> Shares:
+def _reply(number: int, answer: ShareAnswer | None) -> SharesReply:
     if answer is None:
-        return Shares(number, settled=False)
-    return Shares(number, answer.settled, answer.table, answer.age, answer.allowed)
+        return SharesReply(number, settled=False)
+    return SharesReply(number, answer.settled, answer.table, answer.age, answer.allowed)
--- a/coralvale/cluster/server/status.py
+++ b/coralvale/cluster/server/status.py
@@ -14,7 +14,7 @@
 def status(o: GatewayNode) -> bytes:
     now, limiter = o.runtime.clock.monotonic(), o.limiter
     usage, holding = limiter.usage, limiter.holding
-    view, leader, core = o.core.known()
+    view, leader, core = o.core.known_view()
     sent: dict[str, float] = {}
     for copy in o.instances.by_id.values():
         sent[copy.entry.row.svc] = sent.get(copy.entry.row.svc, 0.0) + copy.recent
--- a/coralvale/cluster/server/zone_reports.py
+++ b/coralvale/cluster/server/zone_reports.py
@@ -30,35 +30,35 @@
 from coralvale.cluster.server.core import Core
 from coralvale.cluster.server.membership import Membership
 from coralvale.cluster.server.messages import (
-    MOST_ADDRESSES,
-    MOST_BEATS,
+    MAX_ADDRESSES,
+    MAX_BEATS,
     decode_report,
     encode,
     pack_addresses,
     pack_health_sum,
-    pack_out,
-    pack_use_sum,
+    pack_in_flight,
+    pack_usage_sum,
     unpack_addresses,
     unpack_health_sum,
-    unpack_out,
-    unpack_use_sum,
+    unpack_in_flight,
+    unpack_usage_sum,
 )
 from coralvale.cluster.server.peers import REPORT, REPORTED
 from coralvale.cluster.server.relay import Carriers
 from coralvale.cluster.server.runtime import Runtime
 from coralvale.cluster.server.shares import ShareClaims
 
-LOOK = 0.1  # s between looks whether a report is due, at those that may speak
-HEALTH_EVERY = 0.2  # s between reports of what is ill, at the least, while it changes
-LONGEST = 60.0  # s without a report, after which a zone is forgotten
-BEATS_KEPT = 512  # beats that wait to be reported
+CHECK_INTERVAL_S = 0.1  # s between looks whether a report is due, at those that may speak
+HEALTH_INTERVAL_S = 0.2  # s between reports of what is ill, at the least, while it changes
+FORGET_AFTER_S = 60.0  # s without a report, after which a zone is forgotten
+MAX_BEATS_KEPT = 512  # beats that wait to be reported
 
 
-def hear_view(core: Core, view: int, leader: str, voters: tuple[str, ...]) -> None:
+def update_heard_view(core: Core, view: int, leader: str, voters: tuple[str, ...]) -> None:
     """Another gateway tells of a view: the newest one counts, and who leads it once that is known."""
-    known, _, before = core.heard
+    known, _, before = core.heard_view
     if view > known or (view == known and leader):
-        core.heard = (view, leader, voters or before)
+        core.heard_view = (view, leader, voters or before)
 
 
 class ZoneReportExchange:
@@ -78,74 +78,81 @@
         self.runtime, self.membership, self.core, self.changes = runtime, membership, core, changes
         self.arrivals, self.limiter, self.shares, self.instances = arrivals, limiter, shares, instances
         self.carriers, self.is_ready = carriers, is_ready
-        self.speaker, self.zones = ZoneReporter(runtime.settings.Ip), ZoneReports()
-        self.may_speak = False  # it is among the first of its zone
-        self.serial = runtime.process
-        self.present: dict[int, tuple[bytes, list[str]]] = {}  # by zone: its gateways, packed and not
+        self.reporter, self.zones = ZoneReporter(runtime.settings.Ip), ZoneReports()
+        self.may_report = False  # it is among the first of its zone
+        self.serial = runtime.process_token
+        self.members: dict[int, tuple[bytes, list[str]]] = {}  # by zone: its gateways, packed and not
         self.beats: dict[str, int] = {}  # heard in this zone since its last report
-        self.ill: dict[int, int] = {}  # ill answers by copy, as told last
-        self.health_at = 0.0
+        self.reported_ill: dict[int, int] = {}  # ill answers by copy, as told last
+        self.health_reported_at = 0.0
 
     # This zone's
 
-    async def tell(self) -> None:
+    async def report_loop(self) -> None:
         while True:
-            await asyncio.sleep(self.turn(self.runtime.clock.monotonic()))
+            await asyncio.sleep(self.step(self.runtime.clock.monotonic()))
 
-    def turn(self, now: float) -> float:
+    def step(self, now: float) -> float:
         """Reports if that is due here; seconds until the next look."""
-        there, before = self.membership.swim.there, self.membership.by_reports
-        self.membership.by_reports = uses_zone_reports(there, before)
-        order = self._order(now) if self.membership.by_reports else []
-        self.may_speak = self.speaker.address in order and self.is_ready() and not self.runtime.stopping
-        if not self.may_speak:
+        there, before = self.membership.swim.there, self.membership.uses_reports
+        self.membership.uses_reports = uses_zone_reports(there, before)
+        candidates = self._candidates(now) if self.membership.uses_reports else []
+        self.may_report = (
+            self.reporter.address in candidates and self.is_ready() and not self.runtime.stopping
+        )
+        if not self.may_report:
             self.beats.clear()
             return PERIOD
-        if now >= self.speaker.due(order):
-            self._report(now, order)
-        elif order[0] == self.speaker.address and now - self.health_at >= HEALTH_EVERY:
-            self._report_health(now, order)
-        return LOOK
+        if now >= self.reporter.due(candidates):
+            self._report(now, candidates)
+        elif candidates[0] == self.reporter.address and now - self.health_reported_at >= HEALTH_INTERVAL_S:
+            self._report_health(now, candidates)
+        return CHECK_INTERVAL_S
 
     def note_beats(self, beats: list[tuple[str, int]]) -> None:
         """Beats that gateways of this zone have heard."""
-        if self.membership.by_reports and len(self.beats) < BEATS_KEPT:
+        if self.membership.uses_reports and len(self.beats) < MAX_BEATS_KEPT:
             self.beats.update(beats)
 
-    def _here(self, now: float) -> list[str]:
+    def _reachable(self, now: float) -> list[str]:
         """This zone's gateways whose words come, this one too."""
-        others, (near, _) = self.limiter.usage.peers, self.membership.zones()
+        others, (near, _) = self.limiter.usage.peers, self.membership.broadcast_targets()
         known = [ip for ip in near if ip in others and not others[ip].left]
-        return [*(ip for ip in known if now - others[ip].heard_at <= GATEWAY_TIMEOUT_S), self.speaker.address]
+        return [
+            *(ip for ip in known if now - others[ip].heard_at <= GATEWAY_TIMEOUT_S),
+            self.reporter.address,
+        ]
 
-    def _order(self, now: float) -> list[str]:
-        here = self._here(now)
-        return self.speaker.candidates(here, self.carriers.of(now, here, relay.NEAR))
+    def _candidates(self, now: float) -> list[str]:
+        here = self._reachable(now)
+        return self.reporter.candidates(here, self.carriers.active(now, here, relay.NEAR_TIMEOUT_S))
 
-    def _report(self, now: float, order: list[str]) -> None:
+    def _report(self, now: float, candidates: list[str]) -> None:
         """All that the other zones are told."""
-        here = self._here(now)
-        self.speaker.start_report(now, len(here))
+        here = self._reachable(now)
+        self.reporter.start_report(now, len(here))
         for presence in self._presences(now, here):
-            self._send(order, presence)
-        self._send(order, UsageSum(self._head(), pack_use_sum(sum_usage(self._uses(here)))))
+            self._send(candidates, presence)
+        self._send(candidates, UsageSum(self._head(), pack_usage_sum(sum_usage(self._usage_reports(here)))))
         told = self.instances.in_flight_by_gateway
         outs = [[(copy.id_hash, count) for copy, count in told[ip][1]] for ip in here if ip in told]
         self._send(
-            order,
-            InFlightSum(self._head(), pack_out(sum_in_flight([*outs, self.instances.in_flight_counts()]))),
+            candidates,
+            InFlightSum(
+                self._head(), pack_in_flight(sum_in_flight([*outs, self.instances.in_flight_counts()]))
+            ),
         )
-        self._report_health(now, order, again=bool(self.ill))
+        self._report_health(now, candidates, again=bool(self.reported_ill))
 
     def _head(self) -> ReportHead:
         self.serial += 1
-        zone, speaker = self.membership.swim.me.zone, self.speaker
-        return ReportHead(zone, speaker.address, speaker.gateways, self.serial)
+        zone, reporter = self.membership.swim.me.zone, self.reporter
+        return ReportHead(zone, reporter.address, reporter.gateways, self.serial)
 
     def _presences(self, now: float, here: list[str]) -> list[Presence]:
-        carriers = self.carriers.of(now, here, relay.NEAR)
-        addresses = [*carriers, *(ip for ip in here if ip not in carriers)][:MOST_ADDRESSES]
-        view, leader, core = self.core.known()
+        carriers = self.carriers.active(now, here, relay.NEAR_TIMEOUT_S)
+        addresses = [*carriers, *(ip for ip in here if ip not in carriers)][:MAX_ADDRESSES]
+        view, leader, core = self.core.known_view()
         beats, self.beats = list(self.beats.items()), {}
         digest, shares = self.arrivals.register.digest, self.limiter.holding.version
         return [
@@ -158,12 +165,12 @@
                 view,
                 leader,
                 core,
-                beats[at : at + MOST_BEATS],
+                beats[at : at + MAX_BEATS],
             )
-            for at in range(0, max(1, len(beats)), MOST_BEATS)
+            for at in range(0, max(1, len(beats)), MAX_BEATS)
         ]
 
-    def _uses(self, here: list[str]) -> list[TenantUsage]:
+    def _usage_reports(self, here: list[str]) -> list[TenantUsage]:
         others = self.limiter.usage.peers
         own = {
             name: tenant.last_reported
@@ -172,75 +179,75 @@
         }
         return [own, *(others[ip].use for ip in here if ip in others)]
 
-    def _report_health(self, now: float, order: list[str], again: bool = False) -> None:
+    def _report_health(self, now: float, candidates: list[str], again: bool = False) -> None:
         """What is newly ill is told at once, not with the next report; `again`: though nothing is."""
         rows = self.instances.zone_health(now)
         ill = {mark: count for mark, _, count, *_ in rows}
-        if again or any(count > self.ill.get(mark, 0) for mark, count in ill.items()):
-            self.ill, self.health_at = ill, now
-            self._send(order, HealthSum(self._head(), pack_health_sum(rows)))
+        if again or any(count > self.reported_ill.get(mark, 0) for mark, count in ill.items()):
+            self.reported_ill, self.health_reported_at = ill, now
+            self._send(candidates, HealthSum(self._head(), pack_health_sum(rows)))
 
-    def _send(self, order: list[str], report: Report) -> None:
+    def _send(self, candidates: list[str], report: Report) -> None:
         """To one in each other zone, who tells all there; and to those that would speak in this one's place."""
         peers, data, now = self.runtime.peers, encode(report), self.runtime.clock.monotonic()
-        _, far = self.membership.zones()
+        _, far = self.membership.broadcast_targets()
         for by_lot, ips in zip(far, self.membership.far.values(), strict=True):
-            found = self.carriers.of(now, ips, relay.FAR)
-            peers.cast(self.carriers.next(found) if found else by_lot, REPORT, data)
+            found = self.carriers.active(now, ips, relay.FAR_TIMEOUT_S)
+            peers.send_datagram(self.carriers.pick(found) if found else by_lot, REPORT, data)
         if isinstance(report, Presence):
-            for ip in order:
-                if ip != self.speaker.address:
-                    peers.cast(ip, REPORTED, data)
+            for ip in candidates:
+                if ip != self.reporter.address:
+                    peers.send_datagram(ip, REPORTED, data)
 
     # The other zones'
 
-    def datagram(self, kind: bytes, body: bytes) -> list[Verdict]:
+    def handle_datagram(self, kind: bytes, body: bytes) -> list[Verdict]:
         """A part of a report; new verdicts on copies, if it leads to some."""
         now = self.runtime.clock.monotonic()
         try:
             report = decode_report(body)
             if report.head.zone == self.membership.swim.me.zone:
-                self.speaker.other_reported(now, report.head.gateways)
+                self.reporter.other_reported(now, report.head.gateways)
                 return []
             if not self.zones.accepts(now, report.head, type(report)):
                 return []
             if kind == REPORT:
-                self.runtime.peers.pace(self.membership.zones()[0], REPORTED + body)
-            return self._take(now, report)
+                self.runtime.peers.send_paced(self.membership.broadcast_targets()[0], REPORTED + body)
+            return self._apply(now, report)
         except (msgspec.MsgspecError, struct.error, OSError):
             return []
 
-    def _take(self, now: float, report: Report) -> list[Verdict]:
+    def _apply(self, now: float, report: Report) -> list[Verdict]:
         zone = report.head.zone
         match report:
             case Presence():
-                self._present(now, report)
+                self._apply_presence(now, report)
             case UsageSum():
-                use = unpack_use_sum(report.rows, self.changes.tenants)
+                use = unpack_usage_sum(report.rows, self.changes.tenants)
                 self.limiter.usage.record_zone(now, zone, use)
             case InFlightSum():
-                self.instances.update_in_flight(now, f"zone {zone}", unpack_out(report.rows))
+                self.instances.update_in_flight(now, f"zone {zone}", unpack_in_flight(report.rows))
             case HealthSum():
                 return self.instances.update_zone_health(now, zone, unpack_health_sum(report.rows))
         return []
 
-    def _present(self, now: float, report: Presence) -> None:
-        packed, addresses = self.present.get(report.head.zone, (b"", []))
+    def _apply_presence(self, now: float, report: Presence) -> None:
+        packed, addresses = self.members.get(report.head.zone, (b"", []))
         if packed != report.addresses:
             addresses = unpack_addresses(report.addresses)
-            self.present[report.head.zone] = report.addresses, addresses
+            self.members[report.head.zone] = report.addresses, addresses
             self.zones.set_members(report.head.zone, addresses)
         self.limiter.usage.mark_present(now, addresses)
-        self.membership.hear(now, addresses)
+        self.membership.record_gossip(now, addresses)
         for ip in addresses[: report.carriers]:
-            self.carriers.hear(now, ip, True)
+            self.carriers.record(now, ip, True)
         for ip in addresses[report.carriers :]:
-            self.carriers.hear(now, ip, False)
-        self.shares.heard(report.shares)
-        hear_view(self.core, report.view, report.leader, report.core)
+            self.carriers.record(now, ip, False)
+        self.shares.note_version(report.shares)
+        update_heard_view(self.core, report.view, report.leader, report.core)
         unknown = self.arrivals.register.merge_beats(now, report.beats)
         # Those that speak mend the register between zones, and those near them by their words' digests.
-        if self.may_speak:
+        if self.may_report:
             self.arrivals.compare(now, report.head.reporter, report.digest, unknown)
-        for zone in self.zones.drop_silent(now, LONGEST):
-            self.present.pop(zone, None)
+        for zone in self.zones.drop_silent(now, FORGET_AFTER_S):
+            self.members.pop(zone, None)
--- a/coralvale/lab/souring.py
+++ b/coralvale/lab/souring.py
@@ -34,7 +34,7 @@
 from coralvale.cluster.routing.copies import Instance, InstancePool
 from coralvale.cluster.routing.home import HomeRegion
 from coralvale.cluster.routing.router import Job, Router
-from coralvale.cluster.server.messages import pack_health, pack_out, unpack_health, unpack_out
+from coralvale.cluster.server.messages import pack_health, pack_in_flight, unpack_health, unpack_in_flight
 from coralvale.cluster.settings import Bounds
 from coralvale.interface import Outcome
 from coralvale.lab.model import LabError
@@ -426,7 +426,7 @@
             self.figures[f"verdicts {change.after.name.lower()}"] += 1
 
     def _out(self, gateway: Gateway) -> None:
-        data = pack_out(gateway.instances.in_flight_counts())
+        data = pack_in_flight(gateway.instances.in_flight_counts())
         for other in self.gateways:
             if other is not gateway and self.chance.random() >= WORD_LOST:
                 self.engine.later(self.day.way, self._heard_out, other, gateway.name, data)
@@ -435,7 +435,7 @@
         self.engine.later(OUT_EVERY, self._out, gateway)
 
     def _heard_out(self, gateway: Gateway, reporter: str, data: bytes) -> None:
-        gateway.instances.update_in_flight(self.engine.clock, reporter, unpack_out(data))
+        gateway.instances.update_in_flight(self.engine.clock, reporter, unpack_in_flight(data))
 
     def play(self) -> dict[str, Any]:
         for kind in self.day.kinds:
--- a/tests/cluster/soak_mutants.py
+++ b/tests/cluster/soak_mutants.py
@@ -76,10 +76,10 @@
 def ends_without_waiting() -> None:
     """Told to end, it goes at once, whatever it has in hand."""
 
-    async def leave(self: GatewayNode) -> None:
-        self.ended.set()
+    async def shut_down(self: GatewayNode) -> None:
+        self.stopped.set()
 
-    GatewayNode._leave = leave  # type: ignore[method-assign]
+    GatewayNode._shut_down = shut_down  # type: ignore[method-assign]
 
 
 @mutant
--- a/tests/cluster/test_coordination_api.py
+++ b/tests/cluster/test_coordination_api.py
@@ -11,7 +11,7 @@
 from coralvale.cluster.errors import Kind, Problem
 from coralvale.cluster.server.coordination import answer
 from coralvale.cluster.server.coordination_api import read_call, read_number, read_watch
-from coralvale.cluster.server.messages import Coordinate, framed
+from coralvale.cluster.server.messages import CoordinationRequest, frame
 
 LOCK = {"Owner": "a3.7", "HoldMs": 3000}
 HELD = LOCK | {"fence": 41}
@@ -74,7 +74,7 @@
 @pytest.mark.parametrize(("call", "body", "expected"), GOOD)
 def test_valid_calls_are_parsed(call: str, body: dict[str, Any], expected: c.Call) -> None:
     assert read_call(call, "x", json.dumps(body).encode()) == expected
-    assert framed(Coordinate(1, expected))  # and can be forwarded
+    assert frame(CoordinationRequest(1, expected))  # and can be forwarded
 
 
 @pytest.mark.parametrize(("call", "body"), BAD)
--- a/tests/cluster/test_grown.py
+++ b/tests/cluster/test_grown.py
@@ -14,13 +14,13 @@
 from coralvale.cluster.registry.register import Register, Row
 from coralvale.cluster.routing.copies import InstancePool
 from coralvale.cluster.server.messages import (
-    MOST_HEALTH_ROWS,
-    MOST_OUT,
-    Word,
+    MAX_HEALTH_ROWS,
+    MAX_IN_FLIGHT_ROWS,
+    GossipMessage,
     encode,
     pack_health,
-    pack_out,
-    pack_use,
+    pack_in_flight,
+    pack_usage,
 )
 from coralvale.standins.wire import answer
 
@@ -156,18 +156,18 @@
             (f"i-{n:08x}", n) for n in range(4)
         ]  # those received here in half a second, not the whole fleet's
         health = pack_health([(n, 9, 3) for n in range(200)])
-        word = Word(
+        word = GossipMessage(
             7,
             1 << 31,
             3,
             "10.0.0.1",
             tuple(f"10.0.0.{n}" for n in range(8)),
-            pack_use(use),
+            pack_usage(use),
             True,
             beats,
             health,
         )
         sizes[gateways] = len(encode(word))
     assert max(sizes.values()) <= DATAGRAM, sizes
-    assert len(pack_out([(n, 3) for n in range(2000)])) <= 5 * MOST_OUT <= DATAGRAM
-    assert len(pack_health([(n, 9, 3) for n in range(200)])) == 6 * MOST_HEALTH_ROWS
+    assert len(pack_in_flight([(n, 3) for n in range(2000)])) <= 5 * MAX_IN_FLIGHT_ROWS <= DATAGRAM
+    assert len(pack_health([(n, 9, 3) for n in range(200)])) == 6 * MAX_HEALTH_ROWS
--- a/tests/cluster/test_news.py
+++ b/tests/cluster/test_news.py
@@ -10,7 +10,7 @@
 import pytest
 
 from coralvale.cluster.configuration.history import Change, ChangeHistory, pack
-from coralvale.cluster.server.messages import Ask, Parcel, Told
+from coralvale.cluster.server.messages import PeerMessage, UpdateReply, UpdateRequest
 from coralvale.cluster.server.node import GatewayNode
 from coralvale.cluster.settings import parse
 from coralvale.standins.cluster import configuration, settings
@@ -31,17 +31,17 @@
             def __init__(self, ip: str) -> None:
                 self.ip = ip
 
-            async def request(self, number: int, parcel: Parcel, patience: float) -> Told:
+            async def request(self, number: int, message: PeerMessage, timeout: float) -> UpdateReply:
                 asked.append(self.ip)
-                assert isinstance(parcel, Ask)
+                assert isinstance(message, UpdateRequest)
                 if node.changes.configuration.version:
                     await asyncio.Event().wait()  # nothing newer: the request stays open
-                return Told(number, history.update_since(parcel.version), False, sure)
+                return UpdateReply(number, history.update_since(message.version), False, sure)
 
         fake: Any = node
-        fake.front = Any
+        fake.edge_server = Any
         fake.runtime.peers.link = Link
-        task = asyncio.create_task(node.changes.follow())
+        task = asyncio.create_task(node.changes.follow_core())
         while len(asked) < 2:
             await asyncio.sleep(0)
         task.cancel()
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -16,23 +16,23 @@
 from coralvale.cluster.registry.register import Row
 from coralvale.cluster.server import peers
 from coralvale.cluster.server.messages import (
-    Answer,
-    Ask,
-    Call,
+    Ack,
     ClaimShares,
-    Gossip,
+    ConfigurationRequest,
+    HostRows,
+    HostRowsRequest,
+    MembershipPacket,
     Nominate,
     Nominee,
-    Noted,
-    Parcel,
-    Pull,
+    PeerMessage,
+    PeerReply,
     Reply,
-    Rows,
-    Shares,
-    Told,
-    framed,
+    SharesReply,
+    UpdateReply,
+    UpdateRequest,
+    frame,
 )
-from coralvale.cluster.server.peers import Frames, Peers
+from coralvale.cluster.server.peers import PeerConnection, Peers
 
 LONG = 20.0  # s, far past all that is waited for
 
@@ -51,11 +51,11 @@
         return port
 
 
-def answers(frames: Frames, parcel: Parcel) -> None:
-    if isinstance(parcel, Pull):
-        frames.send(Noted(parcel.number))
-    elif isinstance(parcel, Ask):
-        frames.send(Told(parcel.number + 1))  # of another question
+def answers(connection: PeerConnection, message: PeerMessage) -> None:
+    if isinstance(message, HostRowsRequest):
+        connection.send(Ack(message.number))
+    elif isinstance(message, UpdateRequest):
+        connection.send(UpdateReply(message.number + 1))  # of another question
 
 
 def play(scene: Callable[[Peers, str, str], Awaitable[None]]) -> None:
@@ -82,12 +82,12 @@
 
 def test_one_that_says_nothing_is_given_up_in_time_and_holds_up_nobody() -> None:
     async def scene(here: Peers, there: str, silent: str) -> None:
-        slow = asyncio.create_task(here.link(silent).request(1, Pull(1), 0.4))
-        number = here.next()
-        assert await here.link(there).request(number, Pull(number), LONG) == Noted(number)
+        slow = asyncio.create_task(here.link(silent).request(1, HostRowsRequest(1), 0.4))
+        number = here.next_number()
+        assert await here.link(there).request(number, HostRowsRequest(number), LONG) == Ack(number)
         assert await slow is None
         # An answer to another question is nobody's.
-        assert await here.link(there).request(7, Ask(7, 0), 0.2) is None
+        assert await here.link(there).request(7, UpdateRequest(7, 0), 0.2) is None
         assert not here.link(there).waiting and not here.link(silent).waiting
 
     play(scene)
@@ -95,36 +95,36 @@
 
 def test_an_answer_on_a_connection_that_was_given_up_is_nobodys() -> None:
     async def scene(here: Peers, there: str, silent: str) -> None:
-        link, number = here.link(there), here.next()
-        assert await link.request(number, Pull(number), LONG) == Noted(number)
-        before, link.frames = link.frames, None  # as after a break: another connection follows
+        link, number = here.link(there), here.next_number()
+        assert await link.request(number, HostRowsRequest(number), LONG) == Ack(number)
+        before, link.connection = link.connection, None  # as after a break: another connection follows
         assert before is not None
-        number = here.next()
-        asked = asyncio.create_task(link.request(number, Pull(number), LONG))
+        number = here.next_number()
+        asked = asyncio.create_task(link.request(number, HostRowsRequest(number), LONG))
         await asyncio.sleep(0)
-        before.taken(before, Noted(number))
-        assert not asked.done() and link.stale == 1
-        assert await asked == Noted(number)
+        before.on_message(before, Ack(number))
+        assert not asked.done() and link.stale_replies == 1
+        assert await asked == Ack(number)
         before.close()
 
     play(scene)
 
 
 def test_requests_of_a_new_process_are_numbered_apart_from_those_of_the_one_before() -> None:
-    made = {Peers("127.0.0.1", 1, answers, lambda ip, data: None).next() >> 20 for _ in range(20)}
+    made = {Peers("127.0.0.1", 1, answers, lambda ip, data: None).next_number() >> 20 for _ in range(20)}
     assert len(made) > 15
 
 
 def test_a_port_where_nobody_is_answers_at_once_and_a_link_comes_back() -> None:
     async def scene(here: Peers, there: str, silent: str) -> None:
         nobody = silent[:-1] + "4"
-        assert await here.link(nobody).request(1, Pull(1), LONG) is None
+        assert await here.link(nobody).request(1, HostRowsRequest(1), LONG) is None
         here.link(there).reset()
-        assert await here.link(there).request(2, Pull(2), LONG) == Noted(2)
+        assert await here.link(there).request(2, HostRowsRequest(2), LONG) == Ack(2)
         here.link(there).reset()
-        while here.link(there).frames:
+        while here.link(there).connection:
             await asyncio.sleep(0)
-        assert await here.link(there).request(3, Pull(3), LONG) == Noted(3)
+        assert await here.link(there).request(3, HostRowsRequest(3), LONG) == Ack(3)
 
     play(scene)
 
@@ -132,18 +132,18 @@
 def test_what_one_leaves_unread_is_bounded() -> None:
     async def scene(here: Peers, there: str, silent: str) -> None:
         link = here.link(silent)
-        link.send(Pull(1))
-        while link.frames is None:
+        link.send(HostRowsRequest(1))
+        while link.connection is None:
             await asyncio.sleep(0)
-        frames, much = link.frames, Gossip(bytes(1 << 20))
+        connection, much = link.connection, MembershipPacket(bytes(1 << 20))
         for _ in range(64):
-            if not frames.send(much):
+            if not connection.send(much):
                 break
-        assert frames.transport and frames.transport.is_closing()
-        assert frames.transport.get_write_buffer_size() <= peers.BUFFERED + 2 * (1 << 20)
+        assert connection.transport and connection.transport.is_closing()
+        assert connection.transport.get_write_buffer_size() <= peers.MAX_BUFFERED_BYTES + 2 * (1 << 20)
         for _ in range(2000):  # while there is no connection, parcels wait in a bounded queue
-            link.send(Pull(2))
-        assert len(link.queue) <= peers.QUEUED
+            link.send(HostRowsRequest(2))
+        assert len(link.queue) <= peers.MAX_QUEUED
 
     play(scene)
 
@@ -161,31 +161,31 @@
         here.udp.close()
         here.udp = Udp()  # type: ignore[assignment]
         many = [f"10.0.0.{n}" for n in range(31)]
-        here.cast_all(many, [], peers.WORD, bytes(500))
+        here.broadcast(many, [], peers.GOSSIP, bytes(500))
         assert sent == many  # a wide link: at once
         sent.clear()
-        here.bytes_a_slice = 1000.0  # 100 kB/s
-        here.cast_all(many, [], peers.WORD, bytes(500))
+        here.bytes_per_interval = 1000.0  # 100 kB/s
+        here.broadcast(many, [], peers.GOSSIP, bytes(500))
         assert len(sent) <= 3
-        here.cast_all(many[:2], [], peers.OUT, b"now")  # what cannot wait does not
+        here.broadcast(many[:2], [], peers.IN_FLIGHT, b"now")  # what cannot wait does not
         assert sent[-2:] == many[:2]
-        here.pass_on(many, bytes(4) + peers.WORD + bytes(500))
+        here.forward(many, bytes(4) + peers.GOSSIP + bytes(500))
         while here.paced:
             await asyncio.sleep(0)
         assert [ip for ip in sent if ip not in many[:2]] == many[2:] * 2
         for _ in range(1000):
-            here.cast_all(many, [], peers.WORD, bytes(500))
-        assert len(here.paced) <= peers.MOST_PACED
+            here.broadcast(many, [], peers.GOSSIP, bytes(500))
+        assert len(here.paced) <= peers.MAX_PACED
 
     play(scene)
 
 
 def test_what_waits_goes_out_when_the_fleet_is_no_longer_large() -> None:
     async def scene(here: Peers, there: str, silent: str) -> None:
-        here.bytes_a_slice = 10.0
-        here.cast_all([there] * 9, [], peers.WORD, bytes(500))
+        here.bytes_per_interval = 10.0
+        here.broadcast([there] * 9, [], peers.GOSSIP, bytes(500))
         assert here.paced
-        here.bytes_a_slice = 0.0
+        here.bytes_per_interval = 0.0
         while here.paced:
             await asyncio.sleep(0)
         assert not here.pacing
@@ -194,13 +194,13 @@
 
 
 # Each question between gateways, with the one answer that it may get.
-EXCHANGES: tuple[tuple[Parcel, Answer], ...] = (
-    (Ask(5, 3), Told(5, None, False, True)),
-    (Call(5, None), Reply(5, 200, b"{}")),
-    (Pull(5, (1, 2)), Rows(5, [Row("i-1", "s", "10.0.0.1", 80, "z", "v", 4, 1, 0.0, 1)])),
+EXCHANGES: tuple[tuple[PeerMessage, PeerReply], ...] = (
+    (UpdateRequest(5, 3), UpdateReply(5, None, False, True)),
+    (ConfigurationRequest(5, None), Reply(5, 200, b"{}")),
+    (HostRowsRequest(5, (1, 2)), HostRows(5, [Row("i-1", "s", "10.0.0.1", 80, "z", "v", 4, 1, 0.0, 1)])),
     (Nominate(5, Member("d1", "core", "10.0.0.1")), Nominee(5, "d1")),
-    (ClaimShares(5, 2), Shares(5, True, b"table", 1.0)),
-    (Pull(5), Noted(5)),
+    (ClaimShares(5, 2), SharesReply(5, True, b"table", 1.0)),
+    (HostRowsRequest(5), Ack(5)),
 )
 
 
@@ -231,27 +231,27 @@
 
 @pytest.mark.parametrize("question, answer", EXCHANGES)
 def test_a_reset_at_any_byte_of_an_exchange_gives_its_answer_or_none(
-    question: Parcel, answer: Answer, monkeypatch: pytest.MonkeyPatch
+    question: PeerMessage, answer: PeerReply, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Never a part of one, nor another's; and the link serves the next question."""
-    monkeypatch.setattr(peers, "PAUSE", 0.0)
-    whole = framed(answer)
+    monkeypatch.setattr(peers, "RECONNECT_DELAY_S", 0.0)
+    whole = frame(answer)
 
     async def scene(here: Peers, there: str, silent: str) -> None:
         ip = f"{silent[:-1]}5"
         listener = await asyncio.get_running_loop().create_server(Resetting, ip, here.port)
         link = here.link(ip)
-        cuts = [(True, n) for n in range(len(framed(question)))] + [(False, n) for n in range(len(whole) + 1)]
+        cuts = [(True, n) for n in range(len(frame(question)))] + [(False, n) for n in range(len(whole) + 1)]
         for in_question, cut in cuts:
             Resetting.cut, Resetting.in_question, Resetting.answer = cut, in_question, whole
             found = await link.request(5, question, LONG)
             assert found is None or (found == answer and cut == len(whole)), (in_question, cut)
-            while link.frames:  # the reset has been seen
+            while link.connection:  # the reset has been seen
                 await asyncio.sleep(0)
             Resetting.cut = None
             assert await link.request(5, question, LONG) == answer
             link.reset()
-            while link.frames:
+            while link.connection:
                 await asyncio.sleep(0)
         assert not link.waiting
         listener.close()
--- a/tests/cluster/test_readers.py
+++ b/tests/cluster/test_readers.py
@@ -19,22 +19,22 @@
 from coralvale.cluster.registry.register import Row
 from coralvale.cluster.server.ctl import read_beat
 from coralvale.cluster.server.messages import (
-    FRAME,
-    MOST,
-    Noted,
-    Parcel,
-    Word,
-    decode_word,
+    FRAME_HEADER,
+    MAX_FRAME_BYTES,
+    Ack,
+    GossipMessage,
+    PeerMessage,
+    decode_gossip,
     encode,
-    framed,
+    frame,
     pack_health,
-    pack_out,
-    pack_use,
+    pack_in_flight,
+    pack_usage,
     unpack_health,
-    unpack_out,
-    unpack_use,
+    unpack_in_flight,
+    unpack_usage,
 )
-from coralvale.cluster.server.peers import Frames, Peers
+from coralvale.cluster.server.peers import PeerConnection, Peers
 from coralvale.cluster.settings import Settings, SettingsError, parse
 from coralvale.standins.cluster import settings as settings_text
 
@@ -100,23 +100,25 @@
 @given(st.binary(max_size=120))
 def test_arbitrary_datagrams_are_decoded_or_refused(data: bytes) -> None:
     with contextlib.suppress(msgspec.MsgspecError):
-        assert isinstance(decode_word(data), Word)
-    for unpack in (unpack_out, unpack_health, lambda d: unpack_use(d, {1: "a"})):
+        assert isinstance(decode_gossip(data), GossipMessage)
+    for unpack in (unpack_in_flight, unpack_health, lambda d: unpack_usage(d, {1: "a"})):
         try:
             assert unpack(data) is not None
         except struct.error:
             assert len(data) % 5 or len(data) % 6 or len(data) % 7
-    Peers.unpack(data)
+    Peers.unpack_forwarded(data)
 
 
 def test_packed_data_round_trips_and_fits_a_datagram() -> None:
     use = {f"tenant-{n}": (n * 9, n) for n in range(160)}
-    assert unpack_use(pack_use(use), {crc32(n.encode()): n for n in use}) == use
-    assert unpack_out(pack_out([(n, 300) for n in range(250)]))[7] == (7, 255)
-    assert len(pack_out([(n, 1) for n in range(9000)])) <= 1400
+    assert unpack_usage(pack_usage(use), {crc32(n.encode()): n for n in use}) == use
+    assert unpack_in_flight(pack_in_flight([(n, 300) for n in range(250)]))[7] == (7, 255)
+    assert len(pack_in_flight([(n, 1) for n in range(9000)])) <= 1400
     rows = [(n, 300, n) for n in range(100)]
     assert unpack_health(pack_health(rows))[0] == (99, 255, 99) and len(pack_health(rows)) <= 200
-    word = Word(1 << 40, 1 << 32, 1 << 20, "10.100.100.100", ("10.100.100.100",) * 9, pack_use(use))
+    word = GossipMessage(
+        1 << 40, 1 << 32, 1 << 20, "10.100.100.100", ("10.100.100.100",) * 9, pack_usage(use)
+    )
     assert len(encode(word)) < 1400
 
 
@@ -133,41 +135,43 @@
         return self.closed
 
 
-def make_frames() -> tuple[Frames, list[Parcel], FakeTransport]:
-    taken: list[Parcel] = []
-    made, wire = Frames(lambda _, parcel: taken.append(parcel), lambda _: None), FakeTransport()
+def make_connection() -> tuple[PeerConnection, list[PeerMessage], FakeTransport]:
+    taken: list[PeerMessage] = []
+    made, wire = PeerConnection(lambda _, message: taken.append(message), lambda _: None), FakeTransport()
     made.transport = wire  # type: ignore[assignment]
     return made, taken, wire
 
 
 @EXAMPLES
 @given(st.lists(st.integers(1, 9), max_size=60), st.binary(max_size=40))
-def test_parcels_survive_any_fragmentation_and_trailing_bytes_stay_bounded(
+def test_messages_survive_any_fragmentation_and_trailing_bytes_stay_bounded(
     cuts: list[int], rest: bytes
 ) -> None:
-    made, taken, wire = make_frames()
-    data = b"".join(framed(Noted(n)) for n in range(20))
+    made, taken, wire = make_connection()
+    data = b"".join(frame(Ack(n)) for n in range(20))
     for cut in cuts:
         made.data_received(data[:cut])
         data = data[cut:]
     made.data_received(data)
-    assert taken == [Noted(n) for n in range(20)]
+    assert taken == [Ack(n) for n in range(20)]
     made.data_received(rest)
     assert len(made.buffer) <= len(rest)
 
 
-@pytest.mark.parametrize("size, closed", [(MOST + 1, True), (1 << 31, True), (MOST, False)])
+@pytest.mark.parametrize(
+    "size, closed", [(MAX_FRAME_BYTES + 1, True), (1 << 31, True), (MAX_FRAME_BYTES, False)]
+)
 def test_a_frame_beyond_the_size_limit_closes_its_connection(size: int, closed: bool) -> None:
-    made, taken, wire = make_frames()
-    made.data_received(FRAME.pack(size) + b"x")
+    made, taken, wire = make_connection()
+    made.data_received(FRAME_HEADER.pack(size) + b"x")
     assert wire.closed is closed and not taken
 
 
-def test_parcels_and_fields_of_a_newer_version_are_ignored() -> None:
-    made, taken, wire = make_frames()
+def test_messages_and_fields_of_a_newer_version_are_ignored() -> None:
+    made, taken, wire = make_connection()
     unknown = msgspec.msgpack.encode([99, 1, "what"])
-    made.data_received(FRAME.pack(len(unknown)) + unknown + framed(Noted(1)))
-    assert taken == [Noted(1)] and not wire.closed
+    made.data_received(FRAME_HEADER.pack(len(unknown)) + unknown + frame(Ack(1)))
+    assert taken == [Ack(1)] and not wire.closed
     longer = msgspec.msgpack.encode([8, 7, "a field that came later"])
-    made.data_received(FRAME.pack(len(longer)) + longer)
-    assert taken == [Noted(1), Noted(7)]
+    made.data_received(FRAME_HEADER.pack(len(longer)) + longer)
+    assert taken == [Ack(1), Ack(7)]
--- a/tests/cluster/test_relay.py
+++ b/tests/cluster/test_relay.py
@@ -14,11 +14,11 @@
 from coralvale.cluster.registry.register import PARTS, Register, Row, part
 from coralvale.cluster.server import relay
 from coralvale.cluster.server.arrivals import DIFFERS
-from coralvale.cluster.server.gossip import NEAR_ONLY
-from coralvale.cluster.server.messages import Word, encode, pack_out
+from coralvale.cluster.server.gossip import ZONE_ONLY_KINDS
+from coralvale.cluster.server.messages import GossipMessage, encode, pack_in_flight
 from coralvale.cluster.server.node import GatewayNode
-from coralvale.cluster.server.peers import CARRY, LOAD, OUT, WORD
-from coralvale.cluster.server.relay import Carriers, RelayBatch, unpack
+from coralvale.cluster.server.peers import GOSSIP, IN_FLIGHT, RELAY_BATCH, RELAY_REQUEST
+from coralvale.cluster.server.relay import Carriers, RelayBatch, unpack_batch
 from coralvale.cluster.settings import parse
 from coralvale.members.model import Member, State, Update
 from coralvale.members.swim import Known
@@ -40,18 +40,18 @@
         self.carriers = self.ips[: 2 * carriers]
         for one in self.all.values():
             for ip in self.carriers:
-                one.gossip.carriers.hear(self.now, ip, True)
+                one.gossip.carriers.record(self.now, ip, True)
 
     def _made(self, number: int) -> GatewayNode:
         one = GatewayNode(parse(settings(number, self.ips, 3, Path("/nowhere"), False)), "")
         fake: Any = one
         fake.runtime.clock = self
-        one.membership.begin()
+        one.membership.start()
         for n, ip in enumerate(self.ips):
             if n != number:
                 member = Member(f"gateway-{n}", (ip, 1), n % 2)
                 one.membership.swim.known[member.name] = Known(Update(State.ALIVE, member, 1), self.now)
-        one.membership.swim.others, one.membership.large, one.gossip.relaying = None, True, True
+        one.membership.swim.others, one.membership.is_large, one.gossip.batch_scheduled = None, True, True
         fake.runtime.peers.udp = self._udp(self.ips[number])
         return one
 
@@ -75,24 +75,26 @@
             while self.waiting:
                 ip, at, data = self.waiting.pop(0)
                 if ip not in self.dead and at not in self.dead:
-                    self.all[at].gossip.datagram(ip, data)
+                    self.all[at].gossip.handle_datagram(ip, data)
             for one in self.all.values():
                 if one.gossip.batch.near:
                     one.gossip.send_batch()
-                    one.gossip.relaying = True
+                    one.gossip.batch_scheduled = True
             if not self.waiting:
                 return
 
     def words(self) -> None:
         for ip in self.ips:
             if ip not in self.dead:
-                self.all[ip].gossip.tell_all(WORD, encode(Word(1, 0, carries=ip in self.carriers)))
+                self.all[ip].gossip.send_to_all(
+                    GOSSIP, encode(GossipMessage(1, 0, carries=ip in self.carriers))
+                )
         self.deliver()
 
     def heard(self) -> list[int]:
         """Of how many others each that lives has heard now."""
         return [
-            sum(at == self.now for at in one.membership.talks.values())
+            sum(at == self.now for at in one.membership.gossip_heard_at.values())
             for ip, one in self.all.items()
             if ip not in self.dead
         ]
@@ -116,9 +118,11 @@
         assert 4 * sum(fleet.sent.values()) < sum(direct.sent.values())
         # What is out goes to the zone alone; words go on to the other, once.
         fleet.kinds.clear()
-        fleet.all[others[0]].gossip.tell_all(OUT, pack_out([(1, 1)]))
+        fleet.all[others[0]].gossip.send_to_all(IN_FLIGHT, pack_in_flight([(1, 1)]))
         fleet.deliver()
-        assert OUT in NEAR_ONLY and not fleet.kinds[CARRY] and fleet.kinds[LOAD] == 1
+        assert (
+            IN_FLIGHT in ZONE_ONLY_KINDS and not fleet.kinds[RELAY_BATCH] and fleet.kinds[RELAY_REQUEST] == 1
+        )
 
     play(scene)
 
@@ -132,18 +136,20 @@
             fleet.now += 0.1
             fleet.words()
             for ip, one in fleet.all.items():
-                heard[ip] += sum(at == fleet.now for at in one.membership.talks.values())
+                heard[ip] += sum(at == fleet.now for at in one.membership.gossip_heard_at.values())
         for ip, one in fleet.all.items():
             # Each of the others was heard of in two of four rounds, or is dead itself.
             assert ip in fleet.dead or (
-                len(one.membership.talks) == MANY - 2 and heard[ip] >= 1.4 * (MANY - 2)
+                len(one.membership.gossip_heard_at) == MANY - 2 and heard[ip] >= 1.4 * (MANY - 2)
             )
-        fleet.dead, before = set(fleet.carriers), fleet.kinds[LOAD]
-        fleet.now += max(relay.NEAR, relay.FAR) + 0.1
+        fleet.dead, before = set(fleet.carriers), fleet.kinds[RELAY_REQUEST]
+        fleet.now += max(relay.NEAR_TIMEOUT_S, relay.FAR_TIMEOUT_S) + 0.1
         fleet.words()
         # All tell all: in their zone each, in the other but for what was told, by lot, to one that is dead.
         alive = MANY - len(fleet.dead)
-        assert min(fleet.heard()) >= alive // 2 - 1 + 0.7 * alive / 2 and not fleet.kinds[LOAD] - before
+        assert (
+            min(fleet.heard()) >= alive // 2 - 1 + 0.7 * alive / 2 and not fleet.kinds[RELAY_REQUEST] - before
+        )
 
     play(scene)
 
@@ -151,68 +157,77 @@
 def test_who_carries_is_ready_and_has_a_link_that_bears_it() -> None:
     def scene() -> None:
         one = next(iter(Fleet(0).all.values()))
-        assert not one.gossip.carries(one.runtime.clock.monotonic())  # it knows no configuration
+        assert not one.gossip.is_carrier(one.runtime.clock.monotonic())  # it knows no configuration
         one.was_ready = True
         taken = parse_configuration(configuration(1, ["s"]), Configuration())
         assert isinstance(taken, Configuration)
         one.changes.configuration = taken
-        assert one.gossip.carries(one.runtime.clock.monotonic())
+        assert one.gossip.is_carrier(one.runtime.clock.monotonic())
         one.runtime.stopping = True
-        assert not one.gossip.carries(one.runtime.clock.monotonic())
-        assert relay.bears(96, 31, 12.5e6, PERIOD) and not relay.bears(96, 31, 0.25e6, PERIOD)
+        assert not one.gossip.is_carrier(one.runtime.clock.monotonic())
+        assert relay.can_carry(96, 31, 12.5e6, PERIOD) and not relay.can_carry(96, 31, 0.25e6, PERIOD)
 
     play(scene)
 
 
 def test_the_newest_word_of_each_kind_goes_and_what_waits_is_bounded() -> None:
     batch = RelayBatch()
-    batch.add("10.0.0.1", WORD + b"old", True)
-    batch.add("10.0.0.1", WORD + b"new", True)
-    batch.add("10.0.0.1", OUT + b"out", False)
+    batch.add("10.0.0.1", GOSSIP + b"old", True)
+    batch.add("10.0.0.1", GOSSIP + b"new", True)
+    batch.add("10.0.0.1", IN_FLIGHT + b"out", False)
     near, far = batch.take()
-    assert [list(unpack(data)) for data in near] == [
-        [("10.0.0.1", WORD + b"new"), ("10.0.0.1", OUT + b"out")]
+    assert [list(unpack_batch(data)) for data in near] == [
+        [("10.0.0.1", GOSSIP + b"new"), ("10.0.0.1", IN_FLIGHT + b"out")]
     ]
-    assert [list(unpack(data)) for data in far] == [[("10.0.0.1", WORD + b"new")]]
+    assert [list(unpack_batch(data)) for data in far] == [[("10.0.0.1", GOSSIP + b"new")]]
     assert batch.take() == ([], [])
-    for n in range(3 * relay.MOST_LOADED):
-        batch.add(f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}", WORD + bytes(200), True)
-    assert len(batch.near) == len(batch.far) == relay.MOST_LOADED
+    for n in range(3 * relay.MAX_BATCHED):
+        batch.add(f"10.{n >> 16}.{n >> 8 & 255}.{n & 255}", GOSSIP + bytes(200), True)
+    assert len(batch.near) == len(batch.far) == relay.MAX_BATCHED
     near, _ = batch.take()
-    assert max(map(len, near)) <= relay.MOST_BYTES
-    assert sum(len(list(unpack(data))) for data in near) == relay.MOST_LOADED
+    assert max(map(len, near)) <= relay.MAX_DATAGRAM_BYTES
+    assert sum(len(list(unpack_batch(data))) for data in near) == relay.MAX_BATCHED
     chance = random.Random(3)
     for _ in range(300):  # what is cut short, or noise, tells nothing that was not there
         data = near[0][: chance.randrange(len(near[0]))]
-        assert all(len(whole) == 201 for _, whole in unpack(data))
-        list(unpack(chance.randbytes(chance.randrange(64))))
+        assert all(len(whole) == 201 for _, whole in unpack_batch(data))
+        list(unpack_batch(chance.randbytes(chance.randrange(64))))
 
 
 def test_carriers_are_the_same_at_all_and_forgotten_when_silent() -> None:
     carriers, ips = Carriers(), [f"10.0.0.{n}" for n in range(1, 9)]
     for ip in chance_order(ips):
-        carriers.hear(1.0, ip, True)
-    assert carriers.of(1.5, ips, relay.NEAR) == ips[: relay.FEWEST]
-    carriers.hear(1.6, ips[0], False)
-    assert carriers.of(1.6, ips, relay.NEAR) == ips[1:3]
-    carriers.hear(2.5, ips[5], True)
-    assert carriers.of(2.5, ips, relay.NEAR) == [ips[5]]
-    carriers.keep({ips[0]})
-    assert not carriers.heard
+        carriers.record(1.0, ip, True)
+    assert carriers.active(1.5, ips, relay.NEAR_TIMEOUT_S) == ips[: relay.MIN_CARRIERS]
+    carriers.record(1.6, ips[0], False)
+    assert carriers.active(1.6, ips, relay.NEAR_TIMEOUT_S) == ips[1:3]
+    carriers.record(2.5, ips[5], True)
+    assert carriers.active(2.5, ips, relay.NEAR_TIMEOUT_S) == [ips[5]]
+    carriers.retain({ips[0]})
+    assert not carriers.heard_at
 
 
 def test_a_large_zone_has_more_carriers_and_only_wide_links_with_a_replica_share_its_work() -> None:
     wide, narrow = 12.5e6, 0.25e6
-    assert [relay.wanted(n, n // 3, PERIOD) for n in (30, 96, 300, 3000)] == [2, 2, 7, relay.MOST]
+    assert [relay.carrier_count(n, n // 3, PERIOD) for n in (30, 96, 300, 3000)] == [
+        2,
+        2,
+        7,
+        relay.MAX_CARRIERS,
+    ]
     for replica in (False, True):
-        assert relay.bears(96, 31, wide, PERIOD, replica) and not relay.bears(30, 10, narrow, PERIOD, replica)
-    assert relay.bears(300, 99, wide, PERIOD, True) and not relay.bears(300, 99, wide, PERIOD, False)
-    assert not relay.bears(300, 99, narrow, PERIOD, True) and not relay.bears(2300, 115, wide, PERIOD, True)
+        assert relay.can_carry(96, 31, wide, PERIOD, replica) and not relay.can_carry(
+            30, 10, narrow, PERIOD, replica
+        )
+    assert relay.can_carry(300, 99, wide, PERIOD, True) and not relay.can_carry(300, 99, wide, PERIOD, False)
+    assert not relay.can_carry(300, 99, narrow, PERIOD, True) and not relay.can_carry(
+        2300, 115, wide, PERIOD, True
+    )
     carriers, ips = Carriers(), [f"10.0.0.{n}" for n in range(1, 9)]
-    carriers.most = 5
+    carriers.max_active = 5
     for ip in ips:
-        carriers.hear(1.0, ip, True)
-    assert carriers.of(1.5, ips, relay.NEAR) == ips[:5]
+        carriers.record(1.0, ip, True)
+    assert carriers.active(1.5, ips, relay.NEAR_TIMEOUT_S) == ips[:5]
 
 
 def chance_order(ips: list[str]) -> list[str]:
@@ -253,16 +268,16 @@
         for n in range(40):  # hosts come all the while: not before it has lasted
             fleet.now += PERIOD
             one.register.merge(fleet.now, row(n))
-            one.gossip.word(fleet.now, other, Word(1, 1000 + n))
+            one.gossip.handle_gossip(fleet.now, other, GossipMessage(1, 1000 + n))
             assert bool(pulled) == (n * PERIOD >= DIFFERS)
         one.arrivals.mismatch.clear()
         pulled.clear()
         for _ in range(2):
             assert not pulled
             fleet.now += PERIOD
-            one.gossip.word(fleet.now, other, Word(1, 5))
+            one.gossip.handle_gossip(fleet.now, other, GossipMessage(1, 5))
         assert pulled  # both are still, and differ
-        one.gossip.word(fleet.now, other, Word(1, one.register.digest))
+        one.gossip.handle_gossip(fleet.now, other, GossipMessage(1, one.register.digest))
         assert not one.arrivals.mismatch
 
     play(scene)
--- a/tests/cluster/test_spread.py
+++ b/tests/cluster/test_spread.py
@@ -14,10 +14,10 @@
 from coralvale.cluster.registry.register import Register, Row, gone_row
 from coralvale.cluster.server import gossip
 from coralvale.cluster.server.hosts import Hosts
-from coralvale.cluster.server.membership import TALKS
-from coralvale.cluster.server.messages import Noted, Word
+from coralvale.cluster.server.membership import GOSSIP_ALIVE_S
+from coralvale.cluster.server.messages import Ack, GossipMessage
 from coralvale.cluster.server.node import GatewayNode
-from coralvale.cluster.server.peers import LIFE
+from coralvale.cluster.server.peers import HOST_ROWS
 from coralvale.cluster.settings import parse
 from coralvale.members.model import Member, State, Update
 from coralvale.members.swim import Known
@@ -32,12 +32,12 @@
     def __init__(self, asked: Counter[str], ip: str, there: asyncio.Event) -> None:
         self.asked, self.ip, self.membership = asked, ip, there
 
-    async def request(self, number: int, parcel: Any, patience: float) -> Noted | None:
+    async def request(self, number: int, message: Any, timeout: float) -> Ack | None:
         self.asked[self.ip] += 1
         if not self.membership.is_set():
             await asyncio.sleep(0)
             return None
-        return Noted(number)
+        return Ack(number)
 
 
 ROW = Row("i-1", "s", "10.0.1.1", 80, "z", "v", 4, 1, 0.0, 7)
@@ -63,10 +63,10 @@
             there[ip].set()
         fake: Any = node
         fake.runtime.peers.link = links.__getitem__
-        fake.runtime.peers.cast_all = lambda near, far, kind, data: cast.append(kind)
+        fake.runtime.peers.broadcast = lambda near, far, kind, data: cast.append(kind)
         fake.membership.others = lambda: [Member(ip, (ip, 1), 0) for ip in IPS[1:]]
-        fake.membership.zones = lambda: (IPS[1:], [])
-        node.core.heard = (1, IPS[0], tuple(IPS[:core]))
+        fake.membership.broadcast_targets = lambda: (IPS[1:], [])
+        node.core.heard_view = (1, IPS[0], tuple(IPS[:core]))
         well = await call(node)
         before = Counter(asked)
         for event in there.values():
@@ -83,7 +83,7 @@
     well, asked, cast, later = play(3, {IPS[4]})
     assert well and later >= 1 and asked[IPS[4]] > 1  # the silent one was told once it answered
     assert [asked[ip] for ip in IPS[1:4]] == [1, 1, 1]
-    assert cast == [LIFE]  # and all at once by datagram
+    assert cast == [HOST_ROWS]  # and all at once by datagram
 
 
 def test_without_a_majority_of_the_core_a_drain_is_not_acknowledged() -> None:
@@ -106,7 +106,7 @@
         return node.arrivals.leave("i-unknown")
 
     well, asked, cast, _ = play(3, set(), leave)
-    assert well and cast == [LIFE] and all(asked[ip] == 1 for ip in IPS[1:])
+    assert well and cast == [HOST_ROWS] and all(asked[ip] == 1 for ip in IPS[1:])
     assert not play(3, {IPS[1], IPS[2]}, leave)[0]
     known = Register(1.5)
     known.merge(0.0, replace(ROW, state=0))
@@ -130,20 +130,20 @@
 def test_a_gateway_that_membership_calls_dead_still_gets_reports_while_its_own_arrive() -> None:
     async def whole() -> None:
         node = GatewayNode(parse(settings(0, IPS, 3, Path("/nowhere"), False)), "")
-        node.membership.begin()
+        node.membership.start()
         now = node.runtime.clock.monotonic()
         for n, state in enumerate((State.ALIVE, State.DEAD, State.DEAD, State.LEFT), 1):
             member = Member(f"gateway-{n}", (IPS[n], 1), 0)
             node.membership.swim.known[member.name] = Known(Update(state, member, 1), now)
         node.membership.swim.others = None
-        word = Word(1, 0)
+        word = GossipMessage(1, 0)
         for n in (2, 4):
-            node.gossip.word(now, IPS[n], word)
+            node.gossip.handle_gossip(now, IPS[n], word)
         assert {m.address[0] for m in node.membership.others()} == {
             IPS[1],
             IPS[2],
         }  # neither the silent one nor the one that left
-        node.membership.talks[IPS[2]] = now - TALKS - 0.1
+        node.membership.gossip_heard_at[IPS[2]] = now - GOSSIP_ALIVE_S - 0.1
         assert {m.address[0] for m in node.membership.others()} == {IPS[1]}
 
     asyncio.run(whole())
@@ -157,20 +157,22 @@
         monkeypatch.setattr(gossip, "tell", lambda event, **fields: logged.append({"event": event, **fields}))
         regions = ("home", "abroad")  # of zone-0 and zone-1
         node = GatewayNode(parse(settings(0, IPS, 3, Path("/nowhere"), False, regions)), "")
-        node.membership.begin()
+        node.membership.start()
         now = node.runtime.clock.monotonic()
         for n in (1, 2):
             member = Member(f"gateway-{n}", (IPS[n], 1), n % 2)
             node.membership.swim.known[member.name] = Known(Update(State.ALIVE, member, 1), now)
         node.membership.swim.others = None
         for _ in range(3):
-            node.gossip.word(now, IPS[1], Word(1, 0, region="home"))  # it is in zone-1
-            node.gossip.word(now, IPS[2], Word(1, 0, region="home"))
-            node.gossip.word(now, IPS[1], Word(1, 0))  # an incomplete report names no region
+            node.gossip.handle_gossip(now, IPS[1], GossipMessage(1, 0, region="home"))  # it is in zone-1
+            node.gossip.handle_gossip(now, IPS[2], GossipMessage(1, 0, region="home"))
+            node.gossip.handle_gossip(
+                now, IPS[1], GossipMessage(1, 0)
+            )  # an incomplete report names no region
         assert [(row["name"], row["zone"], row["region"], row["by_zone"]) for row in logged] == [
             ("gateway-1", "zone-1", "home", "abroad")
         ]
-        node.gossip.word(now, IPS[1], Word(1, 0, region="abroad"))
+        node.gossip.handle_gossip(now, IPS[1], GossipMessage(1, 0, region="abroad"))
         assert len(logged) == 1
 
     asyncio.run(whole())
--- a/tests/cluster/test_zone_reports.py
+++ b/tests/cluster/test_zone_reports.py
@@ -30,8 +30,8 @@
 from coralvale.cluster.reports.sums import sum_in_flight, sum_usage
 from coralvale.cluster.reports.zones import STALE_AFTER_S, ZoneReports
 from coralvale.cluster.routing.copies import id_hash
-from coralvale.cluster.server.messages import Word, encode, pack_health, pack_out, pack_use
-from coralvale.cluster.server.peers import CARRY, HEALTH, OUT, PASS, REPORT, WORD
+from coralvale.cluster.server.messages import GossipMessage, encode, pack_health, pack_in_flight, pack_usage
+from coralvale.cluster.server.peers import FORWARD, GOSSIP, HEALTH, IN_FLIGHT, RELAY_BATCH, REPORT
 
 ZONES, GATEWAYS_PER_ZONE = 3, 6
 CHECK_INTERVAL_S = 0.1
@@ -304,7 +304,7 @@
     def scene() -> None:
         fleet = RelayFleet(2)
         for one in fleet.all.values():
-            one.membership.by_reports, one.was_ready = True, True
+            one.membership.uses_reports, one.was_ready = True, True
             one.membership.swim.there = MANY
             one.changes.configuration = Configuration(1)
             one.changes.tenants = {crc32(TENANT.encode()): TENANT}
@@ -317,30 +317,37 @@
             fleet.kinds.clear()
             fleet.now += PERIOD
             for ip, one in fleet.all.items():
-                one.gossip.carriers.hear(fleet.now, ip, ip in fleet.carriers)
-                use, beats = pack_use({TENANT: (4, 2)}), [("i-1", int(fleet.now * 10))]
-                word = Word(
+                one.gossip.carriers.record(fleet.now, ip, ip in fleet.carriers)
+                use, beats = pack_usage({TENANT: (4, 2)}), [("i-1", int(fleet.now * 10))]
+                word = GossipMessage(
                     1, one.register.digest, 3, first, (first,), use, beats=beats, carries=ip in fleet.carriers
                 )
-                one.gossip.tell_all(WORD, encode(word))
-                one.gossip.tell_all(OUT, pack_out([(id_hash("i-1"), 1)]))
-                one.gossip.tell_all(HEALTH, pack_health([(id_hash("i-1"), 0, 3)] if ip == first else []))
+                one.gossip.send_to_all(GOSSIP, encode(word))
+                one.gossip.send_to_all(IN_FLIGHT, pack_in_flight([(id_hash("i-1"), 1)]))
+                one.gossip.send_to_all(HEALTH, pack_health([(id_hash("i-1"), 0, 3)] if ip == first else []))
             fleet.deliver()
             for one in fleet.all.values():
-                one.gossip.reports.turn(fleet.now)
+                one.gossip.reports.step(fleet.now)
             fleet.deliver()
         # No gossip message goes to the other zone; its report goes to one gateway there.
-        assert not fleet.kinds[CARRY] and not fleet.kinds[PASS] and 2 * 3 <= fleet.kinds[REPORT] <= 2 * 5
+        assert (
+            not fleet.kinds[RELAY_BATCH]
+            and not fleet.kinds[FORWARD]
+            and 2 * 3 <= fleet.kinds[REPORT] <= 2 * 5
+        )
         near = MANY // 2 - 1
         for ip, one in fleet.all.items():
-            usage, silent = one.limiter.usage, [at for at in one.membership.talks.values() if at < fleet.now]
-            assert len(one.membership.talks) == MANY - 1 and not silent
+            usage, silent = (
+                one.limiter.usage,
+                [at for at in one.membership.gossip_heard_at.values() if at < fleet.now],
+            )
+            assert len(one.membership.gossip_heard_at) == MANY - 1 and not silent
             assert usage.has_heard_all() and usage.is_reachable(fleet.now, last if ip != last else first)
             # Its own zone by gossip messages; the other zone without what its reporter itself admitted.
             assert usage.elsewhere(TENANT).newest == 2 * near + 2 * near
             copy = one.instances.by_hash[id_hash("i-1")]
             assert copy.in_flight_elsewhere == near + near and copy.entry.row.calls == int(fleet.now * 10)
-            assert one.core.heard == (3, first, (first,))
+            assert one.core.heard_view == (3, first, (first,))
             assert one.instances.health.zone_reports or one.membership.swim.me.zone == 0
 
     play(scene)
