--- a/benchmarks/cluster.py
+++ b/benchmarks/cluster.py
@@ -45,7 +45,7 @@
     RELAYED_IN_FLIGHT_BYTES,
     RELAYED_IN_FLIGHT_INTERVAL_S,
 )
-from coralvale.cluster.server.membership import LARGE_FLEET_FROM
+from coralvale.cluster.server.membership import LARGE_FLEET_ABOVE
 from coralvale.cluster.server.messages import GossipMessage, encode, pack_in_flight, pack_usage
 from coralvale.cluster.server.relay import BATCH_INTERVAL_S, RelayBatch
 from coralvale.cluster.settings import Bounds
@@ -213,7 +213,7 @@
     words = (word(changed) + 1 + UDP) / PERIOD
     # To each gateway of the zone, to one of each other zone, and what comes from there to each of the zone.
     apart = (
-        gateways - 1 <= LARGE_FLEET_FROM
+        gateways - 1 <= LARGE_FLEET_ABOVE
     )  # in-flight counts are sent apart; else other zones get them in reports
     far = out / every if apart else (out - 1 - UDP) / PERIOD
     loaded = words * (near + zones - 1) + out * near / every + far * (zones - 1)
--- a/coralvale/cluster/server/changes.py
+++ b/coralvale/cluster/server/changes.py
@@ -1,5 +1,5 @@
-"""The configuration: an operator's calls, settled here or passed on, and news of it for those without a
-seat."""
+"""The configuration: handles operators' calls, here or at the leader, and distributes updates to gateways
+without a replica."""
 
 from __future__ import annotations
 
@@ -21,27 +21,29 @@
 from coralvale.cluster.server.runtime import Runtime
 from coralvale.net.server import Bounds as ClientBounds
 
-LONG_POLL_S = 1.0  # s for which a question for news is kept when there is none
-CONTACT_CHECK_INTERVAL_S = 0.25  # s between looks at whether the one that is asked is cut off itself
-REPLY_MARGIN_S = 0.8  # s more, after which the one that was asked is taken for cut off
-FORWARD_TIMEOUT_S = 0.9  # s that the leader is given for an operator's call
-TIMEOUT_PER_10_MB_S = 4.0  # s more for each 10 MB of it
+LONG_POLL_S = 1.0  # for which a request waits if there is no update
+CONTACT_CHECK_INTERVAL_S = 0.25  # between checks whether the gateway that answers has lost the core itself
+REPLY_MARGIN_S = 0.8  # after the long poll's end, until its receiver counts as unreachable
+FORWARD_TIMEOUT_S = 0.9  # for the leader to answer an operator's call
+TIMEOUT_PER_10_MB_S = 4.0  # additional, per 10 MB of the call
 
 
 class Changes:
+    """The configuration in force at this gateway, and operators' reads and changes of it."""
+
     def __init__(
         self, runtime: Runtime, router: Router, set_client_bounds: Callable[[ClientBounds], None]
     ) -> None:
-        """`bound_clients`: with the limits of a configuration that comes into force."""
+        """`set_client_bounds`: called with the limits of each new configuration."""
         self.runtime, self.router, self.set_client_bounds = runtime, router, set_client_bounds
         self.home = router.home
         self.core: Core
         self.configuration = Configuration()
-        self.tenants: dict[int, str] = {}  # by what stands for them in words
+        self.tenants: dict[int, str] = {}  # by CRC of the name, as in messages
         self.waiters: set[asyncio.Future[None]] = set()
 
     def apply(self, configuration: Configuration) -> None:
-        """Swapped whole; one that is not newer is passed over."""
+        """Puts a configuration in force as a whole; ignores one that is not newer."""
         if not self.router.take_configuration(configuration):
             return
         self.configuration = configuration
@@ -65,41 +67,43 @@
                 waiter.set_result(None)
 
     async def follow_core(self) -> None:
-        """A gateway without a vote, or that hears no leader, asks a member of the core for news, and another
-        when that one is silent."""
-        at = ""
+        """While this gateway gets no changes from the log: asks a member of the core for updates, and another
+        one if that does not answer."""
+        target = ""
         while True:
             if self.core.follows_log():
                 await asyncio.sleep(0.2)
                 continue
             _, _, core = self.core.known_view()
             if not core:
-                # Seeds are the ones that are known from the start, and after the loss of all they have what was
-                # acknowledged on their disks: what they serve by is better than nothing until the core is back.
+                # The seeds are known from the start, and after an outage of all gateways their disks have the
+                # acknowledged configuration: it is better than none until the core is back.
                 settings = self.runtime.settings
                 core = tuple(ip for ip in settings.seeds if ip != settings.Ip)
                 if not core:
                     await asyncio.sleep(0.05)
                     continue
-            if at not in core:
-                at = self.runtime.rng.choice(core)
-            number, link, known = (
+            if target not in core:
+                target = self.runtime.rng.choice(core)
+            number, link, known_version = (
                 self.runtime.peers.next_number(),
-                self.runtime.peers.link(at),
+                self.runtime.peers.link(target),
                 self.configuration.version,
             )
-            answer = await link.request(number, UpdateRequest(number, known), LONG_POLL_S + REPLY_MARGIN_S)
-            if self.core.follows_log() or self.configuration.version != known:
-                continue  # it came to know more by another way
-            if not isinstance(answer, UpdateReply) or answer.lost:
+            answer = await link.request(
+                number, UpdateRequest(number, known_version), LONG_POLL_S + REPLY_MARGIN_S
+            )
+            if self.core.follows_log() or self.configuration.version != known_version:
+                continue  # updated meanwhile in another way
+            if not isinstance(answer, UpdateReply) or answer.isolated:
                 if not isinstance(answer, UpdateReply):
                     link.reset()
-                others = [ip for ip in core if ip != at]
-                at = self.runtime.rng.choice(others) if others else at
+                others = [ip for ip in core if ip != target]
+                target = self.runtime.rng.choice(others) if others else target
                 await asyncio.sleep(0.05)
-            elif answer.sure:
+            elif answer.in_contact:
                 self.home.core_heard_at = self.runtime.clock.monotonic()
-            if isinstance(answer, UpdateReply) and not answer.lost and answer.update:
+            if isinstance(answer, UpdateReply) and not answer.isolated and answer.update:
                 configuration = apply_update(self.configuration, answer.update)
                 if isinstance(configuration, Problem):
                     tell(Event.NEWS_BAD, reason=configuration.reason)
@@ -108,11 +112,14 @@
                     self.apply(configuration)
 
     async def handle_update_request(self, connection: PeerConnection, request: UpdateRequest) -> None:
-        """News for a gateway without a vote. What is told was committed; `sure` says that this replica hears a
-        leader, so that nothing newer was committed longer ago than a leader may be silent."""
-        ends = self.runtime.clock.monotonic() + LONG_POLL_S
+        """Answers a gateway without a replica, when there is an update or after `LONG_POLL_S`.
+
+        The update was committed. `in_contact`: this replica is in contact with a leader, so anything newer
+        was committed no longer ago than a leader may be silent.
+        """
+        deadline = self.runtime.clock.monotonic() + LONG_POLL_S
         while (update := self.core.history.update_since(request.version)) is None:
-            left = ends - self.runtime.clock.monotonic()
+            left = deadline - self.runtime.clock.monotonic()
             if left <= 0:
                 break
             waiter: asyncio.Future[None] = self.runtime.loop.create_future()
@@ -125,14 +132,15 @@
                     break
             finally:
                 self.waiters.discard(waiter)
-        sure = self.core.in_contact()
-        connection.send(UpdateReply(request.number, update, update is None and not sure, sure))
+        in_contact = self.core.in_contact()
+        connection.send(UpdateReply(request.number, update, update is None and not in_contact, in_contact))
 
     async def change(self, change: Change) -> Answered:
-        """An operator's change: settled here by the leader, passed on to it by any other."""
+        """An operator's change: decided here if this is the leader, else forwarded to it."""
         return await self._decide_or_forward(change)
 
     async def read(self) -> Answered:
+        """An operator's read of the newest configuration."""
         return await self._decide_or_forward(None)
 
     async def _decide_or_forward(self, change: Change | None) -> Answered:
@@ -152,13 +160,13 @@
         return 503, b"the leader does not answer"
 
     async def _decide(self, change: Change | None, timeout: float) -> Answered:
-        """By the leader: see `coralvale.cluster.orders`."""
-        begun = self.runtime.clock.monotonic()
+        """At the leader: submits a change or a read (see `coralvale.cluster.orders`)."""
+        started_at = self.runtime.clock.monotonic()
         answer = await self.core.submit_change(change, timeout)
         if answer is None:
             return 503, b"no majority answers"
         if answer.change:
-            ms = (self.runtime.clock.monotonic() - begun) * 1000
+            ms = (self.runtime.clock.monotonic() - started_at) * 1000
             tell(Event.CHANGE_TAKEN, version=self.core.history.configuration.version, ms=ms)
         if problem := answer.problem:
             if change and problem.kind is not Kind.UNSETTLED:
@@ -167,6 +175,7 @@
         return answer.status, answer.body
 
     async def handle_request(self, connection: PeerConnection, request: ConfigurationRequest) -> None:
+        """Answers a call that another gateway forwarded; only the leader does."""
         if self.core.is_leader():
             status, body = await self._decide_or_forward(request.change)
         else:
@@ -174,7 +183,7 @@
         connection.send(Reply(request.number, status, body))
 
     def history(self) -> Answered:
-        """The newest changes and what they did, where this gateway has a seat."""
+        """The newest changes and their effects, if this gateway has a current replica."""
         if not self.core.follows_log():
             at = ", ".join(self.core.known_view()[2])
             return 503, f"this gateway holds no state; ask a member of the core: {at}".encode()
--- a/coralvale/cluster/server/core.py
+++ b/coralvale/cluster/server/core.py
@@ -1,4 +1,7 @@
-"""The control state at this gateway: its replica of the log of changes, its disk, and who the members are."""
+"""The control state at this gateway: its replica of the consensus log, its disk, and the core's members.
+
+The core is the group of gateways that hold replicas.
+"""
 
 from __future__ import annotations
 
@@ -26,19 +29,22 @@
 from coralvale.cluster.share_desk import ShareAnswer, ShareClaim, ShareDesk
 from coralvale.cluster.storage.store import DamagedStoreError, Store, StoreError, set_aside
 
-DISK_RETRY_S = 0.25  # s until a write that failed is tried again
-SHARES_CHECK_INTERVAL_S = 0.2  # s between looks at whether the table of shares is to change
+DISK_RETRY_S = 0.25  # until a failed write is retried
+SHARES_CHECK_INTERVAL_S = 0.2  # between checks whether the share table should change
 CoreAction = consensus.Action | ChangeAnswer | ShareAnswer | CoordinationAnswer | CoordinationNotice
 
 
 class Core:
+    """Runs this gateway's replica, if it has one, and the state machines of its log."""
+
     def __init__(
         self,
         runtime: Runtime,
         apply_configuration: Callable[[Configuration], None],
         restore_hosts: Callable[[list[Row]], None],
     ) -> None:
-        """`take_configuration`: one that was delivered; `remember`: hosts that the disk has."""
+        """`apply_configuration`: called with each committed configuration; `restore_hosts`: with the hosts on
+        the disk."""
         self.runtime, self.apply_configuration, self.restore_hosts = (
             runtime,
             apply_configuration,
@@ -55,13 +61,14 @@
         self.disk_failed_at = self.shares_checked_at = 0.0
         self.answers: dict[int, asyncio.Future[ChangeAnswer]] = {}
         self.share_answers: dict[int, asyncio.Future[ShareAnswer]] = {}
-        self.coordination_answers: dict[int, asyncio.Future[Outcome]] = {}  # by token, of coordination calls
+        self.coordination_answers: dict[int, asyncio.Future[Outcome]] = {}  # by token
         self.pending: deque[CoreAction] = deque()
         self.executing = False
         self.desk: ChangeRequestHandler | None = None
         self.share_desk: ShareDesk | None = None
         self.coordination_desk: CoordinationHandler | None = None
-        self.on_notice: Callable[[Notice], None] = lambda notice: None  # told of locks that left their holder
+        # Called when a lock has been taken from its holder.
+        self.on_notice: Callable[[Notice], None] = lambda notice: None
         self.founding = CoreBootstrap(
             settings.Ip, tuple(settings.seeds), settings.Bootstrap, settings.holds_state, runtime.started_at
         )
@@ -70,7 +77,8 @@
         self.logged_voters: consensus.VoterSet | None = None
 
     def known_view(self) -> tuple[int, str, tuple[str, ...]]:
-        """The newest view that is known of: its number, its leader's address, its voters'."""
+        """The newest known view: its number, the address of its leader (or ""), the addresses of its
+        voters."""
         replica = self.replica
         if replica and replica.bootstrapped and replica.is_voter:
             voters = replica.voters.all()
@@ -78,25 +86,28 @@
             addresses = tuple(sorted({m.ip for m in voters.values()}))
             mine = (replica.view, leader.ip if leader else "", addresses)
             view, _, core = self.heard_view
-            # One that has lost its vote while it was away knows an old view, and others a core without it.
+            # A replica that lost its vote while it was down knows only an old view; the core reported by
+            # others does not contain it.
             among = not core or self.runtime.settings.Ip in core
             if leader or mine[0] > view or (mine[0] == view and among):
                 return mine
         return self.heard_view
 
     def is_leader(self) -> bool:
+        """Whether this gateway's replica leads the core."""
         return self.replica is not None and self.replica.leading
 
     def in_contact(self) -> bool:
-        """Whether this gateway's replica is, as far as it can know, on the side that goes on."""
+        """Whether this gateway's replica is, as far as it can know, in contact with a majority."""
         return self.replica is not None and self.replica.in_contact(self.runtime.clock.monotonic())
 
     def follows_log(self) -> bool:
-        """Whether the log of changes brings this gateway what is new."""
+        """Whether this gateway gets committed changes from the log."""
         return self.replica is not None and not self.replica.needs_join(self.runtime.clock.monotonic())
 
     def execute(self, actions: Sequence[CoreAction]) -> None:
-        """Carries out what the replica and the desk return, in order; what that leads to comes after it."""
+        """Executes actions of the replica and the request handlers, in order; actions that result come after
+        them."""
         self.pending.extend(actions)
         if self.executing:
             return
@@ -142,7 +153,7 @@
                 self.on_notice(action.notice)
 
     async def _write(self) -> None:
-        """What is to be on disk goes there in order; a disk in trouble is tried until it takes it."""
+        """Writes to disk in order; retries a failed write until it succeeds."""
         assert self.store and self.replica
         try:
             while self.writes:
@@ -172,7 +183,7 @@
             self.pending.extend(self.coordination_desk.deliver(self.runtime.clock.monotonic(), entry.body))
 
     def log_view_and_snapshot(self) -> None:
-        """Logs a new view, leader or set of voters, and takes a snapshot when one is due."""
+        """Logs a new view, leader or set of voters; takes a snapshot if one is due."""
         replica = self.replica
         assert replica
         if replica.leader and (replica.view, replica.leader) != self.logged_view:
@@ -189,12 +200,14 @@
             )
 
     async def open(self) -> None:
+        """Opens the disk and starts the replica; retries later if that fails."""
         s = self.runtime.settings
         try:
             self.store = await self.runtime.loop.run_in_executor(self.disk, Store, s.Datadir)
             state = await self.runtime.loop.run_in_executor(self.disk, self.store.load)
         except DamagedStoreError as error:
-            # As good as lost: it begins anew, and votes when it holds all that the others have.
+            # Treated as a lost disk: the replica starts empty, and votes once it holds all that the others
+            # have.
             tell(Event.DISK_FOREIGN, reason=str(error))
             self.founding.mark_disk_lost()
             aside = await self.runtime.loop.run_in_executor(self.disk, set_aside, s.Datadir)
@@ -203,7 +216,7 @@
             return
         except (StoreError, sqlite3.Error, OSError) as error:
             tell(Event.DISK_FOREIGN, reason=str(error))
-            await self.close()  # it holds the file's lock, which the next try needs
+            await self.close()  # releases the file lock, which the next attempt needs
             self.store = None
             self.runtime.spawn(self._reopen())
             return
@@ -211,8 +224,8 @@
         self._start_replica(state)
 
     async def _reopen(self) -> None:
-        """A disk in trouble at the start: this gateway serves, and is no member until its disk can be
-        read."""
+        """Tries again to open a disk that failed at the start; until then this gateway serves without a
+        replica."""
         await asyncio.sleep(1.0)
         await self.open()
 
@@ -238,13 +251,13 @@
         self.execute(self.replica.start(now))
 
     async def close(self) -> None:
-        """Closes the disk, behind the write that is in hand: sqlite's connection bears one thread at a time."""
+        """Closes the disk after the write in progress: a sqlite connection supports one thread at a time."""
         if self.store:
             await self.runtime.loop.run_in_executor(self.disk, self.store.close)
 
     async def join_loop(self) -> None:
-        """A disk without a vote asks to be kept up to date; on the very first start one gateway names who
-        founds the core."""
+        """Asks the core to add this replica while it has no vote; on the very first start, asks the nominator
+        who founds the core."""
         logged = False
         while True:
             await asyncio.sleep(0.2)
@@ -278,7 +291,8 @@
             tell(Event.FOUNDED, id=replica.me.id)
 
     async def submit_change(self, change: Change | None, timeout: float) -> ChangeAnswer | None:
-        """By the leader: an operator's change, or (None) a reading. None: not decided within `patience` s."""
+        """At the leader: submits an operator's change, or (None) a read. Returns None if undecided after
+        `timeout` s."""
         assert self.desk
         token, now = self.runtime.peers.next_number(), self.runtime.clock.monotonic()
         future: asyncio.Future[ChangeAnswer] = self.runtime.loop.create_future()
@@ -293,7 +307,7 @@
             self.answers.pop(token, None)
 
     async def claim(self, address: str, version: int, left: bool, timeout: float) -> ShareAnswer | None:
-        """By the leader: a gateway's claim to its shares. None: not answered within `patience` s."""
+        """At the leader: submits a gateway's share claim. Returns None if unanswered after `timeout` s."""
         if self.share_desk is None:
             return None
         token, now = self.runtime.peers.next_number(), self.runtime.clock.monotonic()
@@ -309,7 +323,7 @@
             self.share_answers.pop(token, None)
 
     async def coordinate(self, call: Call, timeout: float) -> Outcome:
-        """By the leader: an application's call."""
+        """At the leader: submits an application's call; the outcome is unknown after `timeout` s."""
         assert self.coordination_desk
         token, now = self.runtime.peers.next_number(), self.runtime.clock.monotonic()
         future: asyncio.Future[Outcome] = self.runtime.loop.create_future()
@@ -324,7 +338,7 @@
             self.coordination_answers.pop(token, None)
 
     def tick(self, now: float) -> None:
-        """What is due at this replica, and at its desks."""
+        """Drives the clocks of the replica and the request handlers."""
         assert self.replica and self.share_desk and self.coordination_desk
         self.execute(self.replica.tick(now))
         self.execute(self.coordination_desk.tick(now))
@@ -333,16 +347,16 @@
             self.execute(self.share_desk.tick(now))
 
     def leave(self) -> None:
-        """This process is being stopped: leadership and vote are handed on."""
+        """Hands over leadership and vote, before this process stops."""
         if self.replica:
             self.execute(self.replica.leave(self.runtime.clock.monotonic()))
 
     def can_stop(self) -> bool:
-        """Whether all that is committed is safe without this process; a gateway without a replica always may."""
+        """Whether all committed entries are safe without this process; always true without a replica."""
         return self.replica is None or not self.replica.bootstrapped or self.replica.safe_to_stop
 
     def role(self) -> str:
-        """What this gateway's disk is to the log of changes."""
+        """The role of this gateway's disk: none, learner, changing or voter."""
         if self.replica is None:
             return "none"
         if not self.replica.is_voter:
--- a/coralvale/cluster/server/gossip.py
+++ b/coralvale/cluster/server/gossip.py
@@ -1,4 +1,8 @@
-"""What this gateway tells all others, and what it takes from their datagrams."""
+"""Gossip between gateways: the periodic messages of this gateway, and the handling of received datagrams.
+
+In a large fleet, carriers relay the messages (`relay`), and zones may report sums to each other instead
+(`zone_reports`).
+"""
 
 from __future__ import annotations
 
@@ -18,7 +22,7 @@
 from coralvale.cluster.server.arrivals import Arrivals
 from coralvale.cluster.server.changes import Changes
 from coralvale.cluster.server.core import Core
-from coralvale.cluster.server.membership import LARGE_FLEET, LARGE_FLEET_FROM, SMALL_FLEET, Membership
+from coralvale.cluster.server.membership import LARGE_FLEET, LARGE_FLEET_ABOVE, SMALL_FLEET, Membership
 from coralvale.cluster.server.messages import (
     GossipMessage,
     decode_gossip,
@@ -55,21 +59,24 @@
 from coralvale.members import wire as swim_wire
 from coralvale.members.model import MembersError
 
-IN_FLIGHT_INTERVAL_S = 0.04  # s between words of what is out at copies, at the least
-MAX_IN_FLIGHT_MESSAGES_PER_S = 350  # of them that a gateway sends, and gets, at most
-IN_FLIGHT_LINK_SHARE = 0.05  # of the link that they may take
-IN_FLIGHT_BYTES = 70  # of one, with its heads
-RELAYED_IN_FLIGHT_BYTES = 25  # of one that is joined to others
-RELAYED_IN_FLIGHT_INTERVAL_S = 0.1  # s between them, at the least
-REPORTED_IN_FLIGHT_INTERVAL_S = (
-    0.2  # s where zones report: what is out in one of many zones is the lesser part
-)
-RELAYED_KINDS = (GOSSIP, IN_FLIGHT, HEALTH)  # kinds that carriers bring
-ZONE_ONLY_KINDS = (IN_FLIGHT,)  # links between zones are dear: there, what is out is told in the other words
-CORE_REPEAT_S = 2.0  # s for which a change of the core is told in each word
+IN_FLIGHT_INTERVAL_S = 0.04  # between messages about attempts in flight, at least
+MAX_IN_FLIGHT_MESSAGES_PER_S = 350  # that a gateway sends, and receives
+IN_FLIGHT_LINK_SHARE = 0.05  # of the bandwidth that these messages may use
+IN_FLIGHT_BYTES = 70  # of one message, with datagram headers
+RELAYED_IN_FLIGHT_BYTES = 25  # of one message in a batch
+RELAYED_IN_FLIGHT_INTERVAL_S = 0.1  # between relayed messages, at least
+# At least, if zones report: of many zones, each has only a small part of the attempts in flight.
+REPORTED_IN_FLIGHT_INTERVAL_S = 0.2
+RELAYED_KINDS = (GOSSIP, IN_FLIGHT, HEALTH)  # that carriers relay
+# Links between zones are expensive: other zones get the attempts in flight with the gossip messages.
+ZONE_ONLY_KINDS = (IN_FLIGHT,)
+CORE_REPEAT_S = 2.0  # after a change of the core's members, for which each gossip message has them
 
 
 class GossipExchange:
+    """Sends this gateway's gossip and applies that of the others. `quotas` and `reports` share its
+    datagrams."""
+
     def __init__(
         self,
         runtime: Runtime,
@@ -102,18 +109,18 @@
         )
 
     async def gossip_loop(self) -> None:
-        """Every half second, to all: what was let through, which beats came, how loaded copies are."""
-        due = told_at = self.runtime.clock.monotonic()
-        told_core: tuple[int, tuple[str, ...]] = (0, ())
+        """Sends usage, heartbeats and load to all gateways, each `PERIOD` s."""
+        due = core_changed_at = self.runtime.clock.monotonic()
+        last_core: tuple[int, tuple[str, ...]] = (0, ())
         while True:
             now = self.runtime.clock.monotonic()
             self.limiter.step(now)
             self.instances.decay_sent()
             self.log_verdicts(self.instances.update_verdicts(now))
             view, leader, core = self.core.known_view()
-            use, whole = self.limiter.usage_report(now)
-            if (view, core) != told_core:
-                told_core, told_at = (view, core), now
+            usage, whole = self.limiter.usage_report(now)
+            if (view, core) != last_core:
+                last_core, core_changed_at = (view, core), now
             carries = self.is_carrier(now)
             self.carriers.record(now, self.runtime.settings.Ip, carries)
             beats = self.register.take_fresh_beats()
@@ -123,8 +130,8 @@
                 self.register.digest,
                 view,
                 leader,
-                core if whole or now - told_at < CORE_REPEAT_S else (),
-                pack_usage(use),
+                core if whole or now - core_changed_at < CORE_REPEAT_S else (),
+                pack_usage(usage),
                 whole,
                 beats,
                 pack_health(self.instances.health.own_report(now)),
@@ -138,79 +145,92 @@
             await asyncio.sleep(due - now)
 
     async def in_flight_loop(self) -> None:
-        """What this gateway has out at copies, to all, as often as the link and the processor can bear."""
-        before, told_at, ill_at = b"", 0.0, 0.0
-        link = self.runtime.settings.Limits.NicMbps * 1e6 / 8
+        """Sends this gateway's attempts in flight to all, as often as bandwidth and processor allow; and new
+        errors.
+
+        Also switches between the settings for small and large fleets.
+        """
+        last_data, sent_at, health_sent_at = b"", 0.0, 0.0
+        bytes_per_s = self.runtime.settings.Limits.NicMbps * 1e6 / 8
         while True:
             now = self.runtime.clock.monotonic()
             count = self.membership.swim.there - 1
-            self.membership.is_large = large = count > LARGE_FLEET_FROM
+            self.membership.is_large = large = count > LARGE_FLEET_ABOVE
             near, far = self.membership.broadcast_targets()
-            carried = large and bool(
+            relayed = large and bool(
                 self.carriers.active(now, (*near, self.runtime.settings.Ip), relay.NEAR_TIMEOUT_S)
             )
-            if carried:
-                least = (
+            if relayed:
+                min_interval = (
                     REPORTED_IN_FLIGHT_INTERVAL_S
                     if self.membership.uses_reports
                     else RELAYED_IN_FLIGHT_INTERVAL_S
                 )
-                every = max(least, len(near) * RELAYED_IN_FLIGHT_BYTES / (IN_FLIGHT_LINK_SHARE * link))
+                interval = max(
+                    min_interval, len(near) * RELAYED_IN_FLIGHT_BYTES / (IN_FLIGHT_LINK_SHARE * bytes_per_s)
+                )
             else:
-                told = len(near) if self.membership.uses_reports else count
-                every = max(
+                receivers = len(near) if self.membership.uses_reports else count
+                interval = max(
                     IN_FLIGHT_INTERVAL_S,
-                    told / MAX_IN_FLIGHT_MESSAGES_PER_S,
-                    told * IN_FLIGHT_BYTES / (IN_FLIGHT_LINK_SHARE * link),
+                    receivers / MAX_IN_FLIGHT_MESSAGES_PER_S,
+                    receivers * IN_FLIGHT_BYTES / (IN_FLIGHT_LINK_SHARE * bytes_per_s),
                 )
-            # In a large fleet other zones, whose part at a copy is small, are told in the other words.
+            # In a large fleet this gateway's part of the load at a host of another zone is small: other zones
+            # get it with the gossip messages.
             self.in_flight_in_gossip = large and not self.membership.uses_reports
             self.runtime.peers.bytes_per_interval = (
-                PACED_LINK_SHARE * link * PACING_INTERVAL_S if large else 0.0
+                PACED_LINK_SHARE * bytes_per_s * PACING_INTERVAL_S if large else 0.0
             )
             self.membership.swim.settings = LARGE_FLEET if large else SMALL_FLEET
             data = pack_in_flight(self.instances.in_flight_counts())
-            if data != before or (data and now - told_at > PERIOD):
-                before, told_at = data, now
-                if large and not carried:
+            if data != last_data or (data and now - sent_at > PERIOD):
+                last_data, sent_at = data, now
+                if large and not relayed:
                     self.runtime.peers.broadcast(near, [], IN_FLIGHT, data)
                 else:
                     self.send_to_all(IN_FLIGHT, data)
-            # What is ill is told at once, not with the next word; without carriers a large fleet's words are
-            # no later.
-            if self.instances.health.report_due and (carried or not large) and now - ill_at >= VERDICT_GAP_S:
-                ill_at = now
+            # Errors are reported at once instead of with the next gossip message; in a large fleet without
+            # carriers that message is no later.
+            if (
+                self.instances.health.report_due
+                and (relayed or not large)
+                and now - health_sent_at >= VERDICT_GAP_S
+            ):
+                health_sent_at = now
                 self.send_to_all(HEALTH, pack_health(self.instances.health.own_report(now)))
-            await asyncio.sleep(every)
+            await asyncio.sleep(interval)
 
     def crosses_zones(self, kind: bytes) -> bool:
-        """Whether other zones are told words of a kind, and not by reports."""
+        """Whether messages of a kind go to other zones one by one; False if zones report sums instead."""
         return kind not in ZONE_ONLY_KINDS and not self.membership.uses_reports
 
     def send_to_all(self, kind: bytes, data: bytes) -> None:
-        """A word to all that are told it: by a carrier where there is one, else to each."""
+        """Sends a message to all gateways that should get it: through a carrier if there is one, else to
+        each."""
         near, far = self.membership.broadcast_targets()
         if self.membership.uses_reports:
             far = []
         if self.membership.is_large:
             me, now = self.runtime.settings.Ip, self.runtime.clock.monotonic()
-            if found := self.carriers.active(now, (*near, me), relay.NEAR_TIMEOUT_S):
-                if me in found:
+            if active := self.carriers.active(now, (*near, me), relay.NEAR_TIMEOUT_S):
+                if me in active:
                     self.add_to_batch(me, kind + data, self.crosses_zones(kind))
                 else:
-                    # What is out goes by one and the same: an older one behind a newer would stand for long.
-                    at = found[crc32(me.encode()) % len(found)] if kind in ZONE_ONLY_KINDS else ""
+                    # Attempts in flight always go through the same carrier: an old message that overtakes a
+                    # new one would count for long.
+                    target = active[crc32(me.encode()) % len(active)] if kind in ZONE_ONLY_KINDS else ""
                     self.runtime.peers.send_datagram(
-                        at or self.carriers.pick(found), RELAY_REQUEST, kind + data
+                        target or self.carriers.pick(active), RELAY_REQUEST, kind + data
                     )
                 return
         self.runtime.peers.broadcast(near, far, kind, data)
 
     def is_carrier(self, now: float) -> bool:
-        """Whether this gateway brings the words of others to all in its zone."""
+        """Whether this gateway offers to relay the messages of others to all in its zone."""
         near, _ = self.membership.broadcast_targets()
-        link = self.runtime.settings.Limits.NicMbps * 1e6 / 8
-        gateways, replica = self.membership.swim.there, self.core.replica is not None
+        bytes_per_s = self.runtime.settings.Limits.NicMbps * 1e6 / 8
+        gateways, has_replica = self.membership.swim.there, self.core.replica is not None
         if self.membership.uses_reports:
             gateways = len(near) + 1 + relay.REPORT_WEIGHT * len(self.membership.far)
         self.carriers.max_active = relay.carrier_count(gateways, len(near), PERIOD)
@@ -218,30 +238,34 @@
             self.membership.is_large
             and self.is_ready()
             and not self.runtime.stopping
-            and relay.can_carry(gateways, len(near), link, PERIOD, replica)
+            and relay.can_carry(gateways, len(near), bytes_per_s, PERIOD, has_replica)
         )
 
-    def add_to_batch(self, ip: str, whole: bytes, to_other_zones: bool) -> None:
-        self.batch.add(ip, whole, to_other_zones)
+    def add_to_batch(self, ip: str, message: bytes, to_other_zones: bool) -> None:
+        """At a carrier: adds a gateway's message to the next batch."""
+        self.batch.add(ip, message, to_other_zones)
         if not self.batch_scheduled:
             self.batch_scheduled = True
             self.runtime.loop.call_later(relay.BATCH_INTERVAL_S, self.send_batch)
 
     def send_batch(self) -> None:
+        """At a carrier: sends the batch to all in this zone, and to one gateway, a carrier if known, of each
+        other."""
         self.batch_scheduled = False
-        here, abroad = self.batch.take()
+        near_batches, far_batches = self.batch.take()
         near, far = self.membership.broadcast_targets()
         now = self.runtime.clock.monotonic()
-        for data in here:
+        for data in near_batches:
             self.runtime.peers.send_paced(near, RELAYED + data)
-        if abroad:
-            for by_lot, ips in zip(far, self.membership.far.values(), strict=True):
-                found = self.carriers.active(now, ips, relay.FAR_TIMEOUT_S)
-                at = self.carriers.pick(found) if found else by_lot
-                for data in abroad:
-                    self.runtime.peers.send_datagram(at, RELAY_BATCH, data)
+        if far_batches:
+            for random_target, ips in zip(far, self.membership.far.values(), strict=True):
+                active = self.carriers.active(now, ips, relay.FAR_TIMEOUT_S)
+                target = self.carriers.pick(active) if active else random_target
+                for data in far_batches:
+                    self.runtime.peers.send_datagram(target, RELAY_BATCH, data)
 
     def log_verdicts(self, changes: list[Verdict]) -> None:
+        """Logs changed health verdicts."""
         for change in changes:
             copy = self.instances.by_hash.get(change.id_hash)
             tell(
@@ -255,15 +279,16 @@
             )
 
     def handle_datagram(self, ip: str, data: bytes) -> None:
+        """Handles a received datagram; invalid ones are ignored."""
         kind, body = data[:1], data[1:]
         if kind in (FORWARD, FORWARDED):
-            passed = self.runtime.peers.unpack_forwarded(body)
-            if passed is None or passed[0] == self.runtime.settings.Ip:
+            forwarded = self.runtime.peers.unpack_forwarded(body)
+            if forwarded is None or forwarded[0] == self.runtime.settings.Ip:
                 return
             if kind == FORWARD:
                 self.runtime.peers.forward(self.membership.broadcast_targets()[0], body)
-            if passed[1] != SWIM:
-                self._handle_message(*passed)
+            if forwarded[1] != SWIM:
+                self._handle_message(*forwarded)
         elif kind == RELAY_REQUEST:
             if body and body[:1] in RELAYED_KINDS:
                 self.add_to_batch(ip, body, self.crosses_zones(body[:1]))
@@ -278,18 +303,18 @@
             self._handle_message(ip, kind, body)
 
     def _handle_relayed(self, ip: str, kind: bytes, body: bytes) -> None:
-        """Joined words: to this gateway, or (`CARRY`) for all in its zone."""
+        """Handles a batch of messages, for this gateway or (`RELAY_BATCH`) for all in its zone."""
         if kind == RELAYED and ip in self.carriers.heard_at:
             self.carriers.heard_at[ip] = self.runtime.clock.monotonic()
-        for whose, whole in relay.unpack_batch(body):
-            if whose == self.runtime.settings.Ip or whole[:1] not in RELAYED_KINDS:
+        for sender, message in relay.unpack_batch(body):
+            if sender == self.runtime.settings.Ip or message[:1] not in RELAYED_KINDS:
                 continue
             if kind == RELAY_BATCH:
-                self.add_to_batch(whose, whole, False)
-            self._handle_message(whose, whole[:1], whole[1:])
+                self.add_to_batch(sender, message, False)
+            self._handle_message(sender, message[:1], message[1:])
 
     def _handle_message(self, ip: str, kind: bytes, body: bytes) -> None:
-        """A datagram, of the gateway at an address."""
+        """Handles a message of the gateway at an address."""
         now = self.runtime.clock.monotonic()
         if kind == IN_FLIGHT:
             try:
@@ -322,6 +347,7 @@
             self.membership.flush()
 
     def handle_gossip(self, now: float, ip: str, message: GossipMessage) -> None:
+        """Applies a gossip message of another gateway."""
         self.membership.record_gossip(now, (ip,))
         if message.region and (mismatch := self.membership.region_mismatch(ip, message.region)):
             tell(Event.REGION_OF_OTHER, **mismatch)
@@ -330,7 +356,7 @@
         update_heard_view(self.core, message.view, message.leader, message.core)
         unknown = self.register.merge_beats(now, message.beats)
         if self.reports.zones.covers(now, ip):
-            return  # what it does is in the report of its zone, and would count twice
+            return  # its usage and load are in its zone's report; they would count twice
         self.limiter.usage.record_peer(
             now, ip, unpack_usage(message.usage, self.changes.tenants), message.whole, message.version
         )
--- a/coralvale/cluster/server/membership.py
+++ b/coralvale/cluster/server/membership.py
@@ -1,4 +1,4 @@
-"""Who is there: membership's packets, and whom a word goes to."""
+"""Membership of the fleet: runs the SWIM protocol, and tells whom messages are sent to."""
 
 from __future__ import annotations
 
@@ -18,24 +18,27 @@
 from coralvale.members.swim import Swim
 
 SMALL_FLEET = SwimSettings()
-# What many small machines say to each other waits longer on their links: no answer in 0.1 s is no sign.
+# On the links of many small machines messages wait longer: no answer within 0.1 s is not a sign of failure.
 LARGE_FLEET = SwimSettings(period=0.6, timeout=0.25)
-LARGE_FLEET_FROM = 24  # gateways from which on a fleet is large
-GOSSIP_ALIVE_S = 2.2  # s since a word, for which one that membership calls dead is still told all
+LARGE_FLEET_ABOVE = 24  # other gateways: with more, the fleet counts as large
+GOSSIP_ALIVE_S = 2.2  # since its last message, for which a gateway that SWIM calls dead still gets messages
 
 
 class Membership:
+    """The gateways of the fleet, as SWIM and their own messages show them."""
+
     def __init__(self, runtime: Runtime, usage: FleetUsage) -> None:
         self.runtime, self.usage = runtime, usage
         self.is_large = False
-        self.uses_reports = False  # zones report to each other, in place of words to all (`zone_reports`)
-        self.gossip_heard_at: dict[str, float] = {}  # by address, when a word of theirs came
-        self.near: list[str] | None = None  # addresses of the others in this zone; None: to be looked up
-        self.far: dict[int, list[str]] = {}  # of those in others
-        self.regions: dict[str, str] = {}  # by address, what each said last of its region
+        self.uses_reports = False  # zones send reports instead of gossip to all (`zone_reports`)
+        self.gossip_heard_at: dict[str, float] = {}  # by address, time of the last message
+        self.near: list[str] | None = None  # addresses of the others in this zone; None: to be computed
+        self.far: dict[int, list[str]] = {}  # addresses in other zones, by zone
+        self.regions: dict[str, str] = {}  # by address, the region last announced
 
     def region_mismatch(self, ip: str, region: str) -> dict[str, str] | None:
-        """What to tell of a gateway whose region is not that of its zone here, when it first says so."""
+        """Fields of the event to log, once, for a gateway that announces another region than the settings
+        here have for its zone; None if there is nothing to log."""
         if self.regions.get(ip) == region:
             return None
         if len(self.regions) > MAX_GATEWAYS:
@@ -53,27 +56,28 @@
         return None
 
     def record_gossip(self, now: float, ips: Iterable[str]) -> None:
-        """Words of these gateways come, here or in their zone."""
+        """Records that messages of these gateways arrive, here or in their zone."""
         if len(self.gossip_heard_at) > MAX_GATEWAYS:
             self.gossip_heard_at.clear()
         for ip in ips:
             self.gossip_heard_at[ip] = now
 
     def others(self) -> list[Gateway]:
-        """All others that are there: those that membership has alive, and those that it calls dead and whose
-        words still come, which may be of one that is slow to answer probes, or of the probers."""
+        """All other gateways that messages are sent to: those that SWIM does not count as gone, and those
+        that it calls dead while their messages still arrive: they, or those that probe them, may only be
+        slow."""
         me, now = self.runtime.settings.Hostname, self.runtime.clock.monotonic()
-        found = []
+        others = []
         for name in sorted(self.swim.known):
             update = self.swim.known[name].update
             gossips = now - self.gossip_heard_at.get(update.member.address[0], -math.inf) < GOSSIP_ALIVE_S
             if name != me and (update.state not in GONE or (update.state is GatewayState.DEAD and gossips)):
-                found.append(update.member)
-        return found
+                others.append(update.member)
+        return others
 
     def broadcast_targets(self) -> tuple[list[str], list[str]]:
-        """Addresses of the others in this zone, and of one in each other, by lot: a dead one misses one
-        word."""
+        """Addresses of the others in this zone, and of one random gateway in each other zone, so that a dead
+        one costs that zone only one message."""
         if self.near is None:
             self.near, self.far = [], {}
             for member in self.others():
@@ -84,7 +88,7 @@
         return self.near, [self.runtime.rng.choice(ips) for ips in self.far.values()]
 
     def flush(self) -> None:
-        """Sends what membership has to say, and takes what it has found out."""
+        """Sends the packets and handles the events that SWIM has produced."""
         swim, now = self.swim, self.runtime.clock.monotonic()
         sends, swim.sends = swim.sends, []
         for send in sends:
@@ -110,6 +114,7 @@
                 tell(Event.STALLED, seconds=event.seconds)
 
     def start(self) -> None:
+        """Joins the fleet through the seeds."""
         s, now = self.runtime.settings, self.runtime.clock.monotonic()
         zones = sorted(s.Zones)
         zone = zones.index(s.Az) if s.Az in zones else len(zones)
--- a/coralvale/cluster/server/node.py
+++ b/coralvale/cluster/server/node.py
@@ -1,5 +1,7 @@
-"""One gateway's process: its servers, its state machines, and the tasks between them. It carries out what the
-other packages decide."""
+"""The process of one gateway: its servers, its state machines, and the background tasks that connect them.
+
+It performs the I/O; the decisions are made by the other packages.
+"""
 
 from __future__ import annotations
 
@@ -53,24 +55,26 @@
 from coralvale.net.server import Bounds as ClientBounds
 from coralvale.net.server import Server
 
-CONNECT_TIMEOUT_S = 0.4  # s
-HOST_IDLE_S = 8.0  # s that a connection to a host is kept idle, unless it says less
-MAX_REST_S = 0.25  # s between looks at what is due at a gateway without a disk, at most
-SETTINGS_CHECK_INTERVAL_S = 1.0  # s between looks at the settings file
-ACCEPT_AFTER_SIGTERM_S = 2.9  # s after SIGTERM for which new connections still come: the platform asks twice
-GRACE_MARGIN_S = 0.7  # s before the end of GraceS by which all is answered
-CONTROL_ANSWER_S = (
-    1.0  # s within which a call of hosts, operators or applications is answered, but for large orders
-)
-RESERVED_DESCRIPTORS = 300  # descriptors for files, peers and the loop
-HOST_CONNECTIONS_SHARE = 0.45  # of the others, for connections to hosts
-STARTUP_WAIT_S = (
-    2.0  # s for which one that starts waits until it knows hosts, and what all others let through
-)
-QUORUM_WAIT_S = 4.0  # s after which a member of the core that hears no majority serves what its disk has
+CONNECT_TIMEOUT_S = 0.4  # to a host
+HOST_IDLE_S = 8.0  # for which an idle connection to a host is kept, unless the host announces less
+MAX_REST_S = 0.25  # between checks of what is due, at a gateway without a replica
+SETTINGS_CHECK_INTERVAL_S = 1.0  # between checks whether the settings file has changed
+# New connections are accepted for this long after SIGTERM: the platform takes a gateway out of its list only
+# after two failed readiness checks.
+ACCEPT_AFTER_SIGTERM_S = 2.9
+GRACE_MARGIN_S = 0.7  # before the end of GraceS; by then all requests are answered
+# Calls of hosts, operators and applications are answered within this time, except large configuration
+# changes.
+CONTROL_ANSWER_S = 1.0
+RESERVED_DESCRIPTORS = 300  # for files, peers and the event loop
+HOST_CONNECTIONS_SHARE = 0.45  # of the other descriptors, for connections to hosts
+STARTUP_WAIT_S = 2.0  # for which a starting gateway waits for the hosts, and the usage reports of all others
+QUORUM_WAIT_S = 4.0  # after which a core member without a majority serves by the state on its disk
 
 
 class GatewayNode(Desk):
+    """One gateway process; `run` serves until it is stopped."""
+
     def __init__(
         self,
         settings: Settings,
@@ -79,8 +83,8 @@
         metrics: str = "",
         regions: Regions | None = None,
     ) -> None:
-        """`metrics`: ip:port of the page for Prometheus, none without it; `regions`: what binds services beside
-        the configuration."""
+        """`metrics`: ip:port of the Prometheus endpoint, "" for none; `regions`: bindings of services to
+        regions that are not part of the configuration."""
         self.metrics, bounds = metrics, settings.Bounds
         runtime = self.runtime = Runtime(
             settings,
@@ -123,8 +127,8 @@
 
     @staticmethod
     def _own_region(settings: Settings) -> str:
-        """Where this gateway is; none where its zone and its region do not go together: nobody is to trust it
-        then, itself least."""
+        """This gateway's region; "" if the settings name another region for its zone, because then neither
+        can be trusted."""
         by_zone = settings.Zones.get(settings.Az, "")
         if by_zone == settings.Region:
             return settings.Region
@@ -133,9 +137,10 @@
         )
         return ""
 
-    # Start and end
+    # Start and shutdown
 
     async def run(self) -> None:
+        """Starts all servers and background tasks, serves until `stop`, and closes everything."""
         settings = self.runtime.settings
         tell(
             Event.STARTED,
@@ -149,16 +154,20 @@
         self.runtime.loop.add_signal_handler(signal.SIGHUP, self.reload_settings)
         limits = settings.Limits
         descriptors = max(64, limits.MaxFds - RESERVED_DESCRIPTORS)
-        most_hosts = int(descriptors * HOST_CONNECTIONS_SHARE)
-        bodies = int(limits.MemMb * 0.25 * 1e6)
-        self.hosts = Hosts(self.runtime.clock, CONNECT_TIMEOUT_S, HOST_IDLE_S / 0.8, most_hosts)
+        max_host_connections = int(descriptors * HOST_CONNECTIONS_SHARE)
+        max_body_bytes = int(limits.MemMb * 0.25 * 1e6)
+        self.hosts = Hosts(self.runtime.clock, CONNECT_TIMEOUT_S, HOST_IDLE_S / 0.8, max_host_connections)
         self.edge = Edge(self.router, self.hosts, self.runtime.clock, self.gossip.quotas.carry_out)
         self.gossip.quotas.decided = self.edge.decided
         self.control = Control(self)
         self.servers: list[Server] = []
         if settings.Listen.Edge:
             self.edge_server = EdgeServer(
-                address(settings.Listen.Edge), self.edge, descriptors - most_hosts, bodies, self.runtime.clock
+                address(settings.Listen.Edge),
+                self.edge,
+                descriptors - max_host_connections,
+                max_body_bytes,
+                self.runtime.clock,
             )
             self.servers.append(self.edge_server)
         for text in (settings.Listen.Readyz, settings.Listen.Ctl):
@@ -174,7 +183,7 @@
             await self.core.open()
         for server in self.servers:
             server.start()
-        for work in (
+        for loop in (
             self._tick_loop,
             self.gossip.gossip_loop,
             self.gossip.in_flight_loop,
@@ -185,7 +194,7 @@
             self.shares.claim_loop,
             self.arrivals.keep_hosts,
         ):
-            self.runtime.spawn(self.runtime.run_forever(work))
+            self.runtime.spawn(self.runtime.run_forever(loop))
         self.runtime.spawn(self.arrivals.pull_first())
         await self.stopped.wait()
         for task in list(self.runtime.tasks):
@@ -197,33 +206,38 @@
         await self.core.close()
 
     def stop(self) -> None:
+        """Starts the graceful shutdown, once."""
         if not self.runtime.stopping:
             self.runtime.stopping = True
             self.runtime.spawn(self._shut_down())
 
     async def _shut_down(self) -> None:
-        """Out of the platform's list, then out: nobody is cut, and duties are handed on first."""
+        """Shuts down gracefully.
+
+        The platform first takes this gateway out of its list; open requests are finished, and leadership and
+        vote are handed over, before the process ends.
+        """
         tell(Event.LEAVING, open=len(self.edge.open))
-        begun = self.runtime.clock.monotonic()
-        ends = begun + max(1.0, self.runtime.settings.Bounds.GraceS - GRACE_MARGIN_S)
+        started_at = self.runtime.clock.monotonic()
+        deadline = started_at + max(1.0, self.runtime.settings.Bounds.GraceS - GRACE_MARGIN_S)
         self.edge_server.drain()
         self.coordination.stop()
         self.core.leave()
         self.edge_server.close_idle()
         await asyncio.sleep(
-            min(ACCEPT_AFTER_SIGTERM_S, max(0.0, ends - self.runtime.clock.monotonic() - 0.5))
+            min(ACCEPT_AFTER_SIGTERM_S, max(0.0, deadline - self.runtime.clock.monotonic() - 0.5))
         )
         self.edge_server.stop_accepting()
-        while self.edge.open and self.runtime.clock.monotonic() < ends:
+        while self.edge.open and self.runtime.clock.monotonic() < deadline:
             self.edge_server.close_idle()
             await asyncio.sleep(0.02)
         self.edge_server.close_idle()
-        while not self.core.can_stop() and self.runtime.clock.monotonic() < ends:
+        while not self.core.can_stop() and self.runtime.clock.monotonic() < deadline:
             await asyncio.sleep(0.02)
         if not self.core.can_stop():
             tell(Event.ENDS_UNSAFE)
-        await self._finish_control_calls(ends)
-        self.runtime.spawn(self.shares.release())  # heard or not: they are kept for this address for a while
+        await self._finish_control_calls(deadline)
+        self.runtime.spawn(self.shares.release())  # even if it gets lost: the shares stay reserved a while
         self.membership.swim.leave(self.runtime.clock.monotonic())
         for _ in range(4):
             self.membership.flush()
@@ -231,13 +245,14 @@
         tell(Event.ENDED, open=len(self.edge.open))
         self.stopped.set()
 
-    async def _finish_control_calls(self, ends: float) -> None:
-        """Calls of hosts, operators and applications that are in hand get their answers first."""
-        left = min(CONTROL_ANSWER_S, ends - self.runtime.clock.monotonic())
+    async def _finish_control_calls(self, deadline: float) -> None:
+        """Waits for the calls of hosts, operators and applications that are being answered."""
+        left = min(CONTROL_ANSWER_S, deadline - self.runtime.clock.monotonic())
         if self.control.tasks and left > 0:
             await asyncio.wait(set(self.control.tasks), timeout=left)
 
     def reload_settings(self) -> None:
+        """Reads the settings file again; invalid settings are logged and change nothing."""
         try:
             fresh = read(self.runtime.path)
         except SettingsError as error:
@@ -251,22 +266,23 @@
             tell(Event.SETTINGS_READ, seeds=len(fresh.Seeds))
 
     async def _watch_settings(self) -> None:
-        """The settings file may change without a signal."""
-        before: object = None
+        """Reloads the settings when their file changes, also without SIGHUP."""
+        previous: object = None
         while True:
             try:
                 stat = os.stat(self.runtime.path)
-                seen = (stat.st_mtime_ns, stat.st_size, stat.st_ino)
+                current = (stat.st_mtime_ns, stat.st_size, stat.st_ino)
             except OSError:
-                seen = before  # type: ignore[assignment]
-            if before is not None and seen != before:
+                current = previous  # type: ignore[assignment]
+            if previous is not None and current != previous:
                 self.reload_settings()
-            before = seen
+            previous = current
             await asyncio.sleep(SETTINGS_CHECK_INTERVAL_S)
 
     # Readiness
 
     def is_ready(self) -> bool:
+        """Whether this gateway should get requests from the platform."""
         if self.runtime.stopping or not self.changes.configuration.version:
             return False
         now = self.runtime.clock.monotonic()
@@ -292,20 +308,21 @@
         return True
 
     def _knows_others(self) -> bool:
-        """Whether all gateways that are known of have told of themselves, and the leader who owns what."""
+        """Whether all known gateways have reported their usage, and the leader has sent the share table."""
         usage = self.limiter.usage
         return bool(usage.peers) and usage.has_heard_all() and self.limiter.holding.version > 0
 
     def gateways(self) -> int:
-        """Gateways that a budget is divided over: those that may be serving, and all that own shares."""
+        """Number of gateways that a budget is divided by: those that may be serving, or all owners of shares
+        if more."""
         owners = self.limiter.holding.owner_count
         return max(self.limiter.usage.gateway_count(self.runtime.clock.monotonic()), owners)
 
-    # What is due
+    # Periodic work
 
     async def _tick_loop(self) -> None:
-        """What is due: membership, the order of changes."""
-        swept = 0.0
+        """Drives the clocks of membership and of the replica, and sweeps once per second."""
+        swept_at = 0.0
         while True:
             now = self.runtime.clock.monotonic()
             if self.core.follows_log():
@@ -316,10 +333,11 @@
             if self.core.replica:
                 self.core.tick(now)
                 self.core.log_view_and_snapshot()
-            if now - swept > 1.0:
-                swept = now
+            if now - swept_at > 1.0:
+                swept_at = now
                 self._sweep(now)
-            # The order of changes has many clocks; without it membership's next moment is known.
+            # A replica has many deadlines, so it is polled; without one only the next deadline of membership
+            # counts.
             pause = (
                 TICK_S
                 if self.core.replica
@@ -328,6 +346,7 @@
             await asyncio.sleep(max(TICK_S, pause))
 
     def _sweep(self, now: float) -> None:
+        """Removes expired hosts and peers, and logs what has accumulated since the last sweep."""
         for name in self.register.sweep(now):
             tell(Event.HOST_LOST, id=name)
         self.instances.drop_silent_gateways(now)
@@ -338,7 +357,7 @@
         self.coordination.look(now)
         if self.home.routes:
             self._log_home_region(now)
-        self.membership.near = None  # who only talks may have come or gone
+        self.membership.near = None  # gateways known only by their gossip may have come or gone
         self.limiter.borrowing.same_zone = frozenset(self.membership.broadcast_targets()[0])
         known = (
             {m.address[0] for m in self.membership.others()}
@@ -349,7 +368,7 @@
         self.gossip.carriers.retain(known | {self.runtime.settings.Ip})
 
     def _log_quotas(self) -> None:
-        """What was refused of tenants past their quota since the last time, and what was let through."""
+        """Logs, by tenant, the requests refused over quota and those admitted since the last call."""
         for tenant, tally in self.limiter.take_tallies().items():
             tell(Event.QUOTA, count=tally.refused, tenant=tenant)
             tell(
@@ -362,25 +381,27 @@
             )
 
     def _log_home_region(self, now: float) -> None:
+        """Logs refused requests that are bound to other regions, a lost lease, and hosts outside their
+        service's region."""
         for bound, count in self.home.refused.items():
-            if news := count - self.logged_refusals.get(bound, 0):
-                tell(Event.ABROAD, count=news, bound=bound)
+            if new := count - self.logged_refusals.get(bound, 0):
+                tell(Event.ABROAD, count=new, bound=bound)
                 self.logged_refusals[bound] = count
-        unsure = not self.home.lease_valid(now)
-        if unsure and not self.lease_loss_logged:
+        lease_lost = not self.home.lease_valid(now)
+        if lease_lost and not self.lease_loss_logged:
             tell(
                 Event.BINDING_UNSURE,
                 seconds=min(now - self.home.core_heard_at, now - self.runtime.started_at),
             )
-        self.lease_loss_logged = unsure
-        here = set()
+        self.lease_loss_logged = lease_lost
+        abroad = set()
         for service, bound in self.home.services.items():
-            for name, life in self.register.by_service.get(service, {}).items():
-                if not self.home.host_allowed(service, life.row.az):
-                    here.add(name)
+            for name, entry in self.register.by_service.get(service, {}).items():
+                if not self.home.host_allowed(service, entry.row.az):
+                    abroad.add(name)
                     if name not in self.logged_hosts_abroad:
-                        tell(Event.HOST_ABROAD, id=name, service=service, bound=bound, zone=life.row.az)
-        self.logged_hosts_abroad = here
+                        tell(Event.HOST_ABROAD, id=name, service=service, bound=bound, zone=entry.row.az)
+        self.logged_hosts_abroad = abroad
 
     def _set_client_bounds(self, bounds: ClientBounds) -> None:
         self.edge_server.bounds = bounds
@@ -388,7 +409,7 @@
     def _retire(self, row: Row) -> None:
         self.hosts.retire((row.id, 0.0, (row.ip, row.port)))
 
-    # What hosts and operators call
+    # Calls of hosts, operators and applications (`Desk`)
 
     async def beat(self, row: Row) -> bool:
         return await self.arrivals.beat(row)
@@ -411,7 +432,7 @@
     async def coordinate(self, call: CoordinationCall) -> Answered:
         return await self.coordination.call(call)
 
-    # What other gateways send
+    # Messages of other gateways
 
     def _handle_message(self, connection: PeerConnection, message: PeerMessage) -> None:
         now = self.runtime.clock.monotonic()
@@ -444,6 +465,8 @@
 
 
 async def serve(path: str, metrics: str = "", regions: str = "") -> None:
+    """Runs a gateway until it is stopped. `path`: of its settings; `metrics`: ip:port of the Prometheus
+    endpoint; `regions`: path of the bindings to regions."""
     settings = read(path)
     bound = read_regions(regions, settings.Zones)
     await GatewayNode(settings, str(Path(path)), metrics=metrics, regions=bound).run()
--- a/coralvale/cluster/server/peers.py
+++ b/coralvale/cluster/server/peers.py
@@ -1,4 +1,4 @@
-"""Connections between gateways, and the datagrams beside them. Nothing here decides."""
+"""Connections and datagrams between gateways. Makes no decisions."""
 
 from __future__ import annotations
 
@@ -21,26 +21,25 @@
     frame,
 )
 
-CONNECT_TIMEOUT_S = 0.5  # s that a connection may take to come up
-USER_TIMEOUT_MS = 1200  # that what was written may stand unacknowledged
-MAX_QUEUED = 256  # parcels that wait for a connection to come up
-MAX_BUFFERED_BYTES = 16 * 1024 * 1024  # bytes that a peer may leave unread, until its connection is given up
-HEADER_BYTES = 28  # bytes of a datagram's heads
-RECONNECT_DELAY_S = 0.15  # s after a failure until the next try
-PACING_INTERVAL_S = 0.05  # s between slices of what is sent bit by bit
-PACED_LINK_SHARE = 0.4  # of the link that it may take
-MAX_PACED = 4000  # datagrams that wait to be sent; past it new ones are left out, as a full link loses them
+CONNECT_TIMEOUT_S = 0.5
+USER_TIMEOUT_MS = 1200  # TCP_USER_TIMEOUT: for which sent data may stay unacknowledged
+MAX_QUEUED = 256  # messages that wait for a connection
+MAX_BUFFERED_BYTES = 16 * 1024 * 1024  # that a peer may leave unread before its connection is closed
+HEADER_BYTES = 28  # IP and UDP headers of a datagram
+RECONNECT_DELAY_S = 0.15  # after a failure
+PACING_INTERVAL_S = 0.05  # between the bursts of paced sending
+PACED_LINK_SHARE = 0.4  # of the bandwidth that paced sending may use
+MAX_PACED = 4000  # waiting datagrams; further ones are dropped, as on a congested link
+
+# Kinds of datagrams. FORWARD: from another zone, to be sent on here as FORWARDED.
 SWIM, GOSSIP, IN_FLIGHT, HEALTH, HOST_ROWS, FORWARD, FORWARDED = b"S", b"W", b"O", b"B", b"L", b"P", b"p"
-REPORT, REPORTED = b"Z", b"z"  # of a zone: to one in another, who tells all there; to those
-RELAY_REQUEST, RELAY_BATCH, RELAYED = (
-    b"c",
-    b"C",
-    b"k",
-)  # to a carrier; joined words to a carrier elsewhere; to all in a zone
+REPORT, REPORTED = b"Z", b"z"  # of a zone: to one gateway of another zone; sent on to all there
+# One message to a carrier; a batch to a carrier of another zone; a batch to all in a zone.
+RELAY_REQUEST, RELAY_BATCH, RELAYED = b"c", b"C", b"k"
 
 
 class PeerConnection(asyncio.Protocol):
-    """Parcels on a connection, either way."""
+    """One connection, outgoing or accepted, that carries framed messages both ways."""
 
     def __init__(
         self,
@@ -60,29 +59,31 @@
 
     def data_received(self, data: bytes) -> None:
         self.buffer += data
-        at = 0
-        while len(self.buffer) - at >= FRAME_HEADER.size:
-            (size,) = FRAME_HEADER.unpack_from(self.buffer, at)
+        offset = 0
+        while len(self.buffer) - offset >= FRAME_HEADER.size:
+            (size,) = FRAME_HEADER.unpack_from(self.buffer, offset)
             if size > MAX_FRAME_BYTES:
                 self.close()
                 return
-            end = at + FRAME_HEADER.size + size
+            end = offset + FRAME_HEADER.size + size
             if len(self.buffer) < end:
                 break
-            body = bytes(self.buffer[at + FRAME_HEADER.size : end])
-            at = end
+            body = bytes(self.buffer[offset + FRAME_HEADER.size : end])
+            offset = end
             try:
                 message = decode_message(body)
             except msgspec.ValidationError:
-                continue  # of a newer program
+                continue  # of a newer version
             except msgspec.DecodeError:
                 self.close()
                 return
             self.on_message(self, message)
-        if at:
-            del self.buffer[:at]
+        if offset:
+            del self.buffer[:offset]
 
     def send(self, message: PeerMessage) -> bool:
+        """Sends a message; returns False if the connection is closed, also because of too much unread
+        data."""
         if self.transport is None or self.transport.is_closing():
             return False
         if self.transport.get_write_buffer_size() > MAX_BUFFERED_BYTES:
@@ -100,7 +101,7 @@
 
 
 class Link:
-    """To one gateway: made when something is to be sent, made anew when it breaks."""
+    """Messages to one gateway, over a connection that is opened on demand and reopened after it broke."""
 
     def __init__(self, own_ip: str, ip: str, port: int) -> None:
         self.own_ip, self.ip, self.port = own_ip, ip, port
@@ -109,10 +110,11 @@
         self.waiting: dict[int, asyncio.Future[PeerReply | None]] = {}
         self.task: asyncio.Task[None] | None = None
         self.not_before = 0.0
-        self.stale_replies = 0  # answers that came too late to be anybody's
+        self.stale_replies = 0  # number of replies that nobody waits for any more
         self.loop = asyncio.get_running_loop()
 
     def send(self, message: PeerMessage) -> None:
+        """Sends a message, or queues it until there is a connection; drops it if the queue is full."""
         if self.connection and self.connection.send(message):
             return
         if len(self.queue) < MAX_QUEUED:
@@ -121,7 +123,7 @@
             self.task = self.loop.create_task(self._connect())
 
     async def request(self, number: int, message: PeerMessage, timeout: float) -> PeerReply | None:
-        """The answer, or None if none comes in time."""
+        """Sends a request; returns its reply, or None after `timeout` s or if the connection fails."""
         future: asyncio.Future[PeerReply | None] = self.loop.create_future()
         self.waiting[number] = future
         self.send(message)
@@ -139,7 +141,7 @@
                 await asyncio.sleep(wait)
             connection = PeerConnection(self._received, self._lost)
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
-                # From the own address: it is what others answer to, on a machine that has several.
+                # On a machine with several addresses: others reply to the source address.
                 await self.loop.create_connection(
                     lambda: connection, self.ip, self.port, local_addr=(self.own_ip, 0)
                 )
@@ -161,7 +163,7 @@
 
     def _received(self, connection: PeerConnection, message: PeerMessage) -> None:
         if connection is not self.connection:
-            self.stale_replies += 1  # of a connection that was given up
+            self.stale_replies += 1  # from a previous connection
             return
         number = getattr(message, "number", None)
         future = self.waiting.get(number) if number is not None else None
@@ -176,18 +178,19 @@
             self._failed()
 
     def reset(self) -> None:
-        """It said nothing in time: a path that is cut tells nothing of itself."""
+        """Closes the connection after a timeout, because a broken network path gives no error."""
         if self.connection:
             self.connection.close()
 
     def close(self) -> None:
+        """Closes the link for good."""
         if self.task:
             self.task.cancel()
         self.reset()
 
 
 class Peers:
-    """All links, the listener, and the datagrams."""
+    """The links to all gateways, the listener for their connections, and the datagram socket."""
 
     def __init__(
         self,
@@ -199,15 +202,16 @@
         self.ip, self.port, self.on_message, self.on_datagram = ip, port, on_message, on_datagram
         self.links: dict[str, Link] = {}
         self.paced: deque[tuple[bytes, str]] = deque()
-        self.bytes_per_interval = 0.0  # that `pace` sends; 0: all at once
+        self.bytes_per_interval = 0.0  # that `send_paced` sends; 0: everything at once
         self.credit = 0.0
         self.pacing = False
         self.accepted: set[PeerConnection] = set()
-        # Requests are numbered on from a number of this process's own: what was meant for the one before it at
-        # this address is nobody's.
+        # Request numbers start at a random value, so that a reply to a previous process at this address
+        # matches no request.
         self.last_number = int.from_bytes(os.urandom(4)) << 20
 
     async def start(self) -> None:
+        """Binds the listener and the datagram socket."""
         loop = asyncio.get_running_loop()
         self.server = await loop.create_server(self._accept, self.ip, self.port, backlog=256)
         self.udp, _ = await loop.create_datagram_endpoint(
@@ -220,43 +224,49 @@
         return connection
 
     def link(self, ip: str) -> Link:
+        """Returns the link to a gateway, creating it if needed."""
         link = self.links.get(ip)
         if link is None:
             link = self.links[ip] = Link(self.ip, ip, self.port)
         return link
 
     def next_number(self) -> int:
+        """Returns a new request number, which is also used for tokens."""
         self.last_number += 1
         return self.last_number
 
     def send_datagram(self, ip: str, kind: bytes, data: bytes) -> None:
+        """Sends a datagram of a kind to a gateway."""
         self.udp.sendto(kind + data, (ip, self.port))
 
     def broadcast(self, near: Iterable[str], far: Iterable[str], kind: bytes, data: bytes) -> None:
-        """To all in this zone; and to one in each other zone, who passes it on there: links between are
-        dear."""
-        sendto, port, whole = self.udp.sendto, self.port, kind + data
+        """Sends a datagram to `near`, and to `far`, one gateway of each other zone, which forwards it there.
+
+        Links between zones are expensive.
+        """
+        sendto, port, datagram = self.udp.sendto, self.port, kind + data
         if self.bytes_per_interval and kind == GOSSIP:
-            self.send_paced(near, whole)
+            self.send_paced(near, datagram)
         else:
             for ip in near:
-                sendto(whole, (ip, port))
-        passed = FORWARD + inet_aton(self.ip) + whole
+                sendto(datagram, (ip, port))
+        forwarded = FORWARD + inet_aton(self.ip) + datagram
         for ip in far:
-            sendto(passed, (ip, port))
+            sendto(forwarded, (ip, port))
 
     def forward(self, near: Iterable[str], data: bytes) -> None:
-        """What came to be passed on, to all others in this zone."""
-        whole = FORWARDED + data
+        """Sends a datagram that came with `FORWARD` to the others of this zone."""
+        datagram = FORWARDED + data
         if self.bytes_per_interval and data[4:5] == GOSSIP:
-            self.send_paced(near, whole)
+            self.send_paced(near, datagram)
             return
         for ip in near:
-            self.udp.sendto(whole, (ip, self.port))
+            self.udp.sendto(datagram, (ip, self.port))
 
-    def send_paced(self, ips: Iterable[str], whole: bytes) -> None:
-        """Sends bit by bit: a word to thirty others at once would hold up a narrow link for all else."""
-        self.paced.extend((whole, ip) for ip in ips if len(self.paced) < MAX_PACED)
+    def send_paced(self, ips: Iterable[str], datagram: bytes) -> None:
+        """Sends a datagram to many in small bursts: thirty at once would delay all other traffic on a narrow
+        link."""
+        self.paced.extend((datagram, ip) for ip in ips if len(self.paced) < MAX_PACED)
         if not self.pacing and self.paced:
             self.pacing, self.credit = True, 0.0
             self._send_next_paced()
@@ -264,24 +274,25 @@
     def _send_next_paced(self) -> None:
         self.credit += self.bytes_per_interval
         while self.paced and (self.credit > 0 or not self.bytes_per_interval):
-            whole, ip = self.paced.popleft()
-            self.credit -= len(whole) + HEADER_BYTES
-            self.udp.sendto(whole, (ip, self.port))
+            datagram, ip = self.paced.popleft()
+            self.credit -= len(datagram) + HEADER_BYTES
+            self.udp.sendto(datagram, (ip, self.port))
         self.pacing = bool(self.paced)
         if self.pacing:
             asyncio.get_running_loop().call_later(PACING_INTERVAL_S, self._send_next_paced)
 
     @staticmethod
     def unpack_forwarded(data: bytes) -> tuple[str, bytes, bytes] | None:
-        """Of what was passed on: whose it is, its kind, itself."""
+        """Splits a forwarded datagram into its sender's address, its kind and its data."""
         return (inet_ntoa(data[:4]), data[4:5], data[5:]) if len(data) > 5 else None
 
     def retain_links(self, ips: set[str]) -> None:
-        """Lets go of links to those that are no longer known."""
+        """Closes the links to gateways that are no longer known."""
         for ip in [ip for ip in self.links if ip not in ips]:
             self.links.pop(ip).close()
 
     def close(self) -> None:
+        """Closes sockets, links and accepted connections."""
         self.server.close()
         self.udp.close()
         for link in self.links.values():
@@ -291,6 +302,8 @@
 
 
 class DatagramReceiver(asyncio.DatagramProtocol):
+    """Passes received datagrams, with the sender's address, to a callback."""
+
     def __init__(self, on_datagram: Callable[[str, bytes], None]) -> None:
         self.on_datagram = on_datagram
 
@@ -298,4 +311,4 @@
         self.on_datagram(addr[0], data)
 
     def error_received(self, exc: Exception) -> None:
-        """An address that took none: probes tell what is to be known of it."""
+        """Ignores an unreachable address: the probes of membership detect it."""
--- a/coralvale/cluster/server/relay.py
+++ b/coralvale/cluster/server/relay.py
@@ -1,13 +1,13 @@
-"""Words of many gateways joined into few datagrams, in a large fleet.
+"""Relaying of gossip in a large fleet: carriers batch the messages of many gateways into few datagrams.
 
-Each gateway of n that tells each other makes n x n datagrams a period, and costs each of them n wake-ups. In
-place of that it tells a carrier of its zone; the carrier joins what came within `EVERY` and brings it to all
-there, and to a carrier in each other zone, who brings it to all in that one. Carriers are those that say so:
-they know the others, and their link bears it. There are two a zone, which take turns, so that one that has just
-died costs each second word, and more where two would need too much of their links; where there is none, all
-tell all as in a small fleet.
+If each of n gateways sends to each other, there are n x n datagrams in a period, and each gateway wakes up n
+times. Instead it sends to a carrier of its zone. The carrier batches what arrives within `BATCH_INTERVAL_S`
+and sends it to all in the zone, and to a carrier of each other zone, which sends it to all there. A gateway
+announces itself as a carrier if it knows the others and has the bandwidth. Each zone uses two in turn, so a
+carrier that has just died costs every second message, or more than two if two would need too much of their
+bandwidth. Without a carrier all send to all, as in a small fleet.
 
-No I/O and no clock of its own here.
+No I/O and no clock.
 """
 
 from __future__ import annotations
@@ -17,47 +17,48 @@
 from collections.abc import Iterable, Iterator, Mapping
 from socket import inet_aton, inet_ntoa
 
-BATCH_INTERVAL_S = 0.05  # s in which what comes is joined
-MAX_DATAGRAM_BYTES = 1350  # of a datagram: what a packet bears beside its heads
-MAX_BATCHED = 2048  # words that wait at once; past it new ones are left out, as a full link loses them
-MIN_CARRIERS, MAX_CARRIERS = 2, 8  # carriers of a zone that take turns
-MAX_LINK_SHARE = 0.2  # of its link that all that a zone is brought may take, for one to carry
-MAX_REPLICA_LINK_SHARE = (
-    0.3  # of its link that its own part may take, for one with a replica of the control state
-)
-CARRIER_BYTES_PER_S = 2.5e6  # bytes a second that one is to bring: beyond it more of them take turns
-GOSSIP_BYTES = 280  # of a gateway's words in a period, about, all kinds: measured at 96 gateways
-NEAR_TIMEOUT_S, FAR_TIMEOUT_S = (
-    0.8,
-    1.6,
-)  # s without a word of a carrier in this zone, or in another, after which it is none
-REPORT_WEIGHT = 10  # words that another zone's report weighs
+BATCH_INTERVAL_S = 0.05  # for which messages are collected
+MAX_DATAGRAM_BYTES = 1350  # that fit a packet beside the headers
+MAX_BATCHED = 2048  # messages in a batch; further ones are dropped, as on a congested link
+MIN_CARRIERS, MAX_CARRIERS = 2, 8  # of a zone, used in turn
+MAX_LINK_SHARE = 0.2  # of a carrier's bandwidth that the zone's whole relay traffic may use
+# Of the bandwidth of a carrier with a replica of the control state that its own part of the traffic may use.
+MAX_REPLICA_LINK_SHARE = 0.3
+CARRIER_BYTES_PER_S = 2.5e6  # that one carrier relays; above it more carriers are used
+GOSSIP_BYTES = 280  # approximately, of all messages of a gateway in a period, with 96 gateways
+# Without a message of a carrier in this zone, or in another, after which it no longer counts as one.
+NEAR_TIMEOUT_S, FAR_TIMEOUT_S = 0.8, 1.6
+REPORT_WEIGHT = 10  # gossip messages that a report of another zone is as large as
 ENTRY_HEADER = struct.Struct("!4sH")
 
 
 def zone_load(gateways: int, near: int, period: float) -> float:
-    """Bytes a second that a zone is brought, by all of its carriers together."""
+    """Relay traffic of all carriers of a zone together, bytes per second. `near`: other gateways in the
+    zone."""
     return gateways * near * GOSSIP_BYTES / period
 
 
 def carrier_count(gateways: int, near: int, period: float) -> int:
-    """Carriers of a zone that are to take turns."""
+    """Number of carriers that a zone should use."""
     return min(
         MAX_CARRIERS, max(MIN_CARRIERS, math.ceil(zone_load(gateways, near, period) / CARRIER_BYTES_PER_S))
     )
 
 
-def can_carry(gateways: int, near: int, link: float, period: float, replica: bool = False) -> bool:
-    """Whether a gateway's link (bytes a second) bears a carrier's work. `replica`: it has one; such machines are
-    few and their links wide, and where the work is large they share it."""
-    whole = zone_load(gateways, near, period)
-    return whole <= MAX_LINK_SHARE * link or (
-        replica and whole / carrier_count(gateways, near, period) <= MAX_REPLICA_LINK_SHARE * link
+def can_carry(gateways: int, near: int, bytes_per_s: float, period: float, has_replica: bool = False) -> bool:
+    """Whether a gateway has the bandwidth for a carrier.
+
+    `has_replica`: of the control state; such machines are few and have much bandwidth, so they share the
+    traffic of a large zone.
+    """
+    total = zone_load(gateways, near, period)
+    return total <= MAX_LINK_SHARE * bytes_per_s or (
+        has_replica and total / carrier_count(gateways, near, period) <= MAX_REPLICA_LINK_SHARE * bytes_per_s
     )
 
 
 def unpack_batch(data: bytes) -> Iterator[tuple[str, bytes]]:
-    """What was joined: whose it is, and itself. What is cut short ends it."""
+    """Yields address of the sender and message of a batch; stops at a truncated one."""
     at = 0
     while at + ENTRY_HEADER.size < len(data):
         ip, size = ENTRY_HEADER.unpack_from(data, at)
@@ -69,68 +70,72 @@
 
 
 class RelayBatch:
-    """What a carrier has to bring: the newest word of each kind of each gateway."""
+    """The messages that a carrier will relay next: the newest of each kind of each gateway."""
 
     def __init__(self) -> None:
         self.near: dict[tuple[str, bytes], bytes] = {}
         self.far: dict[tuple[str, bytes], bytes] = {}
 
-    def add(self, ip: str, whole: bytes, to_other_zones: bool) -> bool:
-        """A gateway's word, its kind first; `onward`: other zones have yet to hear it. False: no room."""
-        key = (ip, whole[:1])
+    def add(self, ip: str, message: bytes, to_other_zones: bool) -> bool:
+        """Adds a gateway's message, which starts with its kind. `to_other_zones`: also for them. False if
+        full."""
+        key = (ip, message[:1])
         if len(self.near) >= MAX_BATCHED and key not in self.near:
             return False
-        self.near[key] = whole
+        self.near[key] = message
         if to_other_zones:
-            self.far[key] = whole
+            self.far[key] = message
         return True
 
     def take(self) -> tuple[list[bytes], list[bytes]]:
-        """Datagrams for this zone, and for each other one."""
+        """Empties the batch; returns the datagrams for this zone, and those for each other zone."""
         near, far = self.near, self.far
         self.near, self.far = {}, {}
         return pack_batch(near), pack_batch(far)
 
 
-def pack_batch(words: Mapping[tuple[str, bytes], bytes]) -> list[bytes]:
-    made: list[bytes] = []
+def pack_batch(messages: Mapping[tuple[str, bytes], bytes]) -> list[bytes]:
+    """Packs messages, by sender's address and kind, into as few datagrams as fit them in order."""
+    batches: list[bytes] = []
     parts: list[bytes] = []
     size = 0
-    for (ip, _), whole in words.items():
-        length = ENTRY_HEADER.size + len(whole)
+    for (ip, _), message in messages.items():
+        length = ENTRY_HEADER.size + len(message)
         if parts and size + length > MAX_DATAGRAM_BYTES:
-            made.append(b"".join(parts))
+            batches.append(b"".join(parts))
             parts, size = [], 0
-        parts += (ENTRY_HEADER.pack(inet_aton(ip), len(whole)), whole)
+        parts += (ENTRY_HEADER.pack(inet_aton(ip), len(message)), message)
         size += length
     if parts:
-        made.append(b"".join(parts))
-    return made
+        batches.append(b"".join(parts))
+    return batches
 
 
 class Carriers:
-    """Who carries in each zone, as their own words say."""
+    """The carriers of all zones, as they announce themselves."""
 
     def __init__(self) -> None:
-        self.heard_at: dict[str, float] = {}  # by address, when one that carries was heard of
+        self.heard_at: dict[str, float] = {}  # by address, time of a carrier's last message
         self.turn = 0
-        self.max_active = MIN_CARRIERS  # of a zone that take turns
+        self.max_active = MIN_CARRIERS  # carriers of a zone that are used in turn
 
     def record(self, now: float, ip: str, carries: bool) -> None:
+        """Records whether a gateway has announced itself as a carrier."""
         if carries:
             self.heard_at[ip] = now
         else:
             self.heard_at.pop(ip, None)
 
-    def active(self, now: float, ips: Iterable[str], silent: float) -> list[str]:
-        """Of a zone's gateways, those that carry there: the same at all that know the same."""
+    def active(self, now: float, ips: Iterable[str], timeout: float) -> list[str]:
+        """The carriers to use among a zone's gateways; equal at all gateways that have received the same."""
         heard_at = self.heard_at
-        return sorted(ip for ip in ips if now - heard_at.get(ip, -math.inf) <= silent)[: self.max_active]
+        return sorted(ip for ip in ips if now - heard_at.get(ip, -math.inf) <= timeout)[: self.max_active]
 
-    def pick(self, among: list[str]) -> str:
+    def pick(self, active: list[str]) -> str:
+        """Picks one of these carriers, in turn."""
         self.turn += 1
-        return among[self.turn % len(among)]
+        return active[self.turn % len(active)]
 
     def retain(self, ips: set[str]) -> None:
-        """Forgets those that are not there any more."""
+        """Drops carriers that are not among these gateways."""
         self.heard_at = {ip: at for ip, at in self.heard_at.items() if ip in ips}
--- a/coralvale/cluster/server/runtime.py
+++ b/coralvale/cluster/server/runtime.py
@@ -1,4 +1,5 @@
-"""What all parts of a gateway's process stand on: settings, clock, links, and the tasks between them."""
+"""State that all parts of a gateway process share: settings, clock, connections to peers, background
+tasks."""
 
 from __future__ import annotations
 
@@ -15,10 +16,12 @@
 from coralvale.cluster.settings import Settings
 from coralvale.net.clock import Clock
 
-TICK_S = 0.05  # s between looks at what is due
+TICK_S = 0.05  # between checks of what is due
 
 
 class Runtime:
+    """Settings, clock, random numbers, peers and background tasks of one gateway process."""
+
     def __init__(
         self,
         settings: Settings,
@@ -30,26 +33,27 @@
         self.settings, self.path, self.clock = settings, path, clock
         self.loop = asyncio.get_running_loop()
         self.rng = random.Random()
-        self.incarnation = int(time.time())  # rises from start to start
-        self.process_token = 1 + self.rng.getrandbits(31)  # another one at each start, however soon
+        self.incarnation = int(time.time())  # rises with each start
+        self.process_token = 1 + self.rng.getrandbits(31)  # differs between starts, also within one second
         self.started_at = clock.monotonic()
         self.peers = Peers(settings.Ip, settings.peers_port, on_message, on_datagram)
         self.tasks: set[asyncio.Task[Any]] = set()
         self.stopping = False
 
-    def spawn(self, work: Any) -> None:  # noqa: ANN401
-        task = self.loop.create_task(work)
+    def spawn(self, coroutine: Any) -> None:  # noqa: ANN401
+        """Runs a coroutine as a background task; logs its exception, if any."""
+        task = self.loop.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self._task_done)
 
-    async def run_forever(self, work: Callable[[], Awaitable[None]]) -> None:
-        """One mistake in what comes round must not end what comes after it."""
+    async def run_forever(self, loop: Callable[[], Awaitable[None]]) -> None:
+        """Runs a loop, and restarts it after an exception, so that one error does not end it."""
         while True:
             try:
-                await work()
+                await loop()
             except Exception as error:  # noqa: BLE001
                 where = traceback.extract_tb(error.__traceback__)[-1]
-                tell(Event.FAILED, reason=f"{work.__name__}: {error!r} at {where.name}:{where.lineno}")
+                tell(Event.FAILED, reason=f"{loop.__name__}: {error!r} at {where.name}:{where.lineno}")
                 await asyncio.sleep(TICK_S)
 
     def _task_done(self, task: asyncio.Task[Any]) -> None:
--- a/coralvale/cluster/server/shares.py
+++ b/coralvale/cluster/server/shares.py
@@ -1,4 +1,4 @@
-"""This gateway's claim to its parts of the tenants' quotas: made at the leader, and made anew in time."""
+"""This gateway's claim to its shares of the tenants' quotas: made at the leader, and renewed periodically."""
 
 from __future__ import annotations
 
@@ -15,23 +15,26 @@
 from coralvale.cluster.server.runtime import Runtime
 from coralvale.cluster.share_desk import MAX_ANSWER_AGE_S, ShareAnswer
 
-RENEW_INTERVAL_S = 10.0  # s between claims while all is as it should be
-RETRY_INTERVAL_S = 0.15  # s until the next one where the last got no answer, or this gateway owns nothing yet
-CLAIM_TIMEOUT_S = 1.0  # s for an answer
-MAX_JITTER_S = 0.1  # s over which gateways that hear of a newer table at once spread their claims
+RENEW_INTERVAL_S = 10.0  # between claims, normally
+RETRY_INTERVAL_S = 0.15  # after a claim without an answer, or while this gateway owns no shares
+CLAIM_TIMEOUT_S = 1.0
+MAX_JITTER_S = 0.1  # spreads the claims of gateways that learn of a newer table at the same time
 
 
 class ShareClaims:
+    """Claims this gateway's shares, and handles claims of others at the leader."""
+
     def __init__(self, runtime: Runtime, core: Core, holding: Holding) -> None:
         self.runtime, self.core, self.holding = runtime, core, holding
         self.newer_table = asyncio.Event()
 
     def note_version(self, version: int) -> None:
-        """Another gateway follows the table of this version."""
+        """Claims soon if another gateway follows a newer table version."""
         if version > self.holding.version:
             self.newer_table.set()
 
     async def claim_loop(self) -> None:
+        """Claims periodically, and soon after a newer table is known of. Intervals vary by 25 %."""
         while True:
             answered = await self._claim(left=False)
             pause = RENEW_INTERVAL_S if answered and self.holding.owns_any() else RETRY_INTERVAL_S
@@ -44,12 +47,12 @@
                 continue
 
     async def release(self) -> None:
-        """This process ends: its parts are nobody's from now on, and may go to others if it stays away."""
+        """Releases the shares at shutdown; they may go to other gateways if this one does not come back."""
         self.holding.release_all()
         await self._claim(left=True)
 
     async def _claim(self, left: bool) -> bool:
-        """One claim; whether it was answered."""
+        """Makes one claim; returns whether it was answered."""
         asked_at = self.runtime.clock.monotonic()
         answer = await self._ask(left)
         if answer is None or not answer.settled:
@@ -63,7 +66,7 @@
             return False
         now = self.runtime.clock.monotonic()
         since = max(self.runtime.started_at, now - answer.age)
-        # An answer that was read late, by a process that stood still, brings no allowance.
+        # An answer that was read late, because the process was frozen, brings no allowance.
         allowed = answer.allowed and now - asked_at < MAX_ANSWER_AGE_S
         if self.holding.apply_answer(since, asked_at, table, allowed):
             cells = self.holding.table.owners.count(self.holding.address)
@@ -78,18 +81,19 @@
         return await self._forward(ClaimShares(number, version, left))
 
     async def _forward(self, claim: ClaimShares) -> SharesReply | None:
-        """To the leader; where it is not known, to one of the core, who may know it."""
+        """Sends a claim to the leader or, if it is unknown, to a member of the core, which may know it."""
         _, leader, core = self.core.known_view()
         own = self.runtime.settings.Ip
-        asked = [leader] if leader else [ip for ip in core or self.runtime.settings.seeds if ip != own]
-        if not asked or asked == [own]:
+        targets = [leader] if leader else [ip for ip in core or self.runtime.settings.seeds if ip != own]
+        if not targets or targets == [own]:
             return None
-        link = self.runtime.peers.link(self.runtime.rng.choice(asked))
+        link = self.runtime.peers.link(self.runtime.rng.choice(targets))
         reply = await link.request(claim.number, claim, CLAIM_TIMEOUT_S)
         return reply if isinstance(reply, SharesReply) else None
 
     async def handle_claim(self, connection: PeerConnection, claim: ClaimShares) -> None:
-        """Another gateway's claim: answered by the leader, passed on to it once by a member of the core."""
+        """Answers another gateway's claim at the leader; a member of the core forwards it to the leader,
+        once."""
         address = claim.address or connection.ip
         if self.core.is_leader():
             answer = await self.core.claim(address, claim.version, claim.left, CLAIM_TIMEOUT_S)
--- a/coralvale/cluster/server/zone_reports.py
+++ b/coralvale/cluster/server/zone_reports.py
@@ -1,4 +1,5 @@
-"""Reports of zones: this gateway's part in telling its own, and what it takes from those of the others."""
+"""Zone reports: sends this zone's report if this gateway is its reporter, and applies those of other
+zones."""
 
 from __future__ import annotations
 
@@ -48,20 +49,22 @@
 from coralvale.cluster.server.runtime import Runtime
 from coralvale.cluster.server.shares import ShareClaims
 
-CHECK_INTERVAL_S = 0.1  # s between looks whether a report is due, at those that may speak
-HEALTH_INTERVAL_S = 0.2  # s between reports of what is ill, at the least, while it changes
-FORGET_AFTER_S = 60.0  # s without a report, after which a zone is forgotten
-MAX_BEATS_KEPT = 512  # beats that wait to be reported
+CHECK_INTERVAL_S = 0.1  # between checks whether a report is due, at candidates for reporter
+HEALTH_INTERVAL_S = 0.2  # between health reports while errors increase, at least
+FORGET_AFTER_S = 60.0  # without a report, after which a zone is dropped
+MAX_BEATS_KEPT = 512  # heartbeats that wait to be reported
 
 
 def update_heard_view(core: Core, view: int, leader: str, voters: tuple[str, ...]) -> None:
-    """Another gateway tells of a view: the newest one counts, and who leads it once that is known."""
+    """Records a view of the core that another gateway reports: the newest one, and its leader once known."""
     known, _, before = core.heard_view
     if view > known or (view == known and leader):
         core.heard_view = (view, leader, voters or before)
 
 
 class ZoneReportExchange:
+    """Sends and receives zone reports."""
+
     def __init__(
         self,
         runtime: Runtime,
@@ -79,23 +82,26 @@
         self.arrivals, self.limiter, self.shares, self.instances = arrivals, limiter, shares, instances
         self.carriers, self.is_ready = carriers, is_ready
         self.reporter, self.zones = ZoneReporter(runtime.settings.Ip), ZoneReports()
-        self.may_report = False  # it is among the first of its zone
+        self.may_report = False  # this gateway is a candidate for reporter of its zone
         self.serial = runtime.process_token
-        self.members: dict[int, tuple[bytes, list[str]]] = {}  # by zone: its gateways, packed and not
-        self.beats: dict[str, int] = {}  # heard in this zone since its last report
-        self.reported_ill: dict[int, int] = {}  # ill answers by copy, as told last
+        self.members: dict[
+            int, tuple[bytes, list[str]]
+        ] = {}  # by zone: addresses of its gateways, packed and unpacked
+        self.beats: dict[str, int] = {}  # heartbeats received in this zone since its last report
+        self.reported_ill: dict[int, int] = {}  # errors by host, as last reported
         self.health_reported_at = 0.0
 
-    # This zone's
+    # Reports of this zone
 
     async def report_loop(self) -> None:
+        """Reports this zone whenever this gateway has to."""
         while True:
             await asyncio.sleep(self.step(self.runtime.clock.monotonic()))
 
     def step(self, now: float) -> float:
-        """Reports if that is due here; seconds until the next look."""
-        there, before = self.membership.swim.there, self.membership.uses_reports
-        self.membership.uses_reports = uses_zone_reports(there, before)
+        """Sends a report if one is due here; returns the seconds until the next check."""
+        gateways, before = self.membership.swim.there, self.membership.uses_reports
+        self.membership.uses_reports = uses_zone_reports(gateways, before)
         candidates = self._candidates(now) if self.membership.uses_reports else []
         self.may_report = (
             self.reporter.address in candidates and self.is_ready() and not self.runtime.stopping
@@ -110,16 +116,16 @@
         return CHECK_INTERVAL_S
 
     def note_beats(self, beats: list[tuple[str, int]]) -> None:
-        """Beats that gateways of this zone have heard."""
+        """Adds heartbeats that gateways of this zone have received to the next report."""
         if self.membership.uses_reports and len(self.beats) < MAX_BEATS_KEPT:
             self.beats.update(beats)
 
     def _reachable(self, now: float) -> list[str]:
-        """This zone's gateways whose words come, this one too."""
-        others, (near, _) = self.limiter.usage.peers, self.membership.broadcast_targets()
-        known = [ip for ip in near if ip in others and not others[ip].left]
+        """Addresses of this zone's gateways whose gossip arrives, and of this one."""
+        peers, (near, _) = self.limiter.usage.peers, self.membership.broadcast_targets()
+        known = [ip for ip in near if ip in peers and not peers[ip].left]
         return [
-            *(ip for ip in known if now - others[ip].heard_at <= GATEWAY_TIMEOUT_S),
+            *(ip for ip in known if now - peers[ip].heard_at <= GATEWAY_TIMEOUT_S),
             self.reporter.address,
         ]
 
@@ -128,21 +134,23 @@
         return self.reporter.candidates(here, self.carriers.active(now, here, relay.NEAR_TIMEOUT_S))
 
     def _report(self, now: float, candidates: list[str]) -> None:
-        """All that the other zones are told."""
+        """Sends all parts of a report to the other zones."""
         here = self._reachable(now)
         self.reporter.start_report(now, len(here))
         for presence in self._presences(now, here):
             self._send(candidates, presence)
         self._send(candidates, UsageSum(self._head(), pack_usage_sum(sum_usage(self._usage_reports(here)))))
-        told = self.instances.in_flight_by_gateway
-        outs = [[(copy.id_hash, count) for copy, count in told[ip][1]] for ip in here if ip in told]
+        by_gateway = self.instances.in_flight_by_gateway
+        in_flight = [
+            [(copy.id_hash, count) for copy, count in by_gateway[ip][1]] for ip in here if ip in by_gateway
+        ]
         self._send(
             candidates,
             InFlightSum(
-                self._head(), pack_in_flight(sum_in_flight([*outs, self.instances.in_flight_counts()]))
+                self._head(), pack_in_flight(sum_in_flight([*in_flight, self.instances.in_flight_counts()]))
             ),
         )
-        self._report_health(now, candidates, again=bool(self.reported_ill))
+        self._report_health(now, candidates, force=bool(self.reported_ill))
 
     def _head(self) -> ReportHead:
         self.serial += 1
@@ -171,38 +179,40 @@
         ]
 
     def _usage_reports(self, here: list[str]) -> list[TenantUsage]:
-        others = self.limiter.usage.peers
+        peers = self.limiter.usage.peers
         own = {
             name: tenant.last_reported
             for name, tenant in self.limiter.tenants.items()
             if any(tenant.last_reported)
         }
-        return [own, *(others[ip].use for ip in here if ip in others)]
+        return [own, *(peers[ip].use for ip in here if ip in peers)]
 
-    def _report_health(self, now: float, candidates: list[str], again: bool = False) -> None:
-        """What is newly ill is told at once, not with the next report; `again`: though nothing is."""
+    def _report_health(self, now: float, candidates: list[str], force: bool = False) -> None:
+        """Reports health at once if errors have increased, instead of with the next report; always if
+        `force`."""
         rows = self.instances.zone_health(now)
         ill = {mark: count for mark, _, count, *_ in rows}
-        if again or any(count > self.reported_ill.get(mark, 0) for mark, count in ill.items()):
+        if force or any(count > self.reported_ill.get(mark, 0) for mark, count in ill.items()):
             self.reported_ill, self.health_reported_at = ill, now
             self._send(candidates, HealthSum(self._head(), pack_health_sum(rows)))
 
     def _send(self, candidates: list[str], report: Report) -> None:
-        """To one in each other zone, who tells all there; and to those that would speak in this one's place."""
+        """Sends a part of a report to one gateway of each other zone, which sends it on, and presence to the
+        standbys."""
         peers, data, now = self.runtime.peers, encode(report), self.runtime.clock.monotonic()
         _, far = self.membership.broadcast_targets()
-        for by_lot, ips in zip(far, self.membership.far.values(), strict=True):
-            found = self.carriers.active(now, ips, relay.FAR_TIMEOUT_S)
-            peers.send_datagram(self.carriers.pick(found) if found else by_lot, REPORT, data)
+        for random_target, ips in zip(far, self.membership.far.values(), strict=True):
+            active = self.carriers.active(now, ips, relay.FAR_TIMEOUT_S)
+            peers.send_datagram(self.carriers.pick(active) if active else random_target, REPORT, data)
         if isinstance(report, Presence):
             for ip in candidates:
                 if ip != self.reporter.address:
                     peers.send_datagram(ip, REPORTED, data)
 
-    # The other zones'
+    # Reports of other zones
 
     def handle_datagram(self, kind: bytes, body: bytes) -> list[Verdict]:
-        """A part of a report; new verdicts on copies, if it leads to some."""
+        """Handles a part of a report; returns the changed health verdicts."""
         now = self.runtime.clock.monotonic()
         try:
             report = decode_report(body)
@@ -246,7 +256,8 @@
         self.shares.note_version(report.shares)
         update_heard_view(self.core, report.view, report.leader, report.core)
         unknown = self.arrivals.register.merge_beats(now, report.beats)
-        # Those that speak mend the register between zones, and those near them by their words' digests.
+        # Candidates for reporter reconcile the register between zones; the others of their zone reconcile
+        # with them, by the digests in gossip messages.
         if self.may_report:
             self.arrivals.compare(now, report.head.reporter, report.digest, unknown)
         for zone in self.zones.drop_silent(now, FORGET_AFTER_S):
