--- a/coralvale/cluster/server/peers.py
+++ b/coralvale/cluster/server/peers.py
@@ -33,7 +33,8 @@
 
 # Kinds of datagrams. FORWARD: from another zone, to be sent on here as FORWARDED.
 SWIM, GOSSIP, IN_FLIGHT, HEALTH, HOST_ROWS, FORWARD, FORWARDED = b"S", b"W", b"O", b"B", b"L", b"P", b"p"
-REPORT, REPORTED = b"Z", b"z"  # of a zone: to one gateway of another zone; sent on to all there
+# Of a zone: to one gateway of another zone; sent on to all there, and to the standbys in the own zone.
+REPORT, REPORTED = b"Z", b"z"
 # One message to a carrier; a batch to a carrier of another zone; a batch to all in a zone.
 RELAY_REQUEST, RELAY_BATCH, RELAYED = b"c", b"C", b"k"
 
--- a/tests/cluster/soak_mutants.py
+++ b/tests/cluster/soak_mutants.py
@@ -1,4 +1,4 @@
-"""Broken gateways, started as programs by `test_soak_mutants.py`: `python soak_mutants.py NAME`."""
+"""Gateways with one deliberate fault, which `test_soak_mutants.py` starts: `python soak_mutants.py NAME`."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 from coralvale.net.server import Exchange  # noqa: E402
 
 MUTANTS: dict[str, Callable[[], None]] = {}
-LATE = 6.0  # s by which an acknowledged change is late
+LATE_S = 6.0  # delay of a change after its acknowledgement
 
 
 def mutant(make: Callable[[], None]) -> Callable[[], None]:
@@ -37,7 +37,7 @@
 
 @mutant
 def answers_to_the_wrong_connection() -> None:
-    """Now and then a request gets the answer that was made for the one before it."""
+    """Every tenth successful request gets the answer of the one before it."""
     right: Any = Exchange.reply
     last: list[Any] = []
 
@@ -60,7 +60,7 @@
 
 @mutant
 def resends_what_may_have_run() -> None:
-    """A request that may run once is sent to a second host when its first answer is lost."""
+    """A request that must run at most once is sent to a second host when its first answer is lost."""
     right: Any = Router.try_ended
 
     def try_ended(
@@ -74,7 +74,7 @@
 
 @mutant
 def ends_without_waiting() -> None:
-    """Told to end, it goes at once, whatever it has in hand."""
+    """Stops at once, without waiting for open requests."""
 
     async def shut_down(self: GatewayNode) -> None:
         self.stopped.set()
@@ -84,7 +84,7 @@
 
 @mutant
 def closes_connections_under_requests() -> None:
-    """Now and then a kept connection is closed while its request is at a host."""
+    """After every tenth request its connection is closed while the request is at a host."""
     right, count = Edge.take_request, [0]
 
     def take_request(self: Edge, exchange: Exchange) -> None:
@@ -98,11 +98,11 @@
 
 @mutant
 def acknowledges_first() -> None:
-    """A change is acknowledged before it stands anywhere, and ordered later."""
+    """A change is acknowledged before it is stored anywhere, and submitted later."""
     right: Any = Changes.change
 
     async def late(self: Changes, change: Change) -> None:
-        await asyncio.sleep(LATE)
+        await asyncio.sleep(LATE_S)
         await right(self, change)
 
     async def change(self: Changes, change: Change) -> tuple[int, bytes]:
@@ -117,13 +117,13 @@
 
 @mutant
 def charges_no_quota() -> None:
-    """Every request of a tenant is let in."""
+    """Every request of a tenant is admitted."""
     RateLimiter.request = lambda self, now, *rest: Admitted(Source.NONE)  # type: ignore[method-assign]
 
 
 @mutant
 def forgets_leaves_at_a_restart() -> None:
-    """From its second life on, a host that leaves is taken for one that is there."""
+    """After a restart, a draining host is treated as one that serves."""
     marker = Path(os.environ["MYRTLEHATCH_CONFIG"] + ".started")
     if not marker.exists():
         marker.touch()
@@ -140,7 +140,7 @@
 
 @mutant
 def leaks_descriptors() -> None:
-    """Descriptors stay open after each request."""
+    """Three descriptors stay open after each request."""
     right = Edge.take_request
 
     def take_request(self: Edge, exchange: Exchange) -> None:
@@ -153,13 +153,13 @@
 
 @mutant
 def takes_locks_from_their_holders() -> None:
-    """A lock is given to whoever asks, while another holds it."""
+    """A lock is granted while another owner holds it."""
     Leases.expired = lambda self, now, name, lock: True  # type: ignore[method-assign]
 
 
 @mutant
 def skips_events() -> None:
-    """A watch is not told of every other put."""
+    """A watch misses every other put."""
     right: Any = Coordinated.watch
 
     def watch(self: Coordinated, name: str, after: int) -> Any:
--- a/tests/cluster/test_peers.py
+++ b/tests/cluster/test_peers.py
@@ -1,4 +1,4 @@
-"""Between gateways: one that says nothing holds up nobody, and what it leaves unread is bounded."""
+"""Messages between gateways: a silent peer delays no other, and the data that it leaves unread is bounded."""
 
 from __future__ import annotations
 
@@ -34,11 +34,11 @@
 )
 from coralvale.cluster.server.peers import PeerConnection, Peers
 
-LONG = 20.0  # s, far past all that is waited for
+LONG_S = 20.0  # far above all timeouts
 
 
 def free_port(ips: list[str]) -> int:
-    """Free at all of these addresses, for both protocols; below the ports that connections come from."""
+    """A port that is free at all these addresses, for TCP and UDP, below the ephemeral ports."""
     while True:
         port = random.randrange(10_000, 30_000)
         try:
@@ -51,27 +51,27 @@
         return port
 
 
-def answers(connection: PeerConnection, message: PeerMessage) -> None:
+def answer_message(connection: PeerConnection, message: PeerMessage) -> None:
     if isinstance(message, HostRowsRequest):
         connection.send(Ack(message.number))
     elif isinstance(message, UpdateRequest):
-        connection.send(UpdateReply(message.number + 1))  # of another question
+        connection.send(UpdateReply(message.number + 1))  # to another request
 
 
-def play(scene: Callable[[Peers, str, str], Awaitable[None]]) -> None:
-    """One with a peer that answers, and one whose port takes connections and says nothing."""
+def run_scene(scene: Callable[[Peers, str, str], Awaitable[None]]) -> None:
+    """Runs a scene with a peer that answer_message and one that accepts connections but sends nothing."""
     net = f"127.77.{os.getpid() % 250}"
     port = free_port([f"{net}.{n}" for n in (1, 2, 3)])
 
     async def whole() -> None:
-        here, there = (Peers(f"{net}.{n}", port, answers, lambda ip, data: None) for n in (1, 2))
+        here, there = (Peers(f"{net}.{n}", port, answer_message, lambda ip, data: None) for n in (1, 2))
         await here.start()
         await there.start()
         silent = socket.socket()
         silent.bind((f"{net}.3", port))
         silent.listen(8)
         try:
-            await asyncio.wait_for(scene(here, there.ip, f"{net}.3"), LONG)
+            await asyncio.wait_for(scene(here, there.ip, f"{net}.3"), LONG_S)
         finally:
             silent.close()
             here.close()
@@ -80,56 +80,58 @@
     asyncio.run(whole())
 
 
-def test_one_that_says_nothing_is_given_up_in_time_and_holds_up_nobody() -> None:
+def test_a_request_to_a_silent_peer_times_out_and_delays_no_other() -> None:
     async def scene(here: Peers, there: str, silent: str) -> None:
         slow = asyncio.create_task(here.link(silent).request(1, HostRowsRequest(1), 0.4))
         number = here.next_number()
-        assert await here.link(there).request(number, HostRowsRequest(number), LONG) == Ack(number)
+        assert await here.link(there).request(number, HostRowsRequest(number), LONG_S) == Ack(number)
         assert await slow is None
-        # An answer to another question is nobody's.
+        # A reply to another request is discarded.
         assert await here.link(there).request(7, UpdateRequest(7, 0), 0.2) is None
         assert not here.link(there).waiting and not here.link(silent).waiting
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_an_answer_on_a_connection_that_was_given_up_is_nobodys() -> None:
+def test_a_reply_on_a_previous_connection_is_discarded() -> None:
     async def scene(here: Peers, there: str, silent: str) -> None:
         link, number = here.link(there), here.next_number()
-        assert await link.request(number, HostRowsRequest(number), LONG) == Ack(number)
-        before, link.connection = link.connection, None  # as after a break: another connection follows
+        assert await link.request(number, HostRowsRequest(number), LONG_S) == Ack(number)
+        before, link.connection = link.connection, None  # as after a broken connection: another one follows
         assert before is not None
         number = here.next_number()
-        asked = asyncio.create_task(link.request(number, HostRowsRequest(number), LONG))
+        asked = asyncio.create_task(link.request(number, HostRowsRequest(number), LONG_S))
         await asyncio.sleep(0)
         before.on_message(before, Ack(number))
         assert not asked.done() and link.stale_replies == 1
         assert await asked == Ack(number)
         before.close()
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_requests_of_a_new_process_are_numbered_apart_from_those_of_the_one_before() -> None:
-    made = {Peers("127.0.0.1", 1, answers, lambda ip, data: None).next_number() >> 20 for _ in range(20)}
+def test_request_numbers_of_a_new_process_differ_from_those_of_the_previous_one() -> None:
+    made = {
+        Peers("127.0.0.1", 1, answer_message, lambda ip, data: None).next_number() >> 20 for _ in range(20)
+    }
     assert len(made) > 15
 
 
-def test_a_port_where_nobody_is_answers_at_once_and_a_link_comes_back() -> None:
+def test_a_closed_port_fails_at_once_and_a_link_reconnects() -> None:
     async def scene(here: Peers, there: str, silent: str) -> None:
         nobody = silent[:-1] + "4"
-        assert await here.link(nobody).request(1, HostRowsRequest(1), LONG) is None
+        assert await here.link(nobody).request(1, HostRowsRequest(1), LONG_S) is None
         here.link(there).reset()
-        assert await here.link(there).request(2, HostRowsRequest(2), LONG) == Ack(2)
+        assert await here.link(there).request(2, HostRowsRequest(2), LONG_S) == Ack(2)
         here.link(there).reset()
         while here.link(there).connection:
             await asyncio.sleep(0)
-        assert await here.link(there).request(3, HostRowsRequest(3), LONG) == Ack(3)
+        assert await here.link(there).request(3, HostRowsRequest(3), LONG_S) == Ack(3)
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_what_one_leaves_unread_is_bounded() -> None:
+def test_data_that_a_peer_leaves_unread_is_bounded() -> None:
     async def scene(here: Peers, there: str, silent: str) -> None:
         link = here.link(silent)
         link.send(HostRowsRequest(1))
@@ -141,14 +143,14 @@
                 break
         assert connection.transport and connection.transport.is_closing()
         assert connection.transport.get_write_buffer_size() <= peers.MAX_BUFFERED_BYTES + 2 * (1 << 20)
-        for _ in range(2000):  # while there is no connection, parcels wait in a bounded queue
+        for _ in range(2000):  # without a connection, messages wait in a bounded queue
             link.send(HostRowsRequest(2))
         assert len(link.queue) <= peers.MAX_QUEUED
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_a_word_to_many_on_a_narrow_link_goes_out_bit_by_bit_and_what_waits_is_bounded() -> None:
+def test_a_message_to_many_is_paced_on_a_narrow_link_and_the_queue_is_bounded() -> None:
     async def scene(here: Peers, there: str, silent: str) -> None:
         sent: list[str] = []
 
@@ -162,12 +164,12 @@
         here.udp = Udp()  # type: ignore[assignment]
         many = [f"10.0.0.{n}" for n in range(31)]
         here.broadcast(many, [], peers.GOSSIP, bytes(500))
-        assert sent == many  # a wide link: at once
+        assert sent == many  # no pacing: at once
         sent.clear()
         here.bytes_per_interval = 1000.0  # 100 kB/s
         here.broadcast(many, [], peers.GOSSIP, bytes(500))
         assert len(sent) <= 3
-        here.broadcast(many[:2], [], peers.IN_FLIGHT, b"now")  # what cannot wait does not
+        here.broadcast(many[:2], [], peers.IN_FLIGHT, b"now")  # urgent messages are not paced
         assert sent[-2:] == many[:2]
         here.forward(many, bytes(4) + peers.GOSSIP + bytes(500))
         while here.paced:
@@ -177,10 +179,10 @@
             here.broadcast(many, [], peers.GOSSIP, bytes(500))
         assert len(here.paced) <= peers.MAX_PACED
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_what_waits_goes_out_when_the_fleet_is_no_longer_large() -> None:
+def test_paced_datagrams_are_sent_when_pacing_ends() -> None:
     async def scene(here: Peers, there: str, silent: str) -> None:
         here.bytes_per_interval = 10.0
         here.broadcast([there] * 9, [], peers.GOSSIP, bytes(500))
@@ -190,10 +192,10 @@
             await asyncio.sleep(0)
         assert not here.pacing
 
-    play(scene)
+    run_scene(scene)
 
 
-# Each question between gateways, with the one answer that it may get.
+# Each request between gateways, with the only reply that it may get.
 EXCHANGES: tuple[tuple[PeerMessage, PeerReply], ...] = (
     (UpdateRequest(5, 3), UpdateReply(5, None, False, True)),
     (ConfigurationRequest(5, None), Reply(5, 200, b"{}")),
@@ -205,11 +207,11 @@
 
 
 class Resetting(asyncio.Protocol):
-    """Resets its connection after so many bytes that it read, or wrote of an answer; then another connection
-    is served in order."""
+    """A peer that resets its connection after `cut` bytes of the request or of the reply; without a cut it
+    replies."""
 
     cut: int | None = None
-    in_question = True
+    in_request = True
     answer = b""
 
     def connection_made(self, transport: Any) -> None:  # noqa: ANN401
@@ -220,8 +222,8 @@
         kind = type(self)
         if kind.cut is None:
             self.transport.write(kind.answer)
-        elif not kind.in_question or self.read > kind.cut:
-            if not kind.in_question:
+        elif not kind.in_request or self.read > kind.cut:
+            if not kind.in_request:
                 self.transport.write(kind.answer[: kind.cut])
             self.transport.get_extra_info("socket").setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
@@ -229,11 +231,11 @@
             asyncio.get_running_loop().call_soon(self.transport.abort)
 
 
-@pytest.mark.parametrize("question, answer", EXCHANGES)
-def test_a_reset_at_any_byte_of_an_exchange_gives_its_answer_or_none(
-    question: PeerMessage, answer: PeerReply, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("query, answer", EXCHANGES)
+def test_a_reset_at_any_byte_of_an_exchange_yields_its_reply_or_none(
+    query: PeerMessage, answer: PeerReply, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Never a part of one, nor another's; and the link serves the next question."""
+    """Never a part of a reply or a reply to another request; and the link works for the next request."""
     monkeypatch.setattr(peers, "RECONNECT_DELAY_S", 0.0)
     whole = frame(answer)
 
@@ -241,19 +243,19 @@
         ip = f"{silent[:-1]}5"
         listener = await asyncio.get_running_loop().create_server(Resetting, ip, here.port)
         link = here.link(ip)
-        cuts = [(True, n) for n in range(len(frame(question)))] + [(False, n) for n in range(len(whole) + 1)]
-        for in_question, cut in cuts:
-            Resetting.cut, Resetting.in_question, Resetting.answer = cut, in_question, whole
-            found = await link.request(5, question, LONG)
-            assert found is None or (found == answer and cut == len(whole)), (in_question, cut)
-            while link.connection:  # the reset has been seen
+        cuts = [(True, n) for n in range(len(frame(query)))] + [(False, n) for n in range(len(whole) + 1)]
+        for in_request, cut in cuts:
+            Resetting.cut, Resetting.in_request, Resetting.answer = cut, in_request, whole
+            found = await link.request(5, query, LONG_S)
+            assert found is None or (found == answer and cut == len(whole)), (in_request, cut)
+            while link.connection:  # until the reset is noticed
                 await asyncio.sleep(0)
             Resetting.cut = None
-            assert await link.request(5, question, LONG) == answer
+            assert await link.request(5, query, LONG_S) == answer
             link.reset()
             while link.connection:
                 await asyncio.sleep(0)
         assert not link.waiting
         listener.close()
 
-    play(scene)
+    run_scene(scene)
--- a/tests/cluster/test_processes.py
+++ b/tests/cluster/test_processes.py
@@ -1,5 +1,5 @@
-"""Real gateways as processes on loopback: what the machines' tests cannot see is that the gates carry them
-out."""
+"""Real gateway processes on loopback: guards against errors between the state machines, which have their own
+tests, and the servers that execute their actions."""
 
 from __future__ import annotations
 
@@ -18,13 +18,13 @@
 
 
 def net() -> str:
-    """An address range of this test's own: tests run side by side."""
-    lot = os.getpid() % 60000 + 1000
-    return f"127.{lot >> 8}.{lot & 255}"
+    """An address range for this process, as tests run in parallel."""
+    number = os.getpid() % 60000 + 1000
+    return f"127.{number >> 8}.{number & 255}"
 
 
-def play(scene: Callable[[LocalCluster], Awaitable[None]], gateways: int = 4, **more: Any) -> None:
-    async def whole() -> None:
+def run_scene(scene: Callable[[LocalCluster], Awaitable[None]], gateways: int = 4, **more: Any) -> None:
+    async def main() -> None:
         cluster = await LocalCluster(gateways, 3, net(), "DEBUG", **more).start()
         try:
             await cluster.host("schedule")
@@ -34,9 +34,9 @@
             for number in range(gateways):
                 await cluster.until(lambda number=number: cluster.ready(number))  # type: ignore[misc]
             founded = [n for n in range(gateways) if "E202" in cluster.log(n)]
-            assert len(founded) == 1  # whoever came up first, one core comes to be
+            assert len(founded) == 1  # exactly one core, whichever gateway started first
             await scene(cluster)
-            assert sum(cluster.log(n).count("E202") for n in range(gateways)) == 1  # and none later
+            assert sum(cluster.log(n).count("E202") for n in range(gateways)) == 1  # and no other later
         except BaseException:
             for number in range(gateways):
                 print(f"--- gateway-{number}\n{cluster.log(number)[-3000:]}")
@@ -44,22 +44,22 @@
         finally:
             await cluster.stop()
 
-    asyncio.run(whole())
+    asyncio.run(main())
 
 
-def test_a_change_stands_whoever_is_killed_and_a_lost_disk_is_seated_anew() -> None:
+def test_a_change_survives_kills_and_a_lost_disk_becomes_a_voter_again() -> None:
     async def scene(cluster: LocalCluster) -> None:
         upsert = {"Tenants": {"second": {"ApiKeys": ["k2"], "RatePerS": 0, "Burst": 0}}}
         change = {"Ver": 5, "Upsert": upsert}
         found = await cluster.send("config.update", change, 1)
         assert found and found.status == 200
-        await cluster.kill(0)  # it founded the core
-        again = await cluster.send("config.update", change, 1)  # the same, as if no answer had come
+        await cluster.kill(0)  # the founder of the core
+        again = await cluster.send("config.update", change, 1)  # a retry, as if no answer had come
         assert again and again.status == 200
         other = await cluster.send("config.update", {"Ver": 5, "Remove": {"Tenants": ["second"]}}, 1)
         assert other and other.status in (400, 412)
         for file in (cluster.path / "data-0").iterdir():
-            file.unlink()  # its disk is lost: it comes back empty
+            file.unlink()  # the disk is lost: it comes back empty
         await cluster.begin(0)
 
         async def seated() -> bool:
@@ -74,71 +74,73 @@
         found = await cluster.request(3, "/schedule/read/1", key="k2")
         assert found and found.status == 200
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_a_host_that_leaves_gets_nothing_from_any_gateway_once_it_was_acknowledged() -> None:
+def test_no_gateway_sends_requests_to_a_host_whose_drain_was_acknowledged() -> None:
     async def scene(cluster: LocalCluster) -> None:
         leaving, staying = cluster.hosts
         leaving.state = "draining"
-        await cluster.until(leaving.beat)  # it says so until it is acknowledged
+        await cluster.until(leaving.beat)  # repeats the drain until it is acknowledged
 
         async def known(n: int) -> bool:
             found = await call(cluster.ips[n], CTL, "POST", "/rpc?call=gateway.status")
             hosts = json.loads(found.body)["hosts"] if found else []
             return any(host["id"] == leaving.id and host["state"] == "draining" for host in hosts)
 
-        for n in range(4):  # all within DrainMs; how soon is the bench's to say, not a busy machine's
+        for n in range(4):  # no time limit here: a busy machine may be slow; a benchmark checks DrainMs
             await cluster.until(lambda n=n: known(n))  # type: ignore[misc]
         before, served = sum(leaving.ran.values()), 0
         for n in range(200):
             found = await cluster.request(n % 4, "/schedule/book/1", "POST")
-            if found and found.status == 200:  # on a busy machine one may be late
+            if found and found.status == 200:  # a request may time out on a busy machine
                 assert found.body == staying.id.encode()
                 served += 1
             if served == 40:
                 break
         assert sum(leaving.ran.values()) == before and served == 40
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_told_to_end_it_finishes_what_it_has_and_goes_in_time() -> None:
+def test_sigterm_finishes_open_requests_and_ends_in_time() -> None:
     async def scene(cluster: LocalCluster) -> None:
         for host in cluster.hosts:
             host.work = 1.0
-        at_work = [asyncio.create_task(cluster.request(3, "/schedule/book/1", "POST")) for _ in range(4)]
+        open_requests = [
+            asyncio.create_task(cluster.request(3, "/schedule/book/1", "POST")) for _ in range(4)
+        ]
         await cluster.until(lambda: sum(host.running for host in cluster.hosts) == 4)
-        begun = time.monotonic()
+        started_at = time.monotonic()
         ended = asyncio.create_task(cluster.kill(3, signal.SIGTERM))
         await cluster.until(lambda: "E103" in cluster.log(3))
         assert not await cluster.ready(3)
         late = await cluster.request(3, "/schedule/book/1", "POST")
-        # Still taken: the platform asks twice before it passes on no more.
+        # Still accepted: the platform checks readiness twice before it sends no more requests.
         assert late and late.status == 200 and late.headers[b"connection"] == b"close"
-        answers = await asyncio.gather(*at_work)
+        answers = await asyncio.gather(*open_requests)
         assert [a.status for a in answers if a] == [200] * 4
-        assert await ended == 0 and time.monotonic() - begun < 6.0
+        assert await ended == 0 and time.monotonic() - started_at < 6.0
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_a_settings_file_that_changes_is_taken_up_and_a_bad_one_changes_nothing() -> None:
+def test_a_changed_settings_file_is_reloaded_and_an_invalid_one_ignored() -> None:
     async def scene(cluster: LocalCluster) -> None:
         file = cluster.path / "settings-3.yaml"
         good = file.read_text()
         file.write_text("Hostname: [")
-        await cluster.until(lambda: "E106" in cluster.log(3))  # seen without a signal
+        await cluster.until(lambda: "E106" in cluster.log(3))  # noticed without a signal
         file.write_text(good.replace(f"{cluster.ips[0]}:{CTL}", f"{cluster.ips[1]}:{CTL}"))
         cluster.processes[3].send_signal(signal.SIGHUP)
         await cluster.until(lambda: "E105" in cluster.log(3))
         found = await cluster.request(3, "/schedule/read/1")
         assert found and found.status == 200 and await cluster.ready(3)
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_what_is_wrong_is_refused_by_any_gateway_and_leaves_no_trace() -> None:
+def test_any_gateway_refuses_invalid_input_and_changes_nothing() -> None:
     async def scene(cluster: LocalCluster) -> None:
         bad = configuration(9, ["schedule"])
         bad["Routes"]["schedule-read"]["Svc"] = "nobody"
@@ -164,13 +166,13 @@
         assert commands.main(["explain", name, *logs, "--as-json"]) == 0
         assert commands.main(["explain", "0" * 16, *logs]) == 1
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_an_operator_sees_what_changed_what_is_held_against_a_copy_and_the_figures(
+def test_operators_see_changes_health_verdicts_and_metrics(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
-    async def say(*words: str) -> tuple[int, Any]:
+    async def run_command(*words: str) -> tuple[int, Any]:
         capsys.readouterr()
         code = await asyncio.to_thread(commands.main, list(words))
         told = capsys.readouterr()
@@ -183,21 +185,21 @@
         change = {"Ver": 4, "Upsert": {"Tenants": {"second": {"ApiKeys": ["k2"]}}}}
         found = await cluster.send("config.update", change, 1)
         assert found and found.status == 200
-        assert await say("config", "diff", str(file), at[3], "--as-json") == (
+        assert await run_command("config", "diff", str(file), at[3], "--as-json") == (
             1,
             {"Tenants": {"added": ["second"]}},
         )
-        assert (await say("config", "diff", at[3], at[3], "--as-json")) == (0, {})
+        assert (await run_command("config", "diff", at[3], at[3], "--as-json")) == (0, {})
 
         async def known() -> bool:
-            code, steps = await say("config", "history", at[1], "--as-json")
+            code, steps = await run_command("config", "history", at[1], "--as-json")
             return code == 0 and bool(steps) and steps[-1]["version"] == 4
 
         await cluster.until(known)
-        code, steps = await say("config", "history", at[1], "--as-json")
+        code, steps = await run_command("config", "history", at[1], "--as-json")
         assert [(s["version"], s["base"], s["whole"]) for s in steps] == [(1, 0, True), (4, 1, False)]
         assert steps[1]["did"] == {"Tenants": {"added": [1, ["second"]]}}
-        code, why = await say("config", "history", at[3], "--as-json")  # it has no disk
+        code, why = await run_command("config", "history", at[3], "--as-json")  # it has no disk
         assert code == 2 and "ask a member of the core" in why
 
         ill, well = cluster.hosts
@@ -207,7 +209,7 @@
         async def found_ill() -> bool:
             for n in range(20):
                 await cluster.request(n % 4, "/schedule/book/1", "POST")
-            seen[:] = await say("health", *at, "--as-json")
+            seen[:] = await run_command("health", *at, "--as-json")
             return seen[0] == 1
 
         await cluster.until(found_ill, 60.0)
@@ -221,22 +223,23 @@
         text = page.body.decode()
         assert "myrtlehatch_configuration_version 4.0" in text and "myrtlehatch_core_members 3.0" in text
         assert 'myrtlehatch_hosts{service="schedule",state="up"} 2.0' in text
-        assert "k2" not in text and ill.id not in text  # no keys, and no series that come and go
+        # No API keys, and no series per host, as hosts come and go.
+        assert "k2" not in text and ill.id not in text
         other = await call(cluster.ips[2], METRICS, "POST", "/metrics")
         assert other and other.status == 404
 
-    play(scene, metrics=True)
+    run_scene(scene, metrics=True)
 
 
-def test_what_is_bound_is_answered_at_home_alone_and_moves_when_its_binding_does(
+def test_bound_requests_are_served_only_in_their_region_and_follow_a_changed_binding(
     capsys: pytest.CaptureFixture[str],
 ) -> None:
     async def head(ip: str, path: str) -> bytes:
-        """Of a booking whose body never comes."""
+        """The answer to a booking whose body never arrives."""
         reader, writer = await asyncio.open_connection(ip, EDGE)
         lines = f"POST {path} HTTP/1.1\r\nHost: demo.example\r\nX-Myrtlehatch-Request-Id: r\r\n"
         writer.write(f"{lines}Authorization: Bearer demo-key\r\nContent-Length: 9000\r\n\r\n".encode())
-        found = await asyncio.wait_for(reader.read(), 20.0)  # it is closed after its answer
+        found = await asyncio.wait_for(reader.read(), 20.0)  # the connection is closed after the answer
         writer.close()
         return found
 
@@ -286,4 +289,4 @@
         everything = "".join(cluster.log(n) for n in range(4))
         assert "secret" not in everything
 
-    play(scene, regions=("coast", "delta"))
+    run_scene(scene, regions=("coast", "delta"))
--- a/tests/cluster/test_relay.py
+++ b/tests/cluster/test_relay.py
@@ -1,4 +1,4 @@
-"""Words of a large fleet, joined by carriers: all hear all, in few datagrams, whoever of the carriers is gone."""
+"""Gossip relayed by carriers: all gateways get all messages, in few datagrams, also if carriers die."""
 
 from __future__ import annotations
 
@@ -24,25 +24,25 @@
 from coralvale.members.swim import Known
 from coralvale.standins.cluster import configuration, settings
 
-MANY = 60
+GATEWAYS = 60
 
 
 class Fleet:
-    """Gateways in two zones whose datagrams are carried here, on a clock of the test's own."""
+    """Gateways in two zones, with delivery of their datagrams and the clock under control of the test."""
 
     def __init__(self, carriers: int) -> None:
         self.now, self.dead = 100.0, set[str]()
         self.sent: Counter[str] = Counter()
         self.kinds: Counter[bytes] = Counter()
         self.waiting: list[tuple[str, str, bytes]] = []
-        self.ips = [f"10.0.0.{n}" for n in range(1, MANY + 1)]
-        self.all = {ip: self._made(n) for n, ip in enumerate(self.ips)}
+        self.ips = [f"10.0.0.{n}" for n in range(1, GATEWAYS + 1)]
+        self.all = {ip: self._make_gateway(n) for n, ip in enumerate(self.ips)}
         self.carriers = self.ips[: 2 * carriers]
         for one in self.all.values():
             for ip in self.carriers:
                 one.gossip.carriers.record(self.now, ip, True)
 
-    def _made(self, number: int) -> GatewayNode:
+    def _make_gateway(self, number: int) -> GatewayNode:
         one = GatewayNode(parse(settings(number, self.ips, 3, Path("/nowhere"), False)), "")
         fake: Any = one
         fake.runtime.clock = self
@@ -70,7 +70,7 @@
         return Udp()
 
     def deliver(self) -> None:
-        """All that is on its way, and what carriers have to bring, until nothing is."""
+        """Delivers all datagrams, and sends the carriers' batches, until nothing is left."""
         while True:
             while self.waiting:
                 ip, at, data = self.waiting.pop(0)
@@ -83,7 +83,8 @@
             if not self.waiting:
                 return
 
-    def words(self) -> None:
+    def gossip_round(self) -> None:
+        """All live gateways send a gossip message, which is delivered."""
         for ip in self.ips:
             if ip not in self.dead:
                 self.all[ip].gossip.send_to_all(
@@ -91,8 +92,8 @@
                 )
         self.deliver()
 
-    def heard(self) -> list[int]:
-        """Of how many others each that lives has heard now."""
+    def heard_counts(self) -> list[int]:
+        """For each live gateway, the number of others whose messages it has got now."""
         return [
             sum(at == self.now for at in one.membership.gossip_heard_at.values())
             for ip, one in self.all.items()
@@ -100,23 +101,23 @@
         ]
 
 
-def play(scene: Callable[[], None]) -> None:
-    async def whole() -> None:
+def run_scene(scene: Callable[[], None]) -> None:
+    async def main() -> None:
         scene()
 
-    asyncio.run(whole())
+    asyncio.run(main())
 
 
-def test_all_hear_all_in_few_datagrams() -> None:
+def test_all_gateways_get_all_messages_in_few_datagrams() -> None:
     def scene() -> None:
         fleet, direct = Fleet(2), Fleet(0)
         for each in (fleet, direct):
-            each.words()
-            assert set(each.heard()) == {MANY - 1}
+            each.gossip_round()
+            assert set(each.heard_counts()) == {GATEWAYS - 1}
         others = [ip for ip in fleet.ips if ip not in fleet.carriers]
         assert all(fleet.sent[ip] == 1 for ip in others)
         assert 4 * sum(fleet.sent.values()) < sum(direct.sent.values())
-        # What is out goes to the zone alone; words go on to the other, once.
+        # In-flight messages stay in the zone; gossip goes to the other zone, once.
         fleet.kinds.clear()
         fleet.all[others[0]].gossip.send_to_all(IN_FLIGHT, pack_in_flight([(1, 1)]))
         fleet.deliver()
@@ -124,40 +125,41 @@
             IN_FLIGHT in ZONE_ONLY_KINDS and not fleet.kinds[RELAY_BATCH] and fleet.kinds[RELAY_REQUEST] == 1
         )
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_one_dead_carrier_costs_each_second_word_and_none_left_is_found_out() -> None:
+def test_a_dead_carrier_costs_every_second_message_and_without_carriers_all_send_to_all() -> None:
     def scene() -> None:
         fleet = Fleet(2)
         fleet.dead = {fleet.carriers[0]}
         heard: Counter[str] = Counter()
         for _ in range(4):
             fleet.now += 0.1
-            fleet.words()
+            fleet.gossip_round()
             for ip, one in fleet.all.items():
                 heard[ip] += sum(at == fleet.now for at in one.membership.gossip_heard_at.values())
         for ip, one in fleet.all.items():
-            # Each of the others was heard of in two of four rounds, or is dead itself.
+            # A live gateway got the messages of each of the others in two of four rounds.
             assert ip in fleet.dead or (
-                len(one.membership.gossip_heard_at) == MANY - 2 and heard[ip] >= 1.4 * (MANY - 2)
+                len(one.membership.gossip_heard_at) == GATEWAYS - 2 and heard[ip] >= 1.4 * (GATEWAYS - 2)
             )
         fleet.dead, before = set(fleet.carriers), fleet.kinds[RELAY_REQUEST]
         fleet.now += max(relay.NEAR_TIMEOUT_S, relay.FAR_TIMEOUT_S) + 0.1
-        fleet.words()
-        # All tell all: in their zone each, in the other but for what was told, by lot, to one that is dead.
-        alive = MANY - len(fleet.dead)
+        fleet.gossip_round()
+        # All send to all: to each in their zone, and to a random one of the other zone, which may be dead.
+        alive = GATEWAYS - len(fleet.dead)
         assert (
-            min(fleet.heard()) >= alive // 2 - 1 + 0.7 * alive / 2 and not fleet.kinds[RELAY_REQUEST] - before
+            min(fleet.heard_counts()) >= alive // 2 - 1 + 0.7 * alive / 2
+            and not fleet.kinds[RELAY_REQUEST] - before
         )
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_who_carries_is_ready_and_has_a_link_that_bears_it() -> None:
+def test_only_a_ready_gateway_with_enough_bandwidth_is_a_carrier() -> None:
     def scene() -> None:
         one = next(iter(Fleet(0).all.values()))
-        assert not one.gossip.is_carrier(one.runtime.clock.monotonic())  # it knows no configuration
+        assert not one.gossip.is_carrier(one.runtime.clock.monotonic())  # it has no configuration
         one.was_ready = True
         taken = parse_configuration(configuration(1, ["s"]), Configuration())
         assert isinstance(taken, Configuration)
@@ -167,10 +169,10 @@
         assert not one.gossip.is_carrier(one.runtime.clock.monotonic())
         assert relay.can_carry(96, 31, 12.5e6, PERIOD) and not relay.can_carry(96, 31, 0.25e6, PERIOD)
 
-    play(scene)
+    run_scene(scene)
 
 
-def test_the_newest_word_of_each_kind_goes_and_what_waits_is_bounded() -> None:
+def test_a_batch_has_the_newest_message_of_each_kind_and_is_bounded() -> None:
     batch = RelayBatch()
     batch.add("10.0.0.1", GOSSIP + b"old", True)
     batch.add("10.0.0.1", GOSSIP + b"new", True)
@@ -187,16 +189,16 @@
     near, _ = batch.take()
     assert max(map(len, near)) <= relay.MAX_DATAGRAM_BYTES
     assert sum(len(list(unpack_batch(data))) for data in near) == relay.MAX_BATCHED
-    chance = random.Random(3)
-    for _ in range(300):  # what is cut short, or noise, tells nothing that was not there
-        data = near[0][: chance.randrange(len(near[0]))]
-        assert all(len(whole) == 201 for _, whole in unpack_batch(data))
-        list(unpack_batch(chance.randbytes(chance.randrange(64))))
+    rng = random.Random(3)
+    for _ in range(300):  # truncated or random data yields no message that was not sent
+        data = near[0][: rng.randrange(len(near[0]))]
+        assert all(len(datagram) == 201 for _, datagram in unpack_batch(data))
+        list(unpack_batch(rng.randbytes(rng.randrange(64))))
 
 
-def test_carriers_are_the_same_at_all_and_forgotten_when_silent() -> None:
+def test_all_gateways_choose_the_same_carriers_and_drop_silent_ones() -> None:
     carriers, ips = Carriers(), [f"10.0.0.{n}" for n in range(1, 9)]
-    for ip in chance_order(ips):
+    for ip in shuffled(ips):
         carriers.record(1.0, ip, True)
     assert carriers.active(1.5, ips, relay.NEAR_TIMEOUT_S) == ips[: relay.MIN_CARRIERS]
     carriers.record(1.6, ips[0], False)
@@ -207,7 +209,7 @@
     assert not carriers.heard_at
 
 
-def test_a_large_zone_has_more_carriers_and_only_wide_links_with_a_replica_share_its_work() -> None:
+def test_a_large_zone_uses_more_carriers_and_only_wide_links_with_a_replica_share_the_traffic() -> None:
     wide, narrow = 12.5e6, 0.25e6
     assert [relay.carrier_count(n, n // 3, PERIOD) for n in (30, 96, 300, 3000)] == [
         2,
@@ -230,7 +232,7 @@
     assert carriers.active(1.5, ips, relay.NEAR_TIMEOUT_S) == ips[:5]
 
 
-def chance_order(ips: list[str]) -> list[str]:
+def shuffled(ips: list[str]) -> list[str]:
     return random.Random(1).sample(ips, len(ips))
 
 
@@ -238,7 +240,7 @@
     return Row(f"i-{n}", "s", "10.0.1.1", 80, "z", "v", 4, 0, 0.0, 7)
 
 
-def test_registers_are_compared_by_parts() -> None:
+def test_only_the_parts_of_the_register_that_differ_are_sent() -> None:
     here, there = Register(1.5), Register(1.5)
     for n in range(200):
         there.merge(0.0, row(n))
@@ -249,12 +251,12 @@
     for each in told:
         here.merge(0.0, each)
     assert here.digest == there.digest and not there.rows(0.0, here.parts)
-    assert len(there.rows(0.0)) == 200  # one that knows nothing gets all
+    assert len(there.rows(0.0)) == 200  # a gateway without rows gets all
     there.mark_gone(1.0, "i-9")
     assert {r.id: r.state for r in there.rows(1.0, here.parts)}["i-9"] == 2
 
 
-def test_a_register_that_differs_is_asked_for_once_both_are_still_or_it_lasts() -> None:
+def test_a_differing_register_is_requested_once_both_are_unchanged_or_the_difference_lasts() -> None:
     def scene() -> None:
         fleet = Fleet(0)
         one, other = fleet.all[fleet.ips[0]], fleet.ips[1]
@@ -265,7 +267,7 @@
 
         fake: Any = one
         fake.arrivals.pull, fake.runtime.spawn = pull, lambda work: (work.close(), pulled.append(fleet.now))
-        for n in range(40):  # hosts come all the while: not before it has lasted
+        for n in range(40):  # hosts change continuously: not before DIFFERS s have passed
             fleet.now += PERIOD
             one.register.merge(fleet.now, row(n))
             one.gossip.handle_gossip(fleet.now, other, GossipMessage(1, 1000 + n))
@@ -276,8 +278,8 @@
             assert not pulled
             fleet.now += PERIOD
             one.gossip.handle_gossip(fleet.now, other, GossipMessage(1, 5))
-        assert pulled  # both are still, and differ
+        assert pulled  # both are unchanged, and differ
         one.gossip.handle_gossip(fleet.now, other, GossipMessage(1, one.register.digest))
         assert not one.arrivals.mismatch
 
-    play(scene)
+    run_scene(scene)
--- a/tests/cluster/test_zone_reports.py
+++ b/tests/cluster/test_zone_reports.py
@@ -10,7 +10,7 @@
 
 import pytest
 import simpy
-from test_relay import MANY, play
+from test_relay import GATEWAYS, run_scene
 from test_relay import Fleet as RelayFleet
 
 from coralvale.cluster.configuration.model import Configuration
@@ -305,7 +305,7 @@
         fleet = RelayFleet(2)
         for one in fleet.all.values():
             one.membership.uses_reports, one.was_ready = True, True
-            one.membership.swim.there = MANY
+            one.membership.swim.there = GATEWAYS
             one.changes.configuration = Configuration(1)
             one.changes.tenants = {crc32(TENANT.encode()): TENANT}
         first, last = fleet.ips[0], fleet.ips[-1]
@@ -335,13 +335,13 @@
             and not fleet.kinds[FORWARD]
             and 2 * 3 <= fleet.kinds[REPORT] <= 2 * 5
         )
-        near = MANY // 2 - 1
+        near = GATEWAYS // 2 - 1
         for ip, one in fleet.all.items():
             usage, silent = (
                 one.limiter.usage,
                 [at for at in one.membership.gossip_heard_at.values() if at < fleet.now],
             )
-            assert len(one.membership.gossip_heard_at) == MANY - 1 and not silent
+            assert len(one.membership.gossip_heard_at) == GATEWAYS - 1 and not silent
             assert usage.has_heard_all() and usage.is_reachable(fleet.now, last if ip != last else first)
             # Its own zone by gossip messages; the other zone without what its reporter itself admitted.
             assert usage.elsewhere(TENANT).newest == 2 * near + 2 * near
@@ -350,4 +350,4 @@
             assert one.core.heard_view == (3, first, (first,))
             assert one.instances.health.zone_reports or one.membership.swim.me.zone == 0
 
-    play(scene)
+    run_scene(scene)
