--- a/coralvale/cluster/server/changes.py
+++ b/coralvale/cluster/server/changes.py
@@ -1,5 +1,5 @@
-"""The configuration: an operator's calls, settled here or passed on, and news of it for those without a
-seat."""
+"""The configuration: handles operators' calls, here or at the leader, and distributes updates to gateways
+without a replica."""
 
 from __future__ import annotations
 
@@ -16,38 +16,40 @@
 from coralvale.cluster.routing.router import Router
 from coralvale.cluster.server.core import Core
 from coralvale.cluster.server.ctl import Answered
-from coralvale.cluster.server.messages import Ask, Call, Reply, Told
-from coralvale.cluster.server.peers import Frames
+from coralvale.cluster.server.messages import ConfigurationRequest, Reply, UpdateReply, UpdateRequest
+from coralvale.cluster.server.peers import PeerConnection
 from coralvale.cluster.server.runtime import Runtime
 from coralvale.net.server import Bounds as ClientBounds
 
-ASK_FOR = 1.0  # s for which a question for news is kept when there is none
-LOST_AFTER = 0.25  # s between looks at whether the one that is asked is cut off itself
-LATE = 0.8  # s more, after which the one that was asked is taken for cut off
-PASSED_ON = 0.9  # s that the leader is given for an operator's call
-LARGE = 4.0  # s more for each 10 MB of it
+LONG_POLL_S = 1.0  # for which a request waits if there is no update
+CONTACT_CHECK_INTERVAL_S = 0.25  # between checks whether the gateway that answers has lost the core itself
+REPLY_MARGIN_S = 0.8  # after the long poll's end, until its receiver counts as unreachable
+FORWARD_TIMEOUT_S = 0.9  # for the leader to answer an operator's call
+TIMEOUT_PER_10_MB_S = 4.0  # additional, per 10 MB of the call
 
 
 class Changes:
+    """The configuration in force at this gateway, and operators' reads and changes of it."""
+
     def __init__(
-        self, runtime: Runtime, router: Router, bound_clients: Callable[[ClientBounds], None]
+        self, runtime: Runtime, router: Router, set_client_bounds: Callable[[ClientBounds], None]
     ) -> None:
-        """`bound_clients`: with the limits of a configuration that comes into force."""
-        self.runtime, self.router, self.bound_clients = runtime, router, bound_clients
+        """`set_client_bounds`: called with the limits of each new configuration."""
+        self.runtime, self.router, self.set_client_bounds = runtime, router, set_client_bounds
         self.home = router.home
         self.core: Core
         self.configuration = Configuration()
-        self.tenants: dict[int, str] = {}  # by what stands for them in words
+        self.tenants: dict[int, str] = {}  # by CRC of the name, as in messages
         self.waiters: set[asyncio.Future[None]] = set()
 
-    def in_force(self, configuration: Configuration) -> None:
-        """Swapped whole; one that is not newer is passed over."""
+    def apply(self, configuration: Configuration) -> None:
+        """Puts a configuration in force as a whole; ignores one that is not newer."""
         if not self.router.take_configuration(configuration):
             return
         self.configuration = configuration
         self.tenants = {crc32(name.encode()): name for name in configuration.tenants()}
         limits = configuration.limits
-        self.bound_clients(
+        self.set_client_bounds(
             ClientBounds(
                 limits.HeaderBytes, limits.BodyBytes, limits.HdrReadMs / 1000, limits.IdleMs / 1000, 431
             )
@@ -64,99 +66,107 @@
             if not waiter.done():
                 waiter.set_result(None)
 
-    async def follow(self) -> None:
-        """A gateway without a vote, or that hears no leader, asks a member of the core for news, and another
-        when that one is silent."""
-        at = ""
+    async def follow_core(self) -> None:
+        """While this gateway gets no changes from the log: asks a member of the core for updates, and another
+        one if that does not answer."""
+        target = ""
         while True:
-            if self.core.delivers():
+            if self.core.follows_log():
                 await asyncio.sleep(0.2)
                 continue
-            _, _, core = self.core.known()
+            _, _, core = self.core.known_view()
             if not core:
-                # Seeds are the ones that are known from the start, and after the loss of all they have what was
-                # acknowledged on their disks: what they serve by is better than nothing until the core is back.
+                # The seeds are known from the start, and after an outage of all gateways their disks have the
+                # acknowledged configuration: it is better than none until the core is back.
                 settings = self.runtime.settings
                 core = tuple(ip for ip in settings.seeds if ip != settings.Ip)
                 if not core:
                     await asyncio.sleep(0.05)
                     continue
-            if at not in core:
-                at = self.runtime.chance.choice(core)
-            number, link, known = (
-                self.runtime.peers.next(),
-                self.runtime.peers.link(at),
+            if target not in core:
+                target = self.runtime.rng.choice(core)
+            number, link, known_version = (
+                self.runtime.peers.next_number(),
+                self.runtime.peers.link(target),
                 self.configuration.version,
             )
-            answer = await link.request(number, Ask(number, known), ASK_FOR + LATE)
-            if self.core.delivers() or self.configuration.version != known:
-                continue  # it came to know more by another way
-            if not isinstance(answer, Told) or answer.lost:
-                if not isinstance(answer, Told):
+            answer = await link.request(
+                number, UpdateRequest(number, known_version), LONG_POLL_S + REPLY_MARGIN_S
+            )
+            if self.core.follows_log() or self.configuration.version != known_version:
+                continue  # updated meanwhile in another way
+            if not isinstance(answer, UpdateReply) or answer.isolated:
+                if not isinstance(answer, UpdateReply):
                     link.reset()
-                others = [ip for ip in core if ip != at]
-                at = self.runtime.chance.choice(others) if others else at
+                others = [ip for ip in core if ip != target]
+                target = self.runtime.rng.choice(others) if others else target
                 await asyncio.sleep(0.05)
-            elif answer.sure:
+            elif answer.in_contact:
                 self.home.core_heard_at = self.runtime.clock.monotonic()
-            if isinstance(answer, Told) and not answer.lost and answer.news:
-                configuration = apply_update(self.configuration, answer.news)
+            if isinstance(answer, UpdateReply) and not answer.isolated and answer.update:
+                configuration = apply_update(self.configuration, answer.update)
                 if isinstance(configuration, Problem):
                     tell(Event.NEWS_BAD, reason=configuration.reason)
                     await asyncio.sleep(0.2)
                 else:
-                    self.in_force(configuration)
-
-    async def asked(self, frames: Frames, ask: Ask) -> None:
-        """News for a gateway without a vote. What is told was committed; `sure` says that this replica hears a
-        leader, so that nothing newer was committed longer ago than a leader may be silent."""
-        ends = self.runtime.clock.monotonic() + ASK_FOR
-        while (news := self.core.history.update_since(ask.version)) is None:
-            left = ends - self.runtime.clock.monotonic()
+                    self.apply(configuration)
+
+    async def handle_update_request(self, connection: PeerConnection, request: UpdateRequest) -> None:
+        """Answers a gateway without a replica, when there is an update or after `LONG_POLL_S`.
+
+        The update was committed. `in_contact`: this replica is in contact with a leader, so anything newer
+        was committed no longer ago than a leader may be silent.
+        """
+        deadline = self.runtime.clock.monotonic() + LONG_POLL_S
+        while (update := self.core.history.update_since(request.version)) is None:
+            left = deadline - self.runtime.clock.monotonic()
             if left <= 0:
                 break
             waiter: asyncio.Future[None] = self.runtime.loop.create_future()
             self.waiters.add(waiter)
             try:
-                async with asyncio.timeout(min(left, LOST_AFTER)):
+                async with asyncio.timeout(min(left, CONTACT_CHECK_INTERVAL_S)):
                     await waiter
             except TimeoutError:
                 if not self.core.in_contact():
                     break
             finally:
                 self.waiters.discard(waiter)
-        sure = self.core.in_contact()
-        frames.send(Told(ask.number, news, news is None and not sure, sure))
+        in_contact = self.core.in_contact()
+        connection.send(UpdateReply(request.number, update, update is None and not in_contact, in_contact))
 
     async def change(self, change: Change) -> Answered:
-        """An operator's change: settled here by the leader, passed on to it by any other."""
-        return await self._call(change)
+        """An operator's change: decided here if this is the leader, else forwarded to it."""
+        return await self._decide_or_forward(change)
 
     async def read(self) -> Answered:
-        return await self._call(None)
+        """An operator's read of the newest configuration."""
+        return await self._decide_or_forward(None)
 
-    async def _call(self, change: Change | None) -> Answered:
+    async def _decide_or_forward(self, change: Change | None) -> Answered:
         size = len(change.body) if change else len(self.configuration.raw) * 1000
-        patience = PASSED_ON + LARGE * size / 1e7
-        if self.core.leads():
-            return await self._settle(change, patience)
-        _, leader, _ = self.core.known()
+        timeout = FORWARD_TIMEOUT_S + TIMEOUT_PER_10_MB_S * size / 1e7
+        if self.core.is_leader():
+            return await self._decide(change, timeout)
+        _, leader, _ = self.core.known_view()
         if not leader or leader == self.runtime.settings.Ip:
             return 503, b"no leader is known"
-        number = self.runtime.peers.next()
-        answer = await self.runtime.peers.link(leader).request(number, Call(number, change), patience)
+        number = self.runtime.peers.next_number()
+        answer = await self.runtime.peers.link(leader).request(
+            number, ConfigurationRequest(number, change), timeout
+        )
         if isinstance(answer, Reply):
             return answer.status, answer.body
         return 503, b"the leader does not answer"
 
-    async def _settle(self, change: Change | None, patience: float) -> Answered:
-        """By the leader: see `coralvale.cluster.orders`."""
-        begun = self.runtime.clock.monotonic()
-        answer = await self.core.order(change, patience)
+    async def _decide(self, change: Change | None, timeout: float) -> Answered:
+        """At the leader: submits a change or a read (see `coralvale.cluster.orders`)."""
+        started_at = self.runtime.clock.monotonic()
+        answer = await self.core.submit_change(change, timeout)
         if answer is None:
             return 503, b"no majority answers"
         if answer.change:
-            ms = (self.runtime.clock.monotonic() - begun) * 1000
+            ms = (self.runtime.clock.monotonic() - started_at) * 1000
             tell(Event.CHANGE_TAKEN, version=self.core.history.configuration.version, ms=ms)
         if problem := answer.problem:
             if change and problem.kind is not Kind.UNSETTLED:
@@ -164,17 +174,18 @@
             return answer.status, problem.reason.encode()
         return answer.status, answer.body
 
-    async def called(self, frames: Frames, call: Call) -> None:
-        if self.core.leads():
-            status, body = await self._call(call.change)
+    async def handle_request(self, connection: PeerConnection, request: ConfigurationRequest) -> None:
+        """Answers a call that another gateway forwarded; only the leader does."""
+        if self.core.is_leader():
+            status, body = await self._decide_or_forward(request.change)
         else:
             status, body = 503, b"not the leader"
-        frames.send(Reply(call.number, status, body))
+        connection.send(Reply(request.number, status, body))
 
     def history(self) -> Answered:
-        """The newest changes and what they did, where this gateway has a seat."""
-        if not self.core.delivers():
-            at = ", ".join(self.core.known()[2])
+        """The newest changes and their effects, if this gateway has a current replica."""
+        if not self.core.follows_log():
+            at = ", ".join(self.core.known_view()[2])
             return 503, f"this gateway holds no state; ask a member of the core: {at}".encode()
         return 200, msgspec.json.encode(
             [msgspec.structs.asdict(step) for step in self.core.history.summaries]
