--- a/coralvale/net/clock.py
+++ b/coralvale/net/clock.py
@@ -1,4 +1,4 @@
-"""The one clock of the program."""
+"""The clock that all parts of the gateway use."""
 
 from __future__ import annotations
 
@@ -6,18 +6,19 @@
 
 
 class Clock:
-    """Unix time that never steps back: the monotonic clock plus an offset taken once, at start.
+    """Unix time that never steps: the monotonic clock plus an offset that is read once, at the start.
 
-    Discovery's `since_ms` and the windows that all gateways share need Unix time; a stepped system clock
-    must not end every deadline at once.
+    Discovery's `since_ms` and the time windows that all gateways share need Unix time, while a step of the
+    system clock must not make all deadlines pass at once.
     """
 
     def __init__(self) -> None:
         self.offset = time.time() - time.monotonic()
 
     def now(self) -> float:
+        """Unix time in seconds."""
         return self.monotonic() + self.offset
 
     def monotonic(self) -> float:
-        """Seconds since some moment, for what is no date."""
+        """Seconds since an arbitrary moment, for intervals."""
         return time.monotonic()
--- a/coralvale/net/figures.py
+++ b/coralvale/net/figures.py
@@ -1,4 +1,4 @@
-"""What the gateway counts of itself for its operators, from the start of the process."""
+"""Statistics of the process for its operators, counted from its start."""
 
 from __future__ import annotations
 
@@ -8,10 +8,11 @@
 
 
 class RequestStats:
-    """Requests by class and outcome, those in hand, and attempts written whole to hosts.
+    """Requests by class and outcome, requests in flight, and attempts written completely to hosts.
 
-    A request counts as in hand from its last byte until its answer's, and as served, refused (429, 503) or
-    failed (any other) by the status of that answer. One whose client has gone counts as failed.
+    A request is in flight from its last byte until the last byte of its answer. The status of the answer
+    makes it served (200), refused (429, 503) or failed (any other). A request whose client has left counts as
+    failed.
     """
 
     def __init__(self, classes: Sequence[str]) -> None:
@@ -27,12 +28,12 @@
         self.counts[cls][0 if status == 200 else 1 if status in (429, 503) else 2] += 1
 
     def rejected(self, cls: int, status: int) -> None:
-        """A request that was answered without having been in hand."""
+        """Counts a request that was answered without having been in flight."""
         self.started()
         self.finished(cls, status)
 
     def lines(self, known: int, excluded: int) -> str:
-        """`key=value` lines: what `GET /stats` answers."""
+        """The `key=value` lines that `GET /stats` returns."""
         rows = [
             f"requests.{name}.{outcome}={count}"
             for name, counts in zip(self.classes, self.counts, strict=True)
--- a/coralvale/net/logs.py
+++ b/coralvale/net/logs.py
@@ -1,4 +1,4 @@
-"""What keeps a log readable when every request, or every peer, fails in the same way."""
+"""Rate limiting of log lines, for faults that recur with every request or every peer."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class RateLimitFilter(logging.Filter):
-    """Lets through a few lines of a kind in some seconds: a fault in every request must not fill the log."""
+    """Passes at most `max_lines` records with one message template per period of `period_s` seconds."""
 
     def __init__(self, max_lines: int = 5, period_s: float = 10.0) -> None:
         super().__init__()
--- a/coralvale/net/marks.py
+++ b/coralvale/net/marks.py
@@ -1,7 +1,7 @@
-"""Which hosts operators have taken out: one empty file a host, so that a new process knows it too.
+"""Hosts in maintenance by an operator: one empty file per host, so that a new process knows them too.
 
-Two processes may share the folder while one takes over from the other. To make a file and to remove it are
-one step each, whole or not at all, and both may be said twice; so there is nothing to lock and to repair.
+Two processes may use the folder at once while one takes over from the other. Creating and removing a file are
+atomic and idempotent, so no lock and no recovery is needed.
 """
 
 from __future__ import annotations
@@ -12,17 +12,17 @@
 from urllib.parse import quote, unquote
 
 PREFIX = "out-"
-MAX_FILE_NAME_BYTES = 240  # bytes of a file's name, under every file system's 255
-MAX_HOSTS = 10_000  # hosts that may be out: what operators can name must be bounded as well
+MAX_FILE_NAME_BYTES = 240  # file systems allow 255
+MAX_HOSTS = 10_000  # in maintenance at once: the set that operators can fill must be bounded as well
 
 
 class MaintenanceSet:
-    """The set of hosts that are out, kept in `folder`; without a folder it lasts as long as the process."""
+    """The set of hosts in maintenance, stored in `folder`; without a folder it ends with the process."""
 
     def __init__(self, folder: Path | None) -> None:
         self.folder = folder
         self.hosts: set[str] = set()
-        self.unsaved: dict[str, bool] = {}  # what could not be written, which holds in this process alone
+        self.unsaved: dict[str, bool] = {}  # changes that could not be written: valid in this process only
         if folder is not None:
             folder.mkdir(mode=0o700, parents=True, exist_ok=True)
             self.refresh()
@@ -34,9 +34,9 @@
         )
 
     def set(self, host: str, out: bool) -> bool:
-        """Takes a host out or gives it back; whether a new process will know that too.
+        """Puts a host into maintenance or back into service; returns whether a new process will know it too.
 
-        Raises ValueError if too many hosts are out.
+        Raises ValueError if too many hosts are in maintenance.
         """
         if out and host not in self.hosts and len(self.hosts) >= MAX_HOSTS:
             raise ValueError(f"{MAX_HOSTS} hosts are out already")
@@ -58,7 +58,7 @@
         return True
 
     def refresh(self) -> dict[str, bool]:
-        """What another process has changed since: hosts that are out now (True) or given back (False)."""
+        """Reads other processes' changes: hosts now in maintenance (True) or back in service (False)."""
         if self.folder is None:
             return {}
         try:
--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -154,10 +154,9 @@
 
 
 class AccessLog(Protocol):
-    """Receives every final answer."""
+    """Receives every final answer. It is called on the path of the answer, so it must never block."""
 
-    def record(self, final: AccessRecord) -> None:
-        """Takes one record. It is called on the path of the answer, so it must never block."""
+    def record(self, final: AccessRecord) -> None: ...
 
 
 class Meter(Protocol):
@@ -363,7 +362,7 @@
                 count = handover.import_state(self.gateway, self.clock.now(), state)
                 log.info("taken over, with what is known of %d customers", count)
             except ValueError as error:
-                log.warning("taken over, but the state received is invalid: %s", error)
+                log.warning("taken over without the state received: %s", error)
         if self.ends_at is None:
             self.server.resume()
         await predecessor.confirm()
--- a/coralvale/net/sockets.py
+++ b/coralvale/net/sockets.py
@@ -1,6 +1,6 @@
-"""What the node asks the system for beside its event loop: listeners, and what the kernel holds unread.
+"""Socket operations that the event loop does not offer: binding listeners, and checking for unread data.
 
-Handed to the node, so that a network which is no kernel's can stand in its place (`coralvale.lab.virtual`).
+The node gets them as an object, so that a simulated network (`coralvale.lab.virtual`) can replace them.
 """
 
 from __future__ import annotations
@@ -14,32 +14,32 @@
 
 
 def readable(descriptor: int) -> bool:
-    """Whether the kernel has something for us that the loop has not been told of yet."""
+    """Whether the kernel has an event on the descriptor that the event loop has not reported yet."""
     poll = select.poll()
     poll.register(descriptor, select.POLLIN)
     return bool(poll.poll(0))
 
 
 class Sockets:
-    """The kernel's."""
+    """The operations on the kernel's sockets."""
 
     def bind(self, address: Address, shared: bool) -> socket.socket:
-        """A socket bound to an address, that does not listen yet; `shared`: another process may bind it too."""
+        """A socket bound to an address, not listening yet; `shared`: other processes may bind it too."""
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
-        made = socket.socket(family, socket.SOCK_STREAM)
-        made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        bound = socket.socket(family, socket.SOCK_STREAM)
+        bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         if shared:
-            made.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
-        made.setblocking(False)
-        made.bind(address)
-        return made
+            bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
+        bound.setblocking(False)
+        bound.bind(address)
+        return bound
 
     def waiting(self, listener: socket.socket) -> bool:
-        """Whether a client waits to be accepted."""
+        """Whether a client is waiting to be accepted."""
         return readable(listener.fileno())
 
     def unread(self, transport: Any) -> Callable[[], bool]:  # noqa: ANN401
-        """What tells whether something of the peer, or its end, has come that the loop has not been told of."""
+        """Returns a check whether data or EOF has come that the event loop has not reported yet."""
         poll = select.poll()
         poll.register(transport.get_extra_info("socket").fileno(), select.POLLIN)
         return lambda: bool(poll.poll(0))
--- a/coralvale/net/upstream.py
+++ b/coralvale/net/upstream.py
@@ -593,7 +593,7 @@
     """
     try:
         report = json.loads(value)
-        values = tuple(float(report.get(name, math.nan)) for name in fields)
+        numbers = tuple(float(report.get(name, math.nan)) for name in fields)
     except (ValueError, TypeError, AttributeError, OverflowError, RecursionError):
         return ()
-    return tuple(value if 0 <= value <= MAX_LOAD else math.nan for value in values)
+    return tuple(number if 0 <= number <= MAX_LOAD else math.nan for number in numbers)
--- a/tests/net_helpers.py
+++ b/tests/net_helpers.py
@@ -1,4 +1,4 @@
-"""A gateway on loopback between stand-ins: its settings, its life, and a script in the decisions' place."""
+"""A gateway on loopback between stand-ins: settings, start and stop, and a scripted decision module."""
 
 from __future__ import annotations
 
@@ -56,6 +56,7 @@
 
 
 def settings(**changes: dict[str, Any]) -> dict[str, Any]:
+    """A copy of SETTINGS; dicts in `changes` are merged, other values replace."""
     copy = json.loads(json.dumps(SETTINGS))
     for key, value in changes.items():
         copy[key] = {**copy[key], **value} if isinstance(value, dict) else value
@@ -63,7 +64,7 @@
 
 
 def run(test: Coroutine[Any, Any, None], limit: float = 3 * LIMIT) -> None:
-    """Runs a test on the program's own event loop, and ends it if what it waits for never comes in `limit` s."""
+    """Runs a test on uvloop, as the program does, with a time limit of `limit` seconds."""
 
     async def limited() -> None:
         async with asyncio.timeout(limit):
@@ -73,24 +74,26 @@
 
 
 async def soon(awaitable: Awaitable[Any]) -> Any:
+    """Awaits with a time limit of LIMIT seconds."""
     return await asyncio.wait_for(awaitable, LIMIT)
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Waits for a condition that no event tells of, such as a count of connections."""
+    """Polls a condition that has no event, such as a count of connections, for LIMIT seconds at most."""
     async with asyncio.timeout(LIMIT):
         while not condition():
             await asyncio.sleep(0.002)
 
 
 class Script:
-    """In the module's place: records the events and answers each as the test has laid down."""
+    """Replaces the decision module: records its events and returns the actions that the test has set."""
 
     def __init__(self) -> None:
         self.events: list[api.Event] = []
         self.rules: dict[type, Callable[[Any], list[api.Action]]] = {}
 
     def on(self, kind: type, rule: Callable[[Any], list[api.Action]]) -> None:
+        """Sets what returns the actions for events of a type."""
         self.rules[kind] = rule
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
@@ -98,11 +101,14 @@
         return self.rules.get(type(event), lambda _: [])(event)
 
     def of(self, kind: type) -> list[Any]:
+        """The recorded events of a type."""
         return [event for event in self.events if isinstance(event, kind)]
 
 
 @dataclass
 class World:
+    """A running gateway with its stand-ins, its script and the clients that tests have opened."""
+
     node: Node
     registry: Registry
     counter: Peer
@@ -118,7 +124,7 @@
         return await (await self.client()).ask(data)
 
     async def done(self, count: int = 1) -> api.AttemptDone:
-        """The newest of `count` outcomes that the module has been told."""
+        """Waits until the module has got `count` outcomes; returns the last of these."""
         await until(lambda: len(self.script.of(api.AttemptDone)) >= count)
         return self.script.of(api.AttemptDone)[count - 1]
 
@@ -127,7 +133,7 @@
 async def world(
     *known: dict[str, Any], real: bool = False, sockets: int = 256, **changes: dict[str, Any]
 ) -> AsyncIterator[World]:
-    """A gateway that has started; unless `real`, a script decides in the module's place."""
+    """A started gateway; unless `real`, a script replaces the decision module."""
     registry, counter = Registry(), Peer()
     await registry.start()
     await counter.start()
@@ -144,7 +150,7 @@
         }
     )
     node, script = Node(config), Script()
-    node.started_at -= 60.0  # what it reads has not waited for it to come up
+    node.started_at -= 60.0  # so that requests count as sent after the start-up
     if not real:
         node.gateway = script  # type: ignore[assignment]
     node.start()
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -1,4 +1,4 @@
-"""The node between the module and the sockets: one outcome an attempt, one answer a request."""
+"""The node between the decision module and the sockets: one outcome per attempt, one answer per request."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 def send_all(w: World, *servers: str, until_in: float = 60.0) -> None:
-    """First and further attempts go to `servers` in turn; after the last the request fails."""
+    """Scripts the module: attempts go to `servers` in turn; after the last one the request fails."""
     left = list(servers)
 
     def next_to(name: str) -> list[api.Action]:
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize(("cls", "method"), [("read", b"GET"), ("write", b"POST")])
-def test_a_request_goes_on_and_the_answer_comes_back_unchanged(cls: str, method: bytes) -> None:
+def test_requests_and_answers_are_forwarded_unchanged(cls: str, method: bytes) -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
@@ -61,7 +61,7 @@
     run(test())
 
 
-def test_the_module_decides_on_each_further_attempt() -> None:
+def test_the_module_decides_on_each_retry() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port), entry("s-2", host.port)) as w:
@@ -81,7 +81,7 @@
     run(test())
 
 
-def test_an_attempt_ends_at_its_time_and_the_request_at_the_clients() -> None:
+def test_attempts_end_at_their_deadline_and_requests_at_the_clients_deadline() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port), entry("s-2", host.port)) as w:
@@ -97,7 +97,7 @@
     run(test())
 
 
-def test_a_module_that_says_nothing_loses_no_request() -> None:
+def test_requests_are_answered_even_if_the_module_returns_no_action() -> None:
     async def test() -> None:
         async with world() as w:
             message = await w.ask(request(X_Timeout="0.1"))
@@ -110,7 +110,7 @@
     run(test())
 
 
-def test_an_attempt_has_one_outcome_after_the_client_left_too() -> None:
+def test_an_attempt_reports_one_outcome_after_the_client_has_left() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
@@ -129,7 +129,7 @@
     run(test())
 
 
-def test_a_cancelled_attempt_is_closed_and_told_once() -> None:
+def test_a_cancelled_attempt_closes_its_connection_and_is_reported_once() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("change", ["left", "leaving", "restarted", "moved", "client", "none"])
-def test_between_connect_and_write_the_host_and_the_client_are_looked_at_again(change: str) -> None:
+def test_nothing_is_written_if_the_host_or_the_client_left_while_connecting(change: str) -> None:
     async def test() -> None:
         host = await Peer(answer()).start()
         known = entry("s-1", host.port)
@@ -191,7 +191,9 @@
     run(test())
 
 
-def test_a_failing_module_loses_no_request_and_keeps_its_timer(caplog: pytest.LogCaptureFixture) -> None:
+def test_requests_are_answered_and_timers_kept_when_the_module_raises(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     class Broken(RuntimeError):
         pass
 
@@ -203,7 +205,9 @@
         async with world(entry("s-1", host.port)) as w:
             client = await w.client()
             w.script.on(api.Request, fail)
-            assert (await client.ask(request("r1", "write"))).status == 503  # nothing was sent: no harm
+            assert (
+                await client.ask(request("r1", "write"))
+            ).status == 503  # nothing was sent, so retrying is harmless
             send_all(w, "s-1")
             w.script.on(api.AttemptDone, fail)
             client.send(request("r2", "write"))
@@ -224,7 +228,7 @@
     assert "Broken: by design" in caplog.text and "Traceback" in caplog.text
 
 
-def test_a_finished_request_leaves_nothing_behind() -> None:
+def test_finished_requests_leave_no_reference_cycles() -> None:
     async def test() -> None:
         host = await Peer(answer()).start()
         async with world(entry("s-1", host.port)) as w:
@@ -240,13 +244,13 @@
                 left = [o for o in gc.get_objects() if isinstance(o, PendingRequest | Attempt | Exchange)]
             finally:
                 gc.enable()
-            assert len(left) <= 3  # what the frames of the last one may still name
+            assert len(left) <= 3  # those that frames of the last request may still refer to
         host.stop()
 
     run(test())
 
 
-def test_probes_and_counts_are_answered() -> None:
+def test_results_of_probes_and_counter_calls_reach_the_module() -> None:
     async def test() -> None:
         host = await Peer(answer()).start()
         async with world(entry("s-1", host.port)) as w:
@@ -264,7 +268,7 @@
     run(test())
 
 
-def test_the_inherited_module_serves_over_sockets() -> None:
+def test_the_real_decision_module_serves_over_sockets() -> None:
     async def test() -> None:
         hosts = [await Peer(answer(body=b"served")).start() for _ in range(3)]
         async with world(*(entry(f"s-{i}", h.port) for i, h in enumerate(hosts)), real=True) as w:
@@ -284,7 +288,7 @@
     run(test())
 
 
-def test_after_sigterm_all_that_was_taken_is_answered() -> None:
+def test_all_accepted_requests_are_answered_after_sigterm() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
@@ -312,7 +316,7 @@
     run(test())
 
 
-def test_what_is_unanswered_before_the_kill_is_answered_then(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_pending_requests_are_answered_just_before_the_kill(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
@@ -329,8 +333,8 @@
     run(test())
 
 
-def test_a_request_that_a_host_leaves_unanswered_is_served_by_another_before_its_aim() -> None:
-    """The real module: an answer that stops short must not hold a safe request until the client gives up."""
+def test_a_safe_request_is_retried_elsewhere_when_an_answer_stops_short() -> None:
+    """With the real module: a truncated answer must not delay a safe request until the client gives up."""
 
     async def test() -> None:
         hosts = [await Peer(answer()).start(), await Peer(answer()).start()]
@@ -338,7 +342,7 @@
         known = [entry(f"s-{host.port}", host.port) for host in hosts]
         async with world(*known, real=True, classes=[fast, SETTINGS["classes"][1]]) as w:
             client = await w.client()
-            for number in range(100):  # so that it knows what is usual
+            for number in range(100):  # so that it learns the usual delay
                 assert (await client.ask(request(f"r{number}"))).status == 200
             for host in hosts:
                 host.auto, host.arrived = None, asyncio.Queue()
@@ -356,8 +360,8 @@
     run(test())
 
 
-def test_one_refused_by_its_quota_is_told_to_come_back_before_its_aim() -> None:
-    """Another of the customer's gateways may have room; an answer after the aim is worth nothing."""
+def test_a_quota_refusal_advises_a_retry_before_the_aim() -> None:
+    """Another of the customer's gateways may have quota left; an answer after the aim is worth nothing."""
 
     async def test() -> None:
         host = await Peer(answer()).start()
@@ -377,8 +381,8 @@
     run(test())
 
 
-def test_a_request_with_a_wrong_plan_or_set_does_not_settle_its_customer() -> None:
-    """The first request of a customer names a mean plan and a wide set; those that follow get their own."""
+def test_one_request_with_a_wrong_plan_or_spread_does_not_stick_to_its_customer() -> None:
+    """A customer's first request names a small plan and a wide spread; later ones are judged by their own."""
 
     async def test() -> None:
         host = await Peer(answer()).start()
@@ -399,8 +403,8 @@
     run(test())
 
 
-def test_a_customer_that_asks_for_little_has_the_whole_burst_at_any_gateway() -> None:
-    """Requests that belong together come to one gateway by chance; one that asks on and on has its part."""
+def test_a_customer_with_few_requests_can_use_more_than_one_gateways_share_of_the_burst() -> None:
+    """A group of requests may reach a single gateway by chance; sustained requests are held to its share."""
 
     async def test() -> None:
         host = await Peer(answer()).start()
@@ -418,8 +422,8 @@
     run(test())
 
 
-def test_a_lost_connection_is_told_from_a_lost_host() -> None:
-    """Single breaks pause no host that goes on answering; breaks in a row, or a refused connection, do."""
+def test_single_connection_resets_do_not_pause_a_host() -> None:
+    """Resets in a row, or a refused connection, pause a host; a reset followed by an answer does not."""
 
     async def test() -> None:
         host = await Peer().start()
@@ -451,8 +455,8 @@
     run(test())
 
 
-def test_hosts_out_of_connections_lose_no_request_and_stay_in_use() -> None:
-    """Each takes two connections and refuses more: what is refused goes elsewhere, and runs once."""
+def test_hosts_that_refuse_connections_lose_no_request_and_stay_in_use() -> None:
+    """Each host accepts two connections and refuses more: refused attempts go elsewhere and run once."""
 
     async def test() -> None:
         hosts = [await Host(f"s-{i}", slots=2, most=2).start() for i in range(4)]
@@ -482,21 +486,21 @@
 
                 patch.setattr(type(seen["s-0"]), "record_failure", counted)
                 served = sum(await soon(asyncio.gather(*(ask(n) for n in range(12)))))
-            assert refused  # else nothing was played
+            assert refused  # otherwise the case did not occur
             assert served >= 0.9 * 12 * 25
             assert all(host.arrivals for host in hosts)
             ran = sum((host.ran for host in hosts), Counter())
             assert max(ran.values()) == 1 and ran.total() == served
             now = w.node.clock.now()
-            assert all(h.retry_at - now <= 8.0 for h in seen.values())  # none is left for good
+            assert all(h.retry_at - now <= 8.0 for h in seen.values())  # no host is paused for good
         for host in hosts:
             host.stop()
 
     run(test())
 
 
-def test_what_is_read_right_after_the_start_may_have_waited_since_the_process_began() -> None:
-    """Its machine takes connections before it can read; a client's time runs all the while."""
+def test_requests_read_right_after_the_start_get_an_earlier_deadline() -> None:
+    """The machine accepts connections before the process can read, and the client's time already runs."""
 
     async def test() -> None:
         async with world() as w:
--- a/tests/test_upstream.py
+++ b/tests/test_upstream.py
@@ -1,4 +1,4 @@
-"""Connections to hosts: outcomes, keeping, reuse, bounds."""
+"""HTTP/1.1 connections to hosts: outcomes, reuse, idle limit and the limit on connections."""
 
 from __future__ import annotations
 
@@ -21,8 +21,8 @@
 PAYLOAD = b"GET /api HTTP/1.1\r\nX-Request-ID: r1\r\n\r\n"
 
 
-class Raw(OutgoingRequest):
-    """A request whose bytes a test gives."""
+class RawRequest(OutgoingRequest):
+    """A request with bytes given by the test."""
 
     def __init__(self, *pieces: bytes) -> None:
         super().__init__(b"GET", b"/", [])
@@ -32,8 +32,8 @@
         return self.pieces
 
 
-class TestClock(Clock):
-    """A clock that a test can put forward."""
+class AdjustableClock(Clock):
+    """A clock that a test can set forward by `ahead` seconds."""
 
     __test__ = False
 
@@ -47,8 +47,10 @@
 
 @dataclass
 class Bench:
+    """A transport with one host; the ends of its attempts are queued."""
+
     upstreams: Upstreams
-    clock: TestClock
+    clock: AdjustableClock
     host: Peer
     ended: asyncio.Queue[tuple[Attempt, Outcome, Answer | None]] = field(default_factory=asyncio.Queue)
 
@@ -58,7 +60,7 @@
         attempt = Attempt(
             server,
             address or self.host.address,
-            lambda: Raw(payload) if payload else None,
+            lambda: RawRequest(payload) if payload else None,
             lambda *end: self.ended.put_nowait(end),
         )
         self.upstreams.send(attempt)
@@ -69,9 +71,11 @@
 
 
 @contextlib.asynccontextmanager
-async def bench(auto: bytes | None = None, most: int = 10, connect: float = 5.0) -> AsyncIterator[Bench]:
-    host, clock = await Peer(auto).start(), TestClock()
-    yield Bench(Upstreams(clock, connect, 15.0, most), clock, host)
+async def bench(
+    auto: bytes | None = None, max_connections: int = 10, connect: float = 5.0
+) -> AsyncIterator[Bench]:
+    host, clock = await Peer(auto).start(), AdjustableClock()
+    yield Bench(Upstreams(clock, connect, 15.0, max_connections), clock, host)
     host.stop()
 
 
@@ -100,7 +104,7 @@
         (answer(Usage_Percent="1e999", X_Server_Load="[" * 9000), Outcome.OK),
     ],
 )
-def test_an_answer_has_the_outcome_of_the_protocols_table(reply: bytes, outcome: Outcome) -> None:
+def test_answers_map_to_the_outcomes_of_the_protocols_table(reply: bytes, outcome: Outcome) -> None:
     async def test() -> None:
         async with bench(auto=reply) as b:
             b.send()
@@ -110,7 +114,7 @@
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_an_answer_without_a_length_ends_with_its_connection_only_if_that_ends_in_order(reset: bool) -> None:
+def test_an_answer_without_a_length_is_complete_at_eof_but_not_at_a_reset(reset: bool) -> None:
     async def test() -> None:
         async with bench() as b:
             loop = asyncio.get_running_loop()
@@ -119,7 +123,7 @@
                 b.send(address=listener.getsockname())
                 accepted, _ = await soon(loop.sock_accept(listener))
                 assert await soon(loop.sock_recv(accepted, 4096)) == PAYLOAD
-            # Both are in the kernel before the gateway's loop looks: it sees the last bytes and the end at once.
+            # Both are in the kernel before the gateway's loop polls: it sees the data and its end at once.
             accepted.send(b"HTTP/1.1 200 OK\r\n\r\nhalf")
             if reset:
                 accepted.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -129,7 +133,7 @@
     run(test())
 
 
-def test_a_refused_connection_could_not_connect() -> None:
+def test_a_refused_connection_ends_as_connect_failed() -> None:
     async def test() -> None:
         async with bench() as b:
             with socket.socket() as closed:
@@ -141,7 +145,7 @@
     run(test())
 
 
-def test_a_silent_connection_is_given_up_after_the_connect_time_out() -> None:
+def test_an_unanswered_syn_ends_at_the_connect_timeout() -> None:
     async def test() -> None:
         async with bench(connect=0.05) as b:
             with socket.socket() as silent:
@@ -160,7 +164,7 @@
     run(test())
 
 
-def test_a_break_after_the_last_byte_is_a_reset_and_nothing_is_sent_again() -> None:
+def test_a_break_after_the_last_byte_is_a_reset_and_nothing_is_sent_twice() -> None:
     async def test() -> None:
         async with bench() as b:
             b.send()
@@ -179,7 +183,7 @@
     run(test())
 
 
-def test_a_break_before_the_last_byte_could_not_connect() -> None:
+def test_a_break_before_the_last_byte_ends_as_connect_failed() -> None:
     async def test() -> None:
         async with bench() as b:
             with socket.socket() as host:
@@ -196,7 +200,7 @@
     run(test())
 
 
-def test_connections_are_kept_and_the_newest_is_used_first() -> None:
+def test_the_most_recently_used_connection_is_reused_first() -> None:
     async def test() -> None:
         async with bench() as b:
             b.send()
@@ -206,7 +210,7 @@
                 arrived.reply(answer())
                 assert await b.outcome() is Outcome.OK
             for _ in range(3):
-                b.clock.ahead += 1  # they have rested
+                b.clock.ahead += 1  # past the reuse delay
                 b.send()
                 arrived = await b.host.next()
                 assert arrived.connection == second.connection
@@ -217,7 +221,7 @@
     run(test())
 
 
-def test_a_connection_that_the_host_closed_is_not_used_again() -> None:
+def test_a_connection_that_the_host_closed_is_not_reused() -> None:
     async def test() -> None:
         async with bench(auto=answer()) as b:
             b.send()
@@ -236,7 +240,7 @@
     run(test())
 
 
-def test_an_end_that_the_loop_has_not_told_of_yet_is_seen_before_reuse() -> None:
+def test_a_close_not_yet_reported_by_the_loop_is_seen_before_reuse() -> None:
     async def test() -> None:
         async with bench() as b:
             with socket.socket() as host:
@@ -250,7 +254,7 @@
                 await soon(loop.sock_sendall(first, answer()))
                 assert await b.outcome() is Outcome.OK
                 first.close()
-                b.send(address=host.getsockname())  # at once: the loop has had no turn to read the end
+                b.send(address=host.getsockname())  # at once: the event loop has had no turn to read the EOF
                 second, _ = await soon(loop.sock_accept(host))
                 assert await soon(loop.sock_recv(second, 1000)) == PAYLOAD
                 second.close()
@@ -273,7 +277,7 @@
     run(test())
 
 
-def test_a_second_answer_is_not_taken_for_the_next_request() -> None:
+def test_a_second_answer_is_not_taken_for_the_next_requests_answer() -> None:
     async def test() -> None:
         async with bench() as b:
             b.send()
@@ -289,7 +293,7 @@
     run(test())
 
 
-def test_an_attempt_given_up_closes_its_connection() -> None:
+def test_an_aborted_attempt_closes_its_connection() -> None:
     async def test() -> None:
         async with bench() as b:
             attempt = b.send()
@@ -308,7 +312,7 @@
     run(test())
 
 
-def test_what_became_pointless_while_connecting_is_not_written() -> None:
+def test_an_attempt_aborted_while_connecting_is_not_written() -> None:
     async def test() -> None:
         async with bench(auto=answer()) as b:
             attempt = b.send()
@@ -323,9 +327,9 @@
     run(test())
 
 
-def test_the_bound_holds_and_idle_connections_give_way() -> None:
+def test_idle_connections_are_evicted_at_the_connection_limit() -> None:
     async def test() -> None:
-        async with bench(most=2) as b:
+        async with bench(max_connections=2) as b:
             other = await Peer(answer()).start()
             b.send()
             b.send()
@@ -347,7 +351,7 @@
 @pytest.mark.parametrize(
     ("text", "usage"), [(b"85", 0.85), (b"0", 0.0), (b"x", None), (b"-1", None), (b"nan", None)]
 )
-def test_usage_is_the_told_percentage(text: bytes, usage: float | None) -> None:
+def test_usage_percent_is_read_as_a_fraction(text: bytes, usage: float | None) -> None:
     assert read_usage(text) == usage
 
 
@@ -362,7 +366,7 @@
 
 
 def test_a_new_host_at_an_old_address_inherits_no_connection() -> None:
-    """Idle or busy when the old one went: what the old host still sends must reach nobody's request."""
+    """Whether idle or busy when the old host went: its late data must not reach another request."""
 
     async def test() -> None:
         async with bench() as b:
@@ -382,8 +386,8 @@
     run(test())
 
 
-def test_what_comes_right_behind_an_answer_is_not_the_next_ones_answer() -> None:
-    """An attempt that waits does not take the connection in the turn of the answer."""
+def test_stray_bytes_after_an_answer_are_not_taken_for_the_next_answer() -> None:
+    """A waiting attempt does not get the connection in the same turn of the loop as the answer."""
 
     async def test() -> None:
         async with bench() as b:
@@ -391,7 +395,9 @@
             arrived = await b.host.next()
             b.upstreams.max_connections = 1  # so that the next one has to wait
             pool = next(iter(b.upstreams.pools.values()))
-            waits = Attempt("s-1", b.host.address, lambda: Raw(PAYLOAD), lambda *end: b.ended.put_nowait(end))
+            waits = Attempt(
+                "s-1", b.host.address, lambda: RawRequest(PAYLOAD), lambda *end: b.ended.put_nowait(end)
+            )
             pool.waiting.append(waits)
             arrived.reply(answer(body=b"right"))
             _, outcome, got = await soon(b.ended.get())
@@ -404,7 +410,7 @@
     run(test())
 
 
-def test_an_answer_whose_reading_fails_ends_its_attempt_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_error_in_reading_an_answer_ends_its_attempt_once(monkeypatch: pytest.MonkeyPatch) -> None:
     def fail(value: bytes) -> float:
         raise MemoryError
 
@@ -420,12 +426,12 @@
     run(test())
 
 
-def test_the_age_at_which_kept_connections_break_is_learned_and_forgotten() -> None:
-    """A host drops connections that stand idle without a word, and resets what is then written to them."""
+def test_the_idle_age_at_which_connections_break_is_learned_and_forgotten() -> None:
+    """A host silently drops idle connections and answers later writes on them with a reset."""
 
     async def test() -> None:
         async with bench() as b:
-            b.upstreams.sweep_timer.cancel()  # it forgets by the loop's time
+            b.upstreams.sweep_timer.cancel()  # the periodic decay follows the loop's time
 
             async def ask(after: float) -> int:
                 b.clock.ahead += after
@@ -441,7 +447,7 @@
             (await b.host.next()).reset()
             assert await b.outcome() is Outcome.RESET
             assert await ask(0.0) == 2
-            assert await ask(0.1) == await ask(0.1) == 2  # younger ones are used on
+            assert await ask(0.1) == await ask(0.1) == 2  # younger ones are still reused
             assert await ask(3.0) == 3
             b.upstreams.idle_limit.decay(60.0)
             assert await ask(3.0) == 3
@@ -449,7 +455,7 @@
     run(test())
 
 
-def test_where_all_ages_break_alike_kept_connections_are_used_on() -> None:
+def test_connections_are_reused_if_all_ages_break_alike() -> None:
     limit = IdleLimit(12.0)
     for number in range(1000):
         limit.record(0.001 * 2 ** (number % 14), broke=number % 10 == 0)
