--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -61,7 +61,7 @@
 NOT_RUN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 LOGGED_HEADERS = (b"plan", b"x-priority-class", b"x-request-id", b"cookie")
 MAX_LOGGED_HEADER_BYTES, MAX_LOGGED_TARGET_BYTES = 256, 1024
-UNWRITTEN = (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)  # any other outcome: the whole request was written
+UNWRITTEN = (Outcome.CONNECT_FAILED, Outcome.NOT_SENT)  # any other outcome: the request reached its host
 
 
 @dataclass(frozen=True, slots=True)
@@ -317,7 +317,8 @@
     def start(self) -> None:
         """Starts discovery, the listener and the management port.
 
-        Requests are served once discovery has answered, or after WATCH_ANSWER_TIMEOUT_S.
+        Once discovery has answered, or after WATCH_ANSWER_TIMEOUT_S, the process becomes ready or takes over
+        from the running one.
         """
         for host in self.maintenance.hosts:
             self.feed(api.Maintained(host, True))
@@ -596,6 +597,7 @@
             )
 
     def _forget(self, pending: PendingRequest) -> None:
+        """Releases a request that is answered, once none of its attempts is in flight."""
         if pending.answered and pending.checking and self.authoriser:
             pending.checking = False
             self.authoriser.cancel(pending.arrival.id)
@@ -947,6 +949,7 @@
         self.loop.call_later(last, self._end_at_deadline)
 
     def _stop_accepting(self) -> None:
+        """Closes the listener; the process ends when no connection is left."""
         self.server.stop_accepting()
         self.accepting_stopped = True
 
@@ -962,6 +965,7 @@
             self._finish_stopping()
 
     def _end_at_deadline(self) -> None:
+        """Answers the requests that are still pending, then ends."""
         for pending in list(self.pending.values()):
             self._on_deadline(pending)
         self.server.close_idle()
--- a/coralvale/net/upstream.py
+++ b/coralvale/net/upstream.py
@@ -360,10 +360,15 @@
         self.open = 0
 
     def count_open(self, more: int) -> None:
+        """Adds to the number of connections that are open or being opened."""
         self.open += more
         self.owner.open += more
 
     def send(self, attempt: Attempt, waited: bool = False) -> None:
+        """Sends an attempt over an idle connection, or over the next one that is opened or becomes free.
+
+        It ends with NOT_SENT at the connection limit. `waited`: the reuse delay has passed already.
+        """
         if attempt.ended:
             return
         now = self.owner.clock.now()
