--- a/coralvale/cluster/__main__.py
+++ b/coralvale/cluster/__main__.py
@@ -11,9 +11,9 @@
         from coralvale.cluster import commands
 
         return commands.main(sys.argv[1:])
-    from coralvale.cluster.start import serve_now
+    from coralvale.cluster.start import run_gateway
 
-    return serve_now(os.environ.get("MYRTLEHATCH_CONFIG", ""))
+    return run_gateway(os.environ.get("MYRTLEHATCH_CONFIG", ""))
 
 
 if __name__ == "__main__":
--- a/coralvale/cluster/commands/gateway.py
+++ b/coralvale/cluster/commands/gateway.py
@@ -20,17 +20,17 @@
     import os
     from importlib.util import find_spec
 
-    from coralvale.cluster.settings import address
-    from coralvale.cluster.start import serve_now
+    from coralvale.cluster.settings import parse_address
+    from coralvale.cluster.start import run_gateway
 
     if metrics:
         try:
-            address(metrics)
+            parse_address(metrics)
         except ValueError as error:
             raise Fault(f"--metrics: {error}") from None
         if find_spec("prometheus_client") is None:
             raise Fault("--metrics: needs the extra cluster-metrics (pip install '.[cluster-metrics]')")
-    return serve_now(settings or os.environ.get("MYRTLEHATCH_CONFIG", ""), metrics, regions)
+    return run_gateway(settings or os.environ.get("MYRTLEHATCH_CONFIG", ""), metrics, regions)
 
 
 def check(file: Path, *, configuration: bool = False, as_json: bool = False) -> int:
--- a/coralvale/cluster/errors.py
+++ b/coralvale/cluster/errors.py
@@ -16,26 +16,26 @@
 @unique
 class Kind(Enum):
     NO_ROUTE = "no route matches"
-    NO_KEY = "no key that is known"
+    UNAUTHENTICATED = "no key that is known"
     OVER_QUOTA = "the tenant's quota is used up"
     NO_HOST = "no host of the service is known to be there"
-    FOREIGN = "it is bound to another region"
-    BINDING_UNSURE = "this gateway has lost touch with what binds it to its region"
-    PRESSED = "no host would answer in time"
+    OTHER_REGION = "it is bound to another region"
+    BINDING_LEASE_EXPIRED = "this gateway has lost touch with what binds it to its region"
+    OVERLOADED = "no host would answer in time"
     NO_CONFIGURATION = "this gateway knows no configuration yet"
     NOT_RUN = "no try reached a host that would run it"
     MAYBE_RUN = "a try may have run, and the answer was lost"
-    LATE = "the time that there was for it is over"
+    DEADLINE_EXCEEDED = "the time that there was for it is over"
     NOT_SENT_IN_TIME = "the time that there was for it is over, and it was not sent"
     BAD_REQUEST = "what was sent cannot be read"
     BAD_CALL = "there is no such call"
     INVALID = "the configuration is invalid"
     OTHER_VERSION = "another version is current"
-    UNSETTLED = "no majority could be reached"
+    NO_MAJORITY = "no majority could be reached"
     DISK = "the disk takes no more"
-    NOT_TAKEN = "no leader with a majority took the call"
+    UNAVAILABLE = "no leader with a majority took the call"
     UNKNOWN_OUTCOME = "the call may have taken effect, or may yet"
-    TOO_MANY = "a bound on what is kept would be passed"
+    LIMIT_REACHED = "a bound on what is kept would be passed"
     HELD = "another holds the lock, or may hold it"
     NOT_HELD = "the lock is not held under this fence"
     OTHER_REVISION = "the key is at another revision"
@@ -59,26 +59,26 @@
 
 ANSWERS: dict[Kind, Answer] = {
     Kind.NO_ROUTE: Answer(404),
-    Kind.NO_KEY: Answer(401),
+    Kind.UNAUTHENTICATED: Answer(401),
     Kind.OVER_QUOTA: Answer(429, Promise.NOT_RUN),
     Kind.NO_HOST: Answer(503, Promise.NOT_RUN),
-    Kind.FOREIGN: Answer(421, Promise.NOT_RUN),
-    Kind.BINDING_UNSURE: Answer(503, Promise.NOT_RUN),
-    Kind.PRESSED: Answer(503, Promise.NOT_RUN),
+    Kind.OTHER_REGION: Answer(421, Promise.NOT_RUN),
+    Kind.BINDING_LEASE_EXPIRED: Answer(503, Promise.NOT_RUN),
+    Kind.OVERLOADED: Answer(503, Promise.NOT_RUN),
     Kind.NO_CONFIGURATION: Answer(503, Promise.NOT_RUN),
     Kind.NOT_RUN: Answer(503, Promise.NOT_RUN),
     Kind.MAYBE_RUN: Answer(502),
-    Kind.LATE: Answer(504),
+    Kind.DEADLINE_EXCEEDED: Answer(504),
     Kind.NOT_SENT_IN_TIME: Answer(503, Promise.NOT_RUN),
     Kind.BAD_REQUEST: Answer(400),
     Kind.BAD_CALL: Answer(404),
     Kind.INVALID: Answer(400),
     Kind.OTHER_VERSION: Answer(412),
-    Kind.UNSETTLED: Answer(503),
+    Kind.NO_MAJORITY: Answer(503),
     Kind.DISK: Answer(503),
-    Kind.NOT_TAKEN: Answer(503, Promise.NOT_RUN),
+    Kind.UNAVAILABLE: Answer(503, Promise.NOT_RUN),
     Kind.UNKNOWN_OUTCOME: Answer(504),
-    Kind.TOO_MANY: Answer(429, Promise.NOT_RUN),
+    Kind.LIMIT_REACHED: Answer(429, Promise.NOT_RUN),
     Kind.HELD: Answer(409),
     Kind.NOT_HELD: Answer(409),
     Kind.OTHER_REVISION: Answer(412),
@@ -100,5 +100,5 @@
         return ANSWERS[self.kind].status
 
     @property
-    def promises(self) -> bool:
+    def promises_not_run(self) -> bool:
         return ANSWERS[self.kind].promise is Promise.NOT_RUN
--- a/coralvale/cluster/events.py
+++ b/coralvale/cluster/events.py
@@ -114,15 +114,15 @@
 _LINES = {event: (f"E{event.value[0]} {{}}", event.value[1], event.value[2]) for event in Event}
 
 
-class Told:
+class RequestEvents:
     """Whether events of each request are told: they cost as much as the request does."""
 
-    requests = False
+    enabled = False
 
 
-def set_up(level: str = "INFO") -> None:
+def configure_logging(level: str = "INFO") -> None:
     """One line an event on standard error. From DEBUG on each request's events are told too."""
-    Told.requests = level in ("DEBUG", "TRACE")
+    RequestEvents.enabled = level in ("DEBUG", "TRACE")
     logger.remove()
     logger.add(
         sys.stderr,
@@ -133,7 +133,7 @@
     )
 
 
-def tell(event: Event, **fields: Any) -> None:  # noqa: ANN401
+def log_event(event: Event, **fields: Any) -> None:  # noqa: ANN401
     line, level, text = _LINES[event]
     logger.log(level, line, text.format(**fields))
 
--- a/coralvale/cluster/orders.py
+++ b/coralvale/cluster/orders.py
@@ -51,7 +51,7 @@
 
 def unsettled(token: int, reason: str) -> ChangeAnswer:
     """The answer to a request whose outcome is open."""
-    return ChangeAnswer(token, problem=Problem(Kind.UNSETTLED, reason))
+    return ChangeAnswer(token, problem=Problem(Kind.NO_MAJORITY, reason))
 
 
 class ChangeRequestHandler:
--- a/coralvale/cluster/routing/home.py
+++ b/coralvale/cluster/routing/home.py
@@ -90,8 +90,10 @@
         if region is None:
             return None
         if region != self.region:
-            return Problem(Kind.FOREIGN)
-        return None if self.lease_valid(now) else Problem(Kind.BINDING_UNSURE, retry_after=RETRY_AFTER_S)
+            return Problem(Kind.OTHER_REGION)
+        return (
+            None if self.lease_valid(now) else Problem(Kind.BINDING_LEASE_EXPIRED, retry_after=RETRY_AFTER_S)
+        )
 
     def count_refused(self, now: float, route: str) -> None:
         """Counts a request that was refused for another region, and keeps nothing else of it."""
--- a/coralvale/cluster/routing/router.py
+++ b/coralvale/cluster/routing/router.py
@@ -129,7 +129,7 @@
             return refusal
         tenant = configuration.keys.get(key, "") if key is not None else ""
         if not tenant and not route.Public and configuration.tenants():
-            return Problem(Kind.NO_KEY)
+            return Problem(Kind.UNAUTHENTICATED)
         service = self._choose_service(name, route)
         self._budget(now, service).record_request(now)
         job = Job(
@@ -316,7 +316,7 @@
     def time_out(self, now: float, job: Job) -> Problem:
         """The problem of a request whose deadline has passed."""
         if job.may_have_run:
-            return Problem(Kind.LATE)
+            return Problem(Kind.DEADLINE_EXCEEDED)
         return self._refuse(now, job, Kind.NOT_SENT_IN_TIME)
 
     def _record_outcome(
--- a/coralvale/cluster/server/arrivals.py
+++ b/coralvale/cluster/server/arrivals.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from coralvale.cluster.events import Event, tell
+from coralvale.cluster.events import Event, log_event
 from coralvale.cluster.rate_limit.usage import MAX_GATEWAYS, PERIOD
 from coralvale.cluster.registry.register import Register, Row, gone_row
 from coralvale.cluster.server.core import Core
@@ -21,10 +21,10 @@
 KEEP_HOSTS = 1.0  # s between looks whether the register on disk is old
 REMEMBERED = 1.5  # beats that hosts which the disk remembers are taken to have been silent
 SEED_PATIENCE = 0.4  # s for the first answer of a seed, which may be gone
-DIFFERS = 2.0  # s after which a register that differs is asked for, though both still change
+MAX_MISMATCH_S = 2.0  # s after which a register that differs is asked for, though both still change
 
 
-class Arrivals:
+class HostReplication:
     def __init__(
         self, runtime: Runtime, membership: Membership, register: Register, retire: Callable[[Row], None]
     ) -> None:
@@ -36,7 +36,7 @@
         self.pulled = False
         self.hosts_put = 0
 
-    def note(self, rows: list[Row]) -> int:
+    def merge_rows(self, rows: list[Row]) -> int:
         """Takes lives that another gateway tells of; how many were news."""
         now, news = self.runtime.clock.monotonic(), 0
         for row in rows:
@@ -58,7 +58,7 @@
         both = digest ^ self.register.digest
         since = since if both == before else now
         self.mismatch[ip] = (first, since, both)
-        late = now - since >= PERIOD * 0.8 or now - first >= DIFFERS
+        late = now - since >= PERIOD * 0.8 or now - first >= MAX_MISMATCH_S
         if late and ip not in self.pulling and len(self.pulling) < 2:
             self.runtime.spawn(self.pull(ip))
 
@@ -70,15 +70,15 @@
             parts = tuple(self.register.parts) if self.register.entries else ()
             answer = await link.request(number, Pull(number, parts), patience)
             if isinstance(answer, Rows):
-                if news := self.note(answer.rows):
-                    tell(Event.REGISTER_MENDED, ip=ip, news=news)
+                if news := self.merge_rows(answer.rows):
+                    log_event(Event.REGISTER_MENDED, ip=ip, news=news)
                     self.mismatch.clear()  # with others too it may have been this
                 return True
             return False
         finally:
             self.pulling.discard(ip)
 
-    async def pull_first(self) -> None:
+    async def pull_at_start(self) -> None:
         """One that starts asks others for all hosts, until one answers: a seed at once, whose disk remembers
         them; then whom membership knows."""
         settings, chance = self.runtime.settings, self.runtime.chance
@@ -95,7 +95,7 @@
             if not self.pulled and not seeds:
                 await asyncio.sleep(0.1)
 
-    async def beat(self, row: Row) -> bool:
+    async def heartbeat(self, row: Row) -> bool:
         """A host's beat; whether it may be acknowledged."""
         now = self.runtime.clock.monotonic()
         news = self.register.merge(now, row, direct=True)
@@ -108,20 +108,20 @@
             row = life.row if life else row
         if row.state:
             self.retire(row)
-            return await self.spread(row)
-        tell(Event.HOST_NEW, id=row.id, service=row.svc, at=f"{row.ip}:{row.port}")
-        self.runtime.spawn(self.spread(row))
+            return await self.replicate(row)
+        log_event(Event.HOST_NEW, id=row.id, service=row.svc, at=f"{row.ip}:{row.port}")
+        self.runtime.spawn(self.replicate(row))
         return True
 
-    async def leave(self, name: str) -> bool:
+    async def deregister(self, name: str) -> bool:
         """A host says that it ends. One that is not known here may be to others, who take it for gone."""
         row = self.register.mark_gone(self.runtime.clock.monotonic(), name)
         if row is None:
-            return await self.spread(gone_row(name))
+            return await self.replicate(gone_row(name))
         self.retire(row)
-        return await self.spread(row)
+        return await self.replicate(row)
 
-    async def spread(self, row: Row) -> bool:
+    async def replicate(self, row: Row) -> bool:
         """Tells all gateways; whether enough of the core know, so that it cannot be forgotten with this
         one. A gateway that knows no core cannot tell, and acknowledges nothing."""
         # A host that is new to a large fleet is not worth a connection to each: digests find who missed it.
@@ -151,7 +151,7 @@
         if work:
             await asyncio.wait(work, timeout=DRAINED)
         if row.state:
-            tell(
+            log_event(
                 Event.HOST_LEAVES,
                 id=row.id,
                 state="draining" if row.state == 1 else "gone",
@@ -161,7 +161,7 @@
             )
         return 2 * len(core & noted) > len(core)
 
-    def remember(self, rows: list[Row]) -> None:
+    def restore(self, rows: list[Row]) -> None:
         """Hosts as the disk has them: passed over again soon, if no beat of theirs comes."""
         now = self.runtime.clock.monotonic()
         for row in rows:
@@ -169,7 +169,7 @@
                 self.register.merge(now, msgspec.structs.replace(row, age=REMEMBERED * self.register.beat))
         self.hosts_put = self.register.version
 
-    async def keep_hosts(self) -> None:
+    async def save_periodically(self) -> None:
         """Puts the register on disk when it has changed."""
         while True:
             await asyncio.sleep(KEEP_HOSTS)
--- a/coralvale/cluster/server/changes.py
+++ b/coralvale/cluster/server/changes.py
@@ -12,10 +12,10 @@
 from coralvale.cluster.configuration.history import Change, apply_update
 from coralvale.cluster.configuration.model import Configuration
 from coralvale.cluster.errors import Kind, Problem
-from coralvale.cluster.events import Event, tell
+from coralvale.cluster.events import Event, log_event
 from coralvale.cluster.routing.router import Router
 from coralvale.cluster.server.core import Core
-from coralvale.cluster.server.ctl import Answered
+from coralvale.cluster.server.ctl import StatusAndBody
 from coralvale.cluster.server.messages import Ask, Call, Reply, Told
 from coralvale.cluster.server.peers import Frames
 from coralvale.cluster.server.runtime import Runtime
@@ -52,7 +52,7 @@
                 limits.HeaderBytes, limits.BodyBytes, limits.HdrReadMs / 1000, limits.IdleMs / 1000, 431
             )
         )
-        tell(
+        log_event(
             Event.VERSION,
             version=configuration.version,
             routes=len(configuration.items.get("Routes", {})),
@@ -102,7 +102,7 @@
             if isinstance(answer, Told) and not answer.lost and answer.news:
                 configuration = apply_update(self.configuration, answer.news)
                 if isinstance(configuration, Problem):
-                    tell(Event.NEWS_BAD, reason=configuration.reason)
+                    log_event(Event.NEWS_BAD, reason=configuration.reason)
                     await asyncio.sleep(0.2)
                 else:
                     self.in_force(configuration)
@@ -128,14 +128,14 @@
         sure = self.core.in_contact()
         frames.send(Told(ask.number, news, news is None and not sure, sure))
 
-    async def change(self, change: Change) -> Answered:
+    async def change(self, change: Change) -> StatusAndBody:
         """An operator's change: settled here by the leader, passed on to it by any other."""
         return await self._call(change)
 
-    async def read(self) -> Answered:
+    async def read(self) -> StatusAndBody:
         return await self._call(None)
 
-    async def _call(self, change: Change | None) -> Answered:
+    async def _call(self, change: Change | None) -> StatusAndBody:
         size = len(change.body) if change else len(self.configuration.raw) * 1000
         patience = PASSED_ON + LARGE * size / 1e7
         if self.core.leads():
@@ -149,7 +149,7 @@
             return answer.status, answer.body
         return 503, b"the leader does not answer"
 
-    async def _settle(self, change: Change | None, patience: float) -> Answered:
+    async def _settle(self, change: Change | None, patience: float) -> StatusAndBody:
         """By the leader: see `coralvale.cluster.orders`."""
         begun = self.runtime.clock.monotonic()
         answer = await self.core.order(change, patience)
@@ -157,10 +157,10 @@
             return 503, b"no majority answers"
         if answer.change:
             ms = (self.runtime.clock.monotonic() - begun) * 1000
-            tell(Event.CHANGE_TAKEN, version=self.core.history.configuration.version, ms=ms)
+            log_event(Event.CHANGE_TAKEN, version=self.core.history.configuration.version, ms=ms)
         if problem := answer.problem:
-            if change and problem.kind is not Kind.UNSETTLED:
-                tell(Event.CHANGE_REFUSED, kind=problem.kind.name, reason=problem.reason)
+            if change and problem.kind is not Kind.NO_MAJORITY:
+                log_event(Event.CHANGE_REFUSED, kind=problem.kind.name, reason=problem.reason)
             return answer.status, problem.reason.encode()
         return answer.status, answer.body
 
@@ -171,7 +171,7 @@
             status, body = 503, b"not the leader"
         frames.send(Reply(call.number, status, body))
 
-    def history(self) -> Answered:
+    def history(self) -> StatusAndBody:
         """The newest changes and what they did, where this gateway has a seat."""
         if not self.core.delivers():
             at = ", ".join(self.core.known()[2])
--- a/coralvale/cluster/server/coordination.py
+++ b/coralvale/cluster/server/coordination.py
@@ -36,10 +36,10 @@
 from coralvale.cluster.coordination.model import Event as Put
 from coralvale.cluster.coordination.notices import ExpiredByHand, Notice, TakenOver
 from coralvale.cluster.errors import ANSWERS, Kind
-from coralvale.cluster.events import Event, tell
-from coralvale.cluster.server.coordination_figures import CoordinationFigures
+from coralvale.cluster.events import Event, log_event
+from coralvale.cluster.server.coordination_figures import CoordinationMetrics
 from coralvale.cluster.server.core import Core
-from coralvale.cluster.server.ctl import Answered
+from coralvale.cluster.server.ctl import StatusAndBody
 from coralvale.cluster.server.messages import Coordinate, Reply
 from coralvale.cluster.server.peers import Frames
 from coralvale.cluster.server.runtime import Runtime
@@ -50,7 +50,7 @@
 
 class Coordination:
     def __init__(self, runtime: Runtime, core: Core) -> None:
-        self.runtime, self.core, self.figures = runtime, core, CoordinationFigures()
+        self.runtime, self.core, self.metrics = runtime, core, CoordinationMetrics()
         self.stopping: asyncio.Future[None] = runtime.loop.create_future()
 
     def stop(self) -> None:
@@ -58,13 +58,13 @@
         if not self.stopping.done():
             self.stopping.set_result(None)
 
-    async def call(self, call: Call) -> Answered:
+    async def call(self, call: Call) -> StatusAndBody:
         """An application's call to this gateway."""
         answered = await (self._watch(call) if isinstance(call, Watch) else self._call(call))
-        self.figures.answered(call, answered[0])
+        self.metrics.record_answer(call, answered[0])
         return answered
 
-    async def _watch(self, call: Watch) -> Answered:
+    async def _watch(self, call: Watch) -> StatusAndBody:
         """A watch's answer, at once if this process is being stopped: it may be resumed at any other gateway."""
         waiting = self.runtime.loop.create_task(self._call(call))
         await asyncio.wait((waiting, self.stopping), return_when=asyncio.FIRST_COMPLETED)
@@ -73,7 +73,7 @@
         waiting.cancel()
         return answer(Unavailable("this gateway is being stopped"))
 
-    async def _call(self, call: Call) -> Answered:
+    async def _call(self, call: Call) -> StatusAndBody:
         patience = _patience(call)
         if self.core.leads():
             return answer(await self._settle(call, patience))
@@ -87,7 +87,7 @@
             return reply.status, reply.body
         return answer(Unknown("the leader does not answer"))
 
-    async def called(self, frames: Frames, request: Coordinate) -> None:
+    async def handle_forwarded(self, frames: Frames, request: Coordinate) -> None:
         """A call that another gateway passed on; it is not passed on again."""
         if self.core.leads():
             outcome = await self._settle(request.call, _patience(request.call) - HOP)
@@ -99,25 +99,25 @@
         """By the leader."""
         begun = self.runtime.clock.monotonic()
         outcome = await self.core.coordinate(call, patience)
-        self.figures.settled(call, outcome, self.runtime.clock.monotonic() - begun)
+        self.metrics.record_outcome(call, outcome, self.runtime.clock.monotonic() - begun)
         return outcome
 
-    def notice(self, notice: Notice) -> None:
+    def handle_notice(self, notice: Notice) -> None:
         """What the log has brought of locks that left their holder without its doing."""
         match notice:
             case TakenOver():
-                self.figures.takeovers += 1
-                tell(Event.LOCK_TAKEN_OVER, **attrs.asdict(notice))
+                self.metrics.takeovers += 1
+                log_event(Event.LOCK_TAKEN_OVER, **attrs.asdict(notice))
             case ExpiredByHand():
-                tell(Event.LOCK_EXPIRED_BY_HAND, **attrs.asdict(notice))
+                log_event(Event.LOCK_EXPIRED_BY_HAND, **attrs.asdict(notice))
 
-    def look(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """Once a second: rates, and which bounds were reached."""
         desk = self.core.coordination_desk
-        self.figures.look(now, desk.turns if desk else 0)
-        for reason, count in self.figures.full.items():
-            tell(Event.COORDINATION_FULL, count=count, reason=reason)
-        self.figures.full.clear()
+        self.metrics.sample_rates(now, desk.turns if desk else 0)
+        for reason, count in self.metrics.full.items():
+            log_event(Event.COORDINATION_FULL, count=count, reason=reason)
+        self.metrics.full.clear()
 
 
 def _patience(call: Call) -> float:
@@ -125,7 +125,7 @@
     return PATIENCE + (call.poll_ms / 1000 if isinstance(call, Watch) else 0.0)
 
 
-def answer(outcome: Outcome) -> Answered:
+def answer(outcome: Outcome) -> StatusAndBody:
     """Status and body of an outcome."""
     match outcome:
         case Granted():
@@ -153,9 +153,9 @@
         case Compacted():
             return _problem(Kind.COMPACTED)
         case Full():
-            return _problem(Kind.TOO_MANY, {"Reason": outcome.reason})
+            return _problem(Kind.LIMIT_REACHED, {"Reason": outcome.reason})
         case Unavailable():
-            return _problem(Kind.NOT_TAKEN, {"Reason": outcome.reason})
+            return _problem(Kind.UNAVAILABLE, {"Reason": outcome.reason})
         case Unknown():
             return _problem(Kind.UNKNOWN_OUTCOME, {"Reason": outcome.reason})
 
@@ -176,10 +176,10 @@
             return {"Name": row.name, "Val": row.value, "Rev": row.revision}
 
 
-def _body(fields: dict[str, Any]) -> Answered:
+def _body(fields: dict[str, Any]) -> StatusAndBody:
     return 200, json.dumps(fields, separators=(",", ":")).encode()
 
 
-def _problem(kind: Kind, fields: dict[str, Any] | None = None) -> Answered:
+def _problem(kind: Kind, fields: dict[str, Any] | None = None) -> StatusAndBody:
     fields = fields or {"Reason": kind.value}
     return ANSWERS[kind].status, json.dumps(fields, separators=(",", ":")).encode()
--- a/coralvale/cluster/server/coordination_api.py
+++ b/coralvale/cluster/server/coordination_api.py
@@ -31,7 +31,7 @@
 from coralvale.cluster.coordination.model import NameKind as Listable
 from coralvale.cluster.errors import Kind, Problem
 
-MOST_REVISION = 2**53  # what JSON's numbers hold exactly; fences too
+MAX_REVISION = 2**53  # what JSON's numbers hold exactly; fences too
 
 
 class AcquireBody(msgspec.Struct):
@@ -89,7 +89,7 @@
 
 
 def _fence(value: int) -> int:
-    if not 0 <= value <= MOST_REVISION:
+    if not 0 <= value <= MAX_REVISION:
         raise ValueError("fence: expected one that was granted")
     return value
 
@@ -113,7 +113,7 @@
     sent = _put(body)
     if len(sent.Val.encode()) > MAX_VALUE_BYTES:
         raise ValueError(f"Val: expected {MAX_VALUE_BYTES} bytes at most")
-    if sent.Duty is not None and not 0 <= sent.Duty <= MOST_REVISION:
+    if sent.Duty is not None and not 0 <= sent.Duty <= MAX_REVISION:
         raise ValueError("Duty: expected a revision")
     return Put(name, sent.Val, sent.Duty)
 
@@ -171,8 +171,8 @@
     """`GET /watch/ID?after=REVISION&PollMs=MS`."""
     fields = parse_qs(query, keep_blank_values=True)
     try:
-        after = _whole(fields.get("after", ["0"])[0], "after", MOST_REVISION)
-        poll_ms = _whole(fields.get("PollMs", ["0"])[0], "PollMs", MOST_REVISION)
+        after = _whole(fields.get("after", ["0"])[0], "after", MAX_REVISION)
+        poll_ms = _whole(fields.get("PollMs", ["0"])[0], "PollMs", MAX_REVISION)
         return Watch(_name(group, "ID"), after, min(poll_ms, MAX_POLL_MS))
     except ValueError as error:
         return Problem(Kind.BAD_REQUEST, str(error))
--- a/coralvale/cluster/server/coordination_figures.py
+++ b/coralvale/cluster/server/coordination_figures.py
@@ -17,7 +17,7 @@
 DELAYS_MS = (2, 5, 10, 20, 40, 80, 160, 320, 640, 1000)  # upper ends of the histogram's buckets
 
 
-class CoordinationFigures:
+class CoordinationMetrics:
     """Counts since the process began, and rates of the last second."""
 
     def __init__(self) -> None:
@@ -30,21 +30,21 @@
         self.rates: dict[str, float] = {"turns": 0.0, "calls": 0.0}  # a second
         self._looked: tuple[float, int, int] | None = None  # when, turns and calls by then
 
-    def answered(self, call: Call, status: int) -> None:
+    def record_answer(self, call: Call, status: int) -> None:
         """An answer of this gateway to its caller, whoever settled the call."""
-        self.answers[name_of(call), status] += 1
+        self.answers[metric_name(call), status] += 1
 
-    def settled(self, call: Call, outcome: Outcome, seconds: float) -> None:
+    def record_outcome(self, call: Call, outcome: Outcome, seconds: float) -> None:
         """A call that this gateway settled as the leader. A watch waits as long as its caller asked it to, so
         its time is no delay."""
-        self.outcomes[name_of(call), name_of(outcome)] += 1
+        self.outcomes[metric_name(call), metric_name(outcome)] += 1
         if isinstance(outcome, Full):
             self.full[outcome.reason] += 1
         if not isinstance(call, Watch):
             self.delays[bisect_left(DELAYS_MS, seconds * 1000)] += 1
             self.delay_sum += seconds
 
-    def look(self, now: float, turns: int) -> None:
+    def sample_rates(self, now: float, turns: int) -> None:
         """Once a second. `turns`: that the desk has begun."""
         calls = self.outcomes.total()
         if self._looked:
@@ -59,7 +59,7 @@
         for (call, outcome), count in sorted(self.outcomes.items()):
             calls.setdefault(call, {})[outcome] = count
         return {
-            **held(state, desk),
+            **replica_sizes(state, desk),
             "turns_per_s": self.rates["turns"],
             "calls_per_s": self.rates["calls"],
             "takeovers": self.takeovers,
@@ -78,7 +78,7 @@
         return float(DELAYS_MS[min(reached, len(DELAYS_MS) - 1)])
 
 
-def held(state: CoordinationState, desk: CoordinationHandler | None) -> dict[str, int]:
+def replica_sizes(state: CoordinationState, desk: CoordinationHandler | None) -> dict[str, int]:
     """Sizes of what a replica holds and of what waits at its desk; none of it without a replica."""
     return {
         "locks": len(state.locks),
@@ -94,6 +94,6 @@
     }
 
 
-def name_of(value: Any) -> str:  # noqa: ANN401
+def metric_name(value: Any) -> str:  # noqa: ANN401
     """The name of a call or an outcome in figures."""
     return type(value).__name__.lower()
--- a/coralvale/cluster/server/core.py
+++ b/coralvale/cluster/server/core.py
@@ -17,7 +17,7 @@
 from coralvale.cluster.coordination.model import Call, Outcome, Unknown
 from coralvale.cluster.coordination.notices import Notice
 from coralvale.cluster.coordination.state import CoordinationState
-from coralvale.cluster.events import Event, tell
+from coralvale.cluster.events import Event, log_event
 from coralvale.cluster.orders import ChangeAnswer, ChangeRequestHandler
 from coralvale.cluster.rate_limit.shares import ShareTable
 from coralvale.cluster.registry.register import Row
@@ -148,11 +148,11 @@
                 except (sqlite3.Error, OSError) as error:
                     if not self.disk_failed:
                         self.disk_failed = self.runtime.clock.monotonic()
-                        tell(Event.DISK_FAILS, reason=str(error))
+                        log_event(Event.DISK_FAILS, reason=str(error))
                     await asyncio.sleep(RETRY_DISK)
                     continue
                 if self.disk_failed:
-                    tell(Event.DISK_WELL, seconds=self.runtime.clock.monotonic() - self.disk_failed)
+                    log_event(Event.DISK_WELL, seconds=self.runtime.clock.monotonic() - self.disk_failed)
                     self.disk_failed = 0.0
                 del self.writes[: len(batch)]
                 self.act(self.replica.write_completed(self.runtime.clock.monotonic(), batch[-1].number))
@@ -174,11 +174,11 @@
         if replica.leader and (replica.view, replica.leader) != self.view_told:
             self.view_told = (replica.view, replica.leader)
             named = replica.voters.all().get(replica.leader)
-            tell(Event.VIEW, view=replica.view, leader=named.name if named else replica.leader)
+            log_event(Event.VIEW, view=replica.view, leader=named.name if named else replica.leader)
         if replica.voters != self.voters_told:
             self.voters_told = replica.voters
             names = ", ".join(m.name for m in replica.voters.new)
-            tell(Event.VOTERS, members=names + (" (changing)" if replica.voters.old else ""))
+            log_event(Event.VOTERS, members=names + (" (changing)" if replica.voters.old else ""))
         if replica.due_for_snapshot():
             self.act(
                 replica.save_snapshot(self.history.image(self.shares.image(), self.coordination.image()))
@@ -191,14 +191,14 @@
             state = await self.runtime.loop.run_in_executor(self.disk, self.store.load)
         except DamagedStoreError as error:
             # As good as lost: it begins anew, and votes when it holds all that the others have.
-            tell(Event.DISK_FOREIGN, reason=str(error))
+            log_event(Event.DISK_FOREIGN, reason=str(error))
             self.founding.mark_disk_lost()
             aside = await self.runtime.loop.run_in_executor(self.disk, set_aside, s.Datadir)
-            tell(Event.DISK_ASIDE, name=aside)
+            log_event(Event.DISK_ASIDE, name=aside)
             self.runtime.spawn(self._open_again())
             return
         except (StoreError, sqlite3.Error, OSError) as error:
-            tell(Event.DISK_FOREIGN, reason=str(error))
+            log_event(Event.DISK_FOREIGN, reason=str(error))
             await self.close()  # it holds the file's lock, which the next try needs
             self.store = None
             self.runtime.spawn(self._open_again())
@@ -251,7 +251,7 @@
                 continue
             if not told and not replica.is_voter:
                 told = True
-                tell(Event.JOINING, id=replica.me.id)
+                log_event(Event.JOINING, id=replica.me.id)
             for ip in {leader} if leader else set(core):
                 self.runtime.peers.link(ip).send(ConsensusMessage(consensus.JoinRequest(replica.me)))
 
@@ -267,7 +267,7 @@
             named = answer.id if isinstance(answer, Nominee) else ""
         if not replica.bootstrapped and self.founding.accept_answer(named, bool(self.known()[2])):
             self.act(replica.bootstrap(self.runtime.clock.monotonic()))
-            tell(Event.FOUNDED, id=replica.me.id)
+            log_event(Event.FOUNDED, id=replica.me.id)
 
     async def order(self, change: Change | None, patience: float) -> ChangeAnswer | None:
         """By the leader: an operator's change, or (None) a reading. None: not decided within `patience` s."""
--- a/coralvale/cluster/server/ctl.py
+++ b/coralvale/cluster/server/ctl.py
@@ -15,7 +15,7 @@
 from coralvale.cluster.errors import Kind, Problem
 from coralvale.cluster.registry.register import Row, State
 from coralvale.cluster.server.coordination_api import READERS, read_call, read_number, read_watch
-from coralvale.cluster.settings import address
+from coralvale.cluster.settings import parse_address
 from coralvale.net.clock import Clock
 from coralvale.net.config import Address
 from coralvale.net.server import Bounds, Exchange, Server
@@ -29,7 +29,7 @@
 JSON_BODIES = {200, 412}  # statuses whose answers have a body that callers read
 
 
-class Beat(msgspec.Struct):
+class HeartbeatBody(msgspec.Struct):
     """A host's call, as PROTOCOL has it."""
 
     Svc: str
@@ -42,15 +42,15 @@
     Calls: int = 0
 
 
-_beat = msgspec.json.Decoder(Beat).decode
+_beat = msgspec.json.Decoder(HeartbeatBody).decode
 
 
-def read_beat(name: str, body: bytes) -> Row | Problem:
+def read_heartbeat(name: str, body: bytes) -> Row | Problem:
     if not WORD.fullmatch(name):
         return Problem(Kind.BAD_REQUEST, "of: expected a host's id")
     try:
         beat = _beat(body)
-        ip, port = address(beat.Address)
+        ip, port = parse_address(beat.Address)
     except (msgspec.DecodeError, ValueError, UnicodeDecodeError) as error:
         return Problem(Kind.BAD_REQUEST, str(error))
     state = STATES.get(beat.State, State.DRAINING)
@@ -68,28 +68,28 @@
     )
 
 
-Answered = tuple[int, bytes]
-Handler = Callable[[Exchange, str], Coroutine[Any, Any, Answered]]
+StatusAndBody = tuple[int, bytes]
+Handler = Callable[[Exchange, str], Coroutine[Any, Any, StatusAndBody]]
 
 
-class Desk:
+class ControlBackend:
     """What the calls ask for; the node carries it out."""
 
-    beat: Callable[[Row], Awaitable[bool]]
-    leave: Callable[[str], Awaitable[bool]]
-    change: Callable[[Change], Awaitable[Answered]]
-    read: Callable[[], Awaitable[Answered]]
-    coordinate: Callable[[Call], Awaitable[Answered]]
+    heartbeat: Callable[[Row], Awaitable[bool]]
+    deregister: Callable[[str], Awaitable[bool]]
+    change_configuration: Callable[[Change], Awaitable[StatusAndBody]]
+    read_configuration: Callable[[], Awaitable[StatusAndBody]]
+    coordinate: Callable[[Call], Awaitable[StatusAndBody]]
     is_ready: Callable[[], bool]
     status: Callable[[], bytes]
-    history: Callable[[], Answered]
+    history: Callable[[], StatusAndBody]
 
 
 class Control:
     """Takes the calls; it is also what the server asks for readiness."""
 
-    def __init__(self, desk: Desk) -> None:
-        self.desk = desk
+    def __init__(self, backend: ControlBackend) -> None:
+        self.backend = backend
         self.tasks: set[asyncio.Task[None]] = set()
         self.loop = asyncio.get_running_loop()
         self.handlers: dict[str, Handler] = {
@@ -104,7 +104,7 @@
 
     @property
     def ready(self) -> bool:
-        return self.desk.is_ready()
+        return self.backend.is_ready()
 
     def take(self, exchange: Exchange, fields: Any) -> None:  # noqa: ANN401
         raise AssertionError("the platform's own requests do not come here")
@@ -126,7 +126,7 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def _work(self, exchange: Exchange, path: str, query: str) -> Coroutine[Any, Any, Answered] | None:
+    def _work(self, exchange: Exchange, path: str, query: str) -> Coroutine[Any, Any, StatusAndBody] | None:
         """What carries a call out; None where there is no such call."""
         if exchange.method == b"GET" and path.startswith(WATCH):
             return self._coordinate(read_watch(unquote(path[len(WATCH) :]), query))
@@ -143,45 +143,45 @@
         handler = self.handlers.get(name)
         return handler(exchange, of) if handler else None
 
-    async def _answer(self, exchange: Exchange, work: Coroutine[Any, Any, Answered]) -> None:
+    async def _answer(self, exchange: Exchange, work: Coroutine[Any, Any, StatusAndBody]) -> None:
         status, body = await work
         headers = [(b"Content-Type", b"application/json")] if status in JSON_BODIES else None
         exchange.reply(status, body, headers)
 
-    async def _coordinate(self, call: Call | Problem) -> Answered:
+    async def _coordinate(self, call: Call | Problem) -> StatusAndBody:
         if isinstance(call, Problem):
             return call.status, call.reason.encode()
-        return await self.desk.coordinate(call)
+        return await self.backend.coordinate(call)
 
-    async def _beat(self, exchange: Exchange, of: str) -> Answered:
-        row = read_beat(of, exchange.body)
+    async def _beat(self, exchange: Exchange, of: str) -> StatusAndBody:
+        row = read_heartbeat(of, exchange.body)
         if isinstance(row, Problem):
             return row.status, row.reason.encode()
-        return (200, b"{}") if await self.desk.beat(row) else (503, b"")
+        return (200, b"{}") if await self.backend.heartbeat(row) else (503, b"")
 
-    async def _leave(self, exchange: Exchange, of: str) -> Answered:
-        return (200, b"{}") if await self.desk.leave(of) else (503, b"")
+    async def _leave(self, exchange: Exchange, of: str) -> StatusAndBody:
+        return (200, b"{}") if await self.backend.deregister(of) else (503, b"")
 
-    async def _replace(self, exchange: Exchange, of: str) -> Answered:
+    async def _replace(self, exchange: Exchange, of: str) -> StatusAndBody:
         return await self._change(exchange, whole=True)
 
-    async def _update(self, exchange: Exchange, of: str) -> Answered:
+    async def _update(self, exchange: Exchange, of: str) -> StatusAndBody:
         return await self._change(exchange, whole=False)
 
-    async def _change(self, exchange: Exchange, whole: bool) -> Answered:
+    async def _change(self, exchange: Exchange, whole: bool) -> StatusAndBody:
         base = exchange.fields.get(BASE, b"").strip()
         if not base.isdigit() or len(base) >= 19:
             return 400, b"X-Myrtlehatch-Base-Version: expected a whole number"
-        return await self.desk.change(Change(int(base), whole, exchange.body))
+        return await self.backend.change_configuration(Change(int(base), whole, exchange.body))
 
-    async def _read(self, exchange: Exchange, of: str) -> Answered:
-        return await self.desk.read()
+    async def _read(self, exchange: Exchange, of: str) -> StatusAndBody:
+        return await self.backend.read_configuration()
 
-    async def _history(self, exchange: Exchange, of: str) -> Answered:
-        return self.desk.history()
+    async def _history(self, exchange: Exchange, of: str) -> StatusAndBody:
+        return self.backend.history()
 
-    async def _status(self, exchange: Exchange, of: str) -> Answered:
-        return 200, self.desk.status()
+    async def _status(self, exchange: Exchange, of: str) -> StatusAndBody:
+        return 200, self.backend.status()
 
 
 class ControlServer(Server):
--- a/coralvale/cluster/server/edge.py
+++ b/coralvale/cluster/server/edge.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from coralvale.cluster.errors import Problem
-from coralvale.cluster.events import Event, Told, tell
+from coralvale.cluster.events import Event, RequestEvents, log_event
 from coralvale.cluster.rate_limit.actions import Decided
 from coralvale.cluster.routing.copies import Instance
 from coralvale.cluster.routing.router import Job, Router
@@ -79,7 +79,7 @@
             exchange.close = True
             exchange.reply(503, retry_after=0.2)
             return
-        self.edge.take_request(exchange)
+        self.edge.handle_request(exchange)
 
 
 class Edge:
@@ -92,11 +92,11 @@
         router: Router,
         hosts: Hosts,
         clock: Clock,
-        carry_out_quotas: Callable[[], None] = lambda: None,
+        run_quota_actions: Callable[[], None] = lambda: None,
     ) -> None:
-        """`carry_out_quotas`: sends what the rate limiter asks of other gateways, for requests that wait."""
+        """`run_quota_actions`: sends what the rate limiter asks of other gateways, for requests that wait."""
         self.router, self.hosts, self.clock = router, hosts, clock
-        self.carry_out_quotas = carry_out_quotas
+        self.run_quota_actions = run_quota_actions
         self.waiting: dict[Job, Request] = {}  # for a token of their tenant's quota
         self.loop = asyncio.get_running_loop()
         self.open: set[Request] = set()
@@ -126,7 +126,7 @@
 
     # In
 
-    def take_request(self, exchange: Exchange) -> None:
+    def handle_request(self, exchange: Exchange) -> None:
         now, fields = self.clock.monotonic(), exchange.fields
         id_ = fields.get(ID, b"")
         left = fields.get(LEFT, b"")
@@ -144,27 +144,27 @@
             float(left) / 1000 if left else LONGEST,
         )
         if isinstance(job, Problem):
-            if Told.requests:
+            if RequestEvents.enabled:
                 why = f": {job.kind.value}"
-                tell(Event.ANSWERED, id=id_.decode(), status=job.status, ms=0.0, why=why)
+                log_event(Event.ANSWERED, id=id_.decode(), status=job.status, ms=0.0, why=why)
             return self._say(exchange, job)
         drop = STRIPPED | (nominated(fields[b"connection"]) - NEVER if b"connection" in fields else set())
         headers = [(n, v) for n, v in exchange.headers if n.lower() not in drop]
         if job.tenant:
             headers.append((b"X-Myrtlehatch-Tenant", job.tenant.encode()))
-        if Told.requests:
-            tell(Event.TAKEN, id=id_.decode(), route=job.route_name, tenant=job.tenant or "nobody")
+        if RequestEvents.enabled:
+            log_event(Event.TAKEN, id=id_.decode(), route=job.route_name, tenant=job.tenant or "nobody")
         request = exchange.held = Request(exchange, job, headers)
         self.open.add(request)
         request.timer = self.loop.call_later(job.deadline - now, self._time_up, request)
         if job.waits_for_token:
             self.waiting[job] = request
-            self.carry_out_quotas()
+            self.run_quota_actions()
         else:
             self._try(request)
         return None
 
-    def decided(self, decision: Decided) -> None:
+    def apply_decision(self, decision: Decided) -> None:
         """What became of a request that waited for a token."""
         job = decision.ticket
         assert isinstance(job, Job)
@@ -180,7 +180,7 @@
     def _say(self, exchange: Exchange, problem: Problem) -> None:
         status = problem.status
         self.answers[status] = self.answers.get(status, 0) + 1
-        exchange.reply(status, retry_after=problem.retry_after if problem.promises else 0.0)
+        exchange.reply(status, retry_after=problem.retry_after if problem.promises_not_run else 0.0)
 
     # Tries
 
@@ -191,8 +191,8 @@
             return self._end(request, copy)
         row = copy.entry.row
         request.copy, request.number, request.sent_at = copy, job.tries, now
-        if Told.requests:
-            tell(Event.TRY, id=job.id.decode(), number=job.tries, host=row.id)
+        if RequestEvents.enabled:
+            log_event(Event.TRY, id=job.id.decode(), number=job.tries, host=row.id)
         attempt = request.attempt = HostAttempt(
             row.id,
             (row.ip, row.port),
@@ -246,10 +246,10 @@
         status = answer.status if answer else 0
         if isinstance(answer, HostAnswer) and answer.load:
             copy.update_load(now, *answer.load)
-        if Told.requests:
+        if RequestEvents.enabled:
             ms = (now - request.sent_at) * 1000
             name, told = job.id.decode(), outcome.value
-            tell(
+            log_event(
                 Event.TRY_ENDED,
                 id=name,
                 number=number,
@@ -280,8 +280,8 @@
             self._finish(request)
             self.answers[status] = self.answers.get(status, 0) + 1
             self._record(job, status)
-            if Told.requests:
-                tell(
+            if RequestEvents.enabled:
+                log_event(
                     Event.ANSWERED,
                     id=job.id.decode(),
                     status=status,
@@ -315,7 +315,7 @@
         """For the audit: a host's answer to a bound request goes to its client from here."""
         if bound := self.router.home.routes.get(job.route_name):
             name, here = job.id.decode(), self.router.home.region
-            tell(Event.BOUND, id=name, service=job.service, bound=bound, status=status, region=here)
+            log_event(Event.BOUND, id=name, service=job.service, bound=bound, status=status, region=here)
 
     # Ends
 
@@ -333,10 +333,10 @@
 
     def _end(self, request: Request, problem: Problem) -> None:
         self._finish(request)
-        if Told.requests:
+        if RequestEvents.enabled:
             ms = (self.clock.monotonic() - request.job.arrived_at) * 1000
             why = f": {problem.kind.value}" + (f" ({problem.reason})" if problem.reason else "")
-            tell(Event.ANSWERED, id=request.job.id.decode(), status=problem.status, ms=ms, why=why)
+            log_event(Event.ANSWERED, id=request.job.id.decode(), status=problem.status, ms=ms, why=why)
         self._say(request.exchange, problem)
 
     def _finish(self, request: Request) -> None:
--- a/coralvale/cluster/server/figures.py
+++ b/coralvale/cluster/server/figures.py
@@ -1,4 +1,4 @@
-"""Figures for Prometheus, on an address of their own, where one was named. Imported only then.
+"""GatewayMetrics for Prometheus, on an address of their own, where one was named. Imported only then.
 
 The text is made by the client library from what the rooms have counted; nothing is counted here. Tenants are told
 by name, hosts by service alone: lives come and go, and each would be a series for ever.
@@ -15,7 +15,7 @@
 from prometheus_client.exposition import CONTENT_TYPE_LATEST, generate_latest
 
 from coralvale.cluster.host_health.watch import Verdict
-from coralvale.cluster.server.coordination_figures import DELAYS_MS, CoordinationFigures, held
+from coralvale.cluster.server.coordination_figures import DELAYS_MS, CoordinationMetrics, replica_sizes
 from coralvale.net.clock import Clock
 from coralvale.net.config import Address
 from coralvale.net.server import Bounds, Exchange, Server
@@ -26,7 +26,7 @@
 MOST = 16  # connections
 
 
-class Figures:
+class GatewayMetrics:
     """What a gateway knows, as metrics."""
 
     def __init__(self, node: GatewayNode) -> None:
@@ -94,14 +94,14 @@
             leak.add_metric([tenant], float(metered.bucket.rate))
         yield used
         yield leak
-        sizes = held(o.core.coordination, o.core.coordination_desk)
-        yield from _coordination(o.coordination.figures, sizes)
+        sizes = replica_sizes(o.core.coordination, o.core.coordination_desk)
+        yield from _coordination(o.coordination.metrics, sizes)
 
     def text(self) -> bytes:
         return bytes(generate_latest(self.registry))
 
 
-def _coordination(figures: CoordinationFigures, sizes: dict[str, int]) -> Iterator[Any]:
+def _coordination(figures: CoordinationMetrics, sizes: dict[str, int]) -> Iterator[Any]:
     prefix = "myrtlehatch_coordination"
     turns, fence = sizes.pop("turns"), sizes.pop("fence")
     yield GaugeMetricFamily(f"{prefix}_fence", "the newest that was given", value=float(fence))
@@ -137,8 +137,8 @@
 
     ready = True
 
-    def __init__(self, figures: Figures) -> None:
-        self.figures = figures
+    def __init__(self, figures: GatewayMetrics) -> None:
+        self.metrics = figures
 
     def take(self, exchange: Exchange, fields: Any) -> None:  # noqa: ANN401
         raise AssertionError("the platform's own requests do not come here")
@@ -148,16 +148,16 @@
     def client_left(self, exchange: Exchange) -> None: ...
 
 
-class FiguresServer(Server):
+class MetricsServer(Server):
     once = {b"content-length", b"transfer-encoding"}
 
-    def __init__(self, at: Address, figures: Figures, clock: Clock) -> None:
+    def __init__(self, at: Address, figures: GatewayMetrics, clock: Clock) -> None:
         super().__init__(at, None, _Page(figures), MOST, 16, clock=clock)
-        self.figures = figures
+        self.metrics = figures
         self.bounds = Bounds(body=0, partial=2.0, idle=10.0)
 
     def request(self, exchange: Exchange) -> None:
         if exchange.method != b"GET" or exchange.target.partition(b"?")[0] != b"/metrics":
             exchange.reply(404)
             return
-        exchange.reply(200, self.figures.text(), [(b"Content-Type", CONTENT_TYPE_LATEST.encode())])
+        exchange.reply(200, self.metrics.text(), [(b"Content-Type", CONTENT_TYPE_LATEST.encode())])
--- a/coralvale/cluster/server/gossip.py
+++ b/coralvale/cluster/server/gossip.py
@@ -9,13 +9,13 @@
 
 import msgspec
 
-from coralvale.cluster.events import Event, tell
+from coralvale.cluster.events import Event, log_event
 from coralvale.cluster.host_health.watch import VerdictChange as Verdict
 from coralvale.cluster.rate_limit.limiter import RateLimiter
 from coralvale.cluster.rate_limit.usage import PERIOD
 from coralvale.cluster.routing.copies import VERDICT_GAP_S, InstancePool
 from coralvale.cluster.server import quotas, relay
-from coralvale.cluster.server.arrivals import Arrivals
+from coralvale.cluster.server.arrivals import HostReplication
 from coralvale.cluster.server.changes import Changes
 from coralvale.cluster.server.core import Core
 from coralvale.cluster.server.membership import LARGE_FLEET, MANY, SMALL_FLEET, Membership
@@ -74,16 +74,21 @@
         membership: Membership,
         core: Core,
         changes: Changes,
-        arrivals: Arrivals,
+        host_replication: HostReplication,
         limiter: RateLimiter,
         shares: ShareClaims,
         instances: InstancePool,
         is_ready: Callable[[], bool],
     ) -> None:
         self.runtime, self.membership, self.core, self.changes = runtime, membership, core, changes
-        self.arrivals, self.limiter, self.instances, self.is_ready = arrivals, limiter, instances, is_ready
+        self.host_replication, self.limiter, self.instances, self.is_ready = (
+            host_replication,
+            limiter,
+            instances,
+            is_ready,
+        )
         self.shares, self.quotas = shares, QuotaExchange(runtime, changes, limiter)
-        self.register = arrivals.register
+        self.register = host_replication.register
         self.out_in_words = False
         self.batch, self.carriers, self.relaying = RelayBatch(), Carriers(), False
         self.reports = ZoneReportExchange(
@@ -91,7 +96,7 @@
             membership,
             core,
             changes,
-            arrivals,
+            host_replication,
             limiter,
             shares,
             instances,
@@ -228,7 +233,7 @@
     def tell_health(self, changes: list[Verdict]) -> None:
         for change in changes:
             copy = self.instances.by_hash.get(change.id_hash)
-            tell(
+            log_event(
                 Event.HEALTH,
                 id=copy.entry.id if copy else f"{change.id_hash:08x}",
                 before=change.before.name.lower(),
@@ -257,7 +262,7 @@
         elif kind in (REPORT, REPORTED):
             self.tell_health(self.reports.datagram(kind, body))
         elif kind in quotas.KINDS:
-            self.quotas.datagram(ip, kind, body)
+            self.quotas.handle_datagram(ip, kind, body)
         else:
             self._said(ip, kind, body)
 
@@ -282,7 +287,7 @@
                 return
         elif kind == LIFE:
             try:
-                self.arrivals.note(decode_rows(body).rows)
+                self.host_replication.merge_rows(decode_rows(body).rows)
             except msgspec.MsgspecError:
                 return
         elif kind == HEALTH:
@@ -308,7 +313,7 @@
     def word(self, now: float, ip: str, word: Word) -> None:
         self.membership.hear(now, (ip,))
         if word.region and (strange := self.membership.strange(ip, word.region)):
-            tell(Event.REGION_OF_OTHER, **strange)
+            log_event(Event.REGION_OF_OTHER, **strange)
         self.carriers.hear(now, ip, word.carries)
         self.shares.heard(word.shares)
         hear_view(self.core, word.view, word.leader, word.core)
@@ -322,4 +327,4 @@
         if word.out is not None:
             self.instances.update_in_flight(now, ip, unpack_out(word.out))
         self.reports.note_beats(word.beats)
-        self.arrivals.compare(now, ip, word.digest, unknown)
+        self.host_replication.compare(now, ip, word.digest, unknown)
--- a/coralvale/cluster/server/membership.py
+++ b/coralvale/cluster/server/membership.py
@@ -5,7 +5,7 @@
 import math
 from collections.abc import Iterable
 
-from coralvale.cluster.events import Event, tell
+from coralvale.cluster.events import Event, log_event
 from coralvale.cluster.rate_limit.usage import MAX_GATEWAYS, FleetUsage
 from coralvale.cluster.server.messages import Gossip
 from coralvale.cluster.server.peers import SWIM
@@ -101,13 +101,13 @@
                 if member.name == self.runtime.settings.Hostname:
                     continue
                 if event.before is not state and state is not GatewayState.SUSPECT:
-                    tell(Event.MEMBER, name=member.name, state=state.name.lower())
+                    log_event(Event.MEMBER, name=member.name, state=state.name.lower())
                 if state is GatewayState.LEFT:
                     self.usage.peer_left(member.address[0])
                 elif state is GatewayState.ALIVE:
                     self.usage.peer_joined(now, member.address[0])
             elif isinstance(event, Stalled):
-                tell(Event.STALLED, seconds=event.seconds)
+                log_event(Event.STALLED, seconds=event.seconds)
 
     def begin(self) -> None:
         s, now = self.runtime.settings, self.runtime.clock.monotonic()
--- a/coralvale/cluster/server/node.py
+++ b/coralvale/cluster/server/node.py
@@ -10,7 +10,7 @@
 
 from coralvale.cluster.configuration.history import Change
 from coralvale.cluster.coordination.model import Call as CoordinationCall
-from coralvale.cluster.events import Event, tell
+from coralvale.cluster.events import Event, log_event
 from coralvale.cluster.rate_limit.limiter import RateLimiter
 from coralvale.cluster.rate_limit.quota import Rule
 from coralvale.cluster.regions import Regions
@@ -19,11 +19,11 @@
 from coralvale.cluster.routing.copies import InstancePool
 from coralvale.cluster.routing.home import HomeRegion
 from coralvale.cluster.routing.router import Router
-from coralvale.cluster.server.arrivals import Arrivals
+from coralvale.cluster.server.arrivals import HostReplication
 from coralvale.cluster.server.changes import Changes
 from coralvale.cluster.server.coordination import Coordination
 from coralvale.cluster.server.core import Core
-from coralvale.cluster.server.ctl import Answered, Control, ControlServer, Desk
+from coralvale.cluster.server.ctl import Control, ControlBackend, ControlServer, StatusAndBody
 from coralvale.cluster.server.edge import Edge, EdgeServer
 from coralvale.cluster.server.gossip import GossipExchange
 from coralvale.cluster.server.hosts import Hosts
@@ -46,7 +46,7 @@
 from coralvale.cluster.server.runtime import TICK, Runtime
 from coralvale.cluster.server.shares import ShareClaims
 from coralvale.cluster.server.status import status
-from coralvale.cluster.settings import Settings, SettingsError, address, read
+from coralvale.cluster.settings import Settings, SettingsError, parse_address, read
 from coralvale.members import wire as swim_wire
 from coralvale.members.model import MembersError
 from coralvale.net.clock import Clock
@@ -66,7 +66,7 @@
 UNSETTLED = 4.0  # s after which a member of the core that hears no majority serves what its disk has
 
 
-class GatewayNode(Desk):
+class GatewayNode(ControlBackend):
     def __init__(
         self,
         settings: Settings,
@@ -93,18 +93,18 @@
         self.router = Router(bounds, self.instances, self.limiter, runtime.chance)
         self.membership = Membership(runtime, self.limiter.usage)
         self.changes = Changes(runtime, self.router, self._bound_clients)
-        self.arrivals = Arrivals(runtime, self.membership, self.register, self._retire)
-        self.core = Core(runtime, self.changes.in_force, self.arrivals.remember)
-        self.changes.core = self.arrivals.core = self.core
+        self.host_replication = HostReplication(runtime, self.membership, self.register, self._retire)
+        self.core = Core(runtime, self.changes.in_force, self.host_replication.restore)
+        self.changes.core = self.host_replication.core = self.core
         self.coordination = Coordination(runtime, self.core)
-        self.core.notice = self.coordination.notice
+        self.core.notice = self.coordination.handle_notice
         self.shares = ShareClaims(runtime, self.core, self.limiter.holding)
         self.gossip = GossipExchange(
             runtime,
             self.membership,
             self.core,
             self.changes,
-            self.arrivals,
+            self.host_replication,
             self.limiter,
             self.shares,
             self.instances,
@@ -120,7 +120,7 @@
         by_zone = settings.Zones.get(settings.Az, "")
         if by_zone == settings.Region:
             return settings.Region
-        tell(
+        log_event(
             Event.REGION_UNSURE, zone=settings.Az, by_zone=by_zone or "none", region=settings.Region or "none"
         )
         return ""
@@ -129,7 +129,7 @@
 
     async def run(self) -> None:
         settings = self.runtime.settings
-        tell(
+        log_event(
             Event.STARTED,
             name=settings.Hostname,
             ip=settings.Ip,
@@ -144,22 +144,28 @@
         most_hosts = int(descriptors * HOSTS_PART)
         bodies = int(limits.MemMb * 0.25 * 1e6)
         self.hosts = Hosts(self.runtime.clock, CONNECT_TIMEOUT, HOST_IDLE / 0.8, most_hosts)
-        self.edge = Edge(self.router, self.hosts, self.runtime.clock, self.gossip.quotas.carry_out)
-        self.gossip.quotas.decided = self.edge.decided
+        self.edge = Edge(self.router, self.hosts, self.runtime.clock, self.gossip.quotas.run_actions)
+        self.gossip.quotas.on_decision = self.edge.apply_decision
         self.control = Control(self)
         self.servers: list[Server] = []
         if settings.Listen.Edge:
             self.front = EdgeServer(
-                address(settings.Listen.Edge), self.edge, descriptors - most_hosts, bodies, self.runtime.clock
+                parse_address(settings.Listen.Edge),
+                self.edge,
+                descriptors - most_hosts,
+                bodies,
+                self.runtime.clock,
             )
             self.servers.append(self.front)
         for text in (settings.Listen.Readyz, settings.Listen.Ctl):
             if text:
-                self.servers.append(ControlServer(address(text), self.control, self.runtime.clock))
+                self.servers.append(ControlServer(parse_address(text), self.control, self.runtime.clock))
         if self.metrics:
-            from coralvale.cluster.server.figures import Figures, FiguresServer
+            from coralvale.cluster.server.figures import GatewayMetrics, MetricsServer
 
-            self.servers.append(FiguresServer(address(self.metrics), Figures(self), self.runtime.clock))
+            self.servers.append(
+                MetricsServer(parse_address(self.metrics), GatewayMetrics(self), self.runtime.clock)
+            )
         await self.runtime.peers.start()
         self.membership.begin()
         if settings.holds_state:
@@ -175,10 +181,10 @@
             self._watch,
             self.core.join,
             self.shares.follow,
-            self.arrivals.keep_hosts,
+            self.host_replication.save_periodically,
         ):
             self.runtime.spawn(self.runtime.keep(work))
-        self.runtime.spawn(self.arrivals.pull_first())
+        self.runtime.spawn(self.host_replication.pull_at_start())
         await self.ended.wait()
         for task in list(self.runtime.tasks):
             task.cancel()
@@ -195,7 +201,7 @@
 
     async def _leave(self) -> None:
         """Out of the platform's list, then out: nobody is cut, and duties are handed on first."""
-        tell(Event.LEAVING, open=len(self.edge.open))
+        log_event(Event.LEAVING, open=len(self.edge.open))
         begun = self.runtime.clock.monotonic()
         ends = begun + max(1.0, self.runtime.settings.Bounds.GraceS - SPARE)
         self.front.drain()
@@ -211,14 +217,14 @@
         while not self.core.may_end() and self.runtime.clock.monotonic() < ends:
             await asyncio.sleep(0.02)
         if not self.core.may_end():
-            tell(Event.ENDS_UNSAFE)
+            log_event(Event.ENDS_UNSAFE)
         await self._answer_control(ends)
         self.runtime.spawn(self.shares.give_up())  # heard or not: they are kept for this address for a while
         self.membership.swim.leave(self.runtime.clock.monotonic())
         for _ in range(4):
             self.membership.carry()
             await asyncio.sleep(0.06)
-        tell(Event.ENDED, open=len(self.edge.open))
+        log_event(Event.ENDED, open=len(self.edge.open))
         self.ended.set()
 
     async def _answer_control(self, ends: float) -> None:
@@ -231,14 +237,14 @@
         try:
             fresh = read(self.runtime.path)
         except SettingsError as error:
-            tell(Event.SETTINGS_BAD, reason=str(error))
+            log_event(Event.SETTINGS_BAD, reason=str(error))
             return
         if fresh != self.runtime.settings:
             self.runtime.settings = fresh
             self.home.set_regions(self._region(fresh), fresh.Zones)
             self.instances.candidates.clear()
             self.membership.swim.seeds = [(ip, fresh.peers_port) for ip in fresh.seeds if ip != fresh.Ip]
-            tell(Event.SETTINGS_READ, seeds=len(fresh.Seeds))
+            log_event(Event.SETTINGS_READ, seeds=len(fresh.Seeds))
 
     async def _watch(self) -> None:
         """The settings file may change without a signal."""
@@ -272,7 +278,7 @@
             if age < UNHEARD and not (self.register.entries and self._knows_others()):
                 return False
             self.was_ready = True
-            tell(
+            log_event(
                 Event.READY,
                 seconds=age,
                 version=self.changes.configuration.version,
@@ -319,13 +325,13 @@
 
     def _sweep(self, now: float) -> None:
         for name in self.register.sweep(now):
-            tell(Event.HOST_LOST, id=name)
+            log_event(Event.HOST_LOST, id=name)
         self.instances.drop_silent_gateways(now)
         for copy in self.instances.sweep():
             row = copy.entry.row
             self._retire(row)
         self._tell_quotas()
-        self.coordination.look(now)
+        self.coordination.tick(now)
         if self.home.routes:
             self._tell_home(now)
         self.membership.near = None  # who only talks may have come or gone
@@ -341,8 +347,8 @@
     def _tell_quotas(self) -> None:
         """What was refused of tenants past their quota since the last time, and what was let through."""
         for tenant, tally in self.limiter.take_tallies().items():
-            tell(Event.QUOTA, count=tally.refused, tenant=tenant)
-            tell(
+            log_event(Event.QUOTA, count=tally.refused, tenant=tenant)
+            log_event(
                 Event.CHARGED,
                 tenant=tenant,
                 own=tally.own,
@@ -354,11 +360,13 @@
     def _tell_home(self, now: float) -> None:
         for bound, count in self.home.refused.items():
             if news := count - self.abroad_told.get(bound, 0):
-                tell(Event.ABROAD, count=news, bound=bound)
+                log_event(Event.ABROAD, count=news, bound=bound)
                 self.abroad_told[bound] = count
         unsure = not self.home.lease_valid(now)
         if unsure and not self.unsure_told:
-            tell(Event.BINDING_UNSURE, seconds=min(now - self.home.core_heard_at, now - self.runtime.born))
+            log_event(
+                Event.BINDING_UNSURE, seconds=min(now - self.home.core_heard_at, now - self.runtime.born)
+            )
         self.unsure_told = unsure
         here = set()
         for service, bound in self.home.services.items():
@@ -366,7 +374,7 @@
                 if not self.home.host_allowed(service, life.row.az):
                     here.add(name)
                     if name not in self.hosts_abroad:
-                        tell(Event.HOST_ABROAD, id=name, service=service, bound=bound, zone=life.row.az)
+                        log_event(Event.HOST_ABROAD, id=name, service=service, bound=bound, zone=life.row.az)
         self.hosts_abroad = here
 
     def _bound_clients(self, bounds: ClientBounds) -> None:
@@ -377,25 +385,25 @@
 
     # What hosts and operators call
 
-    async def beat(self, row: Row) -> bool:
-        return await self.arrivals.beat(row)
+    async def heartbeat(self, row: Row) -> bool:
+        return await self.host_replication.heartbeat(row)
 
-    async def leave(self, name: str) -> bool:
-        return await self.arrivals.leave(name)
+    async def deregister(self, name: str) -> bool:
+        return await self.host_replication.deregister(name)
 
-    async def change(self, change: Change) -> Answered:
+    async def change_configuration(self, change: Change) -> StatusAndBody:
         return await self.changes.change(change)
 
-    async def read(self) -> Answered:
+    async def read_configuration(self) -> StatusAndBody:
         return await self.changes.read()
 
-    def history(self) -> Answered:
+    def history(self) -> StatusAndBody:
         return self.changes.history()
 
     def status(self) -> bytes:
         return status(self)
 
-    async def coordinate(self, call: CoordinationCall) -> Answered:
+    async def coordinate(self, call: CoordinationCall) -> StatusAndBody:
         return await self.coordination.call(call)
 
     # What other gateways send
@@ -417,11 +425,11 @@
         elif isinstance(parcel, Call):
             self.runtime.spawn(self.changes.called(frames, parcel))
         elif isinstance(parcel, Coordinate):
-            self.runtime.spawn(self.coordination.called(frames, parcel))
+            self.runtime.spawn(self.coordination.handle_forwarded(frames, parcel))
         elif isinstance(parcel, ClaimShares):
             self.runtime.spawn(self.shares.claimed(frames, parcel))
         elif isinstance(parcel, Rows):
-            self.arrivals.note(parcel.rows)
+            self.host_replication.merge_rows(parcel.rows)
             frames.send(Noted(parcel.number))
         elif isinstance(parcel, Pull):
             frames.send(Rows(parcel.number, self.register.rows(now, parcel.parts)))
--- a/coralvale/cluster/server/quotas.py
+++ b/coralvale/cluster/server/quotas.py
@@ -22,19 +22,19 @@
 class QuotaExchange:
     """`decided`: takes what becomes of a request that waited; set once there is a gate for clients."""
 
-    decided: Callable[[Decided], None]
+    on_decision: Callable[[Decided], None]
 
     def __init__(self, runtime: Runtime, changes: Changes, limiter: RateLimiter) -> None:
         self.runtime, self.changes, self.limiter = runtime, changes, limiter
         self.timer: asyncio.TimerHandle | None = None
 
-    def carry_out(self) -> None:
+    def run_actions(self) -> None:
         """What the limiter has to send, and its decisions."""
         while actions := self.limiter.take_actions():
             for action in actions:
                 match action:
                     case Decided():
-                        self.decided(action)
+                        self.on_decision(action)
                     case AskTokens():
                         body = _TOKENS.pack(action.number, _mark(action.tenant), action.count)
                         self.runtime.peers.cast(action.to, ASK, body)
@@ -59,9 +59,9 @@
     def _expire(self) -> None:
         self.timer = None
         self.limiter.expire(self.runtime.clock.monotonic())
-        self.carry_out()
+        self.run_actions()
 
-    def datagram(self, ip: str, kind: bytes, body: bytes) -> None:
+    def handle_datagram(self, ip: str, kind: bytes, body: bytes) -> None:
         """Another gateway's ask, or its answer. What cannot be read, or is of an unknown tenant,
         is passed over."""
         now = self.runtime.clock.monotonic()
@@ -81,7 +81,7 @@
             self.limiter.handle_return(now, ip, number, name, count)
         elif terms := self.changes.configuration.tenant(name):
             self.limiter.handle_ask(now, ip, number, name, terms.RatePerS, terms.Burst, count)
-        self.carry_out()
+        self.run_actions()
 
 
 def _mark(tenant: str) -> int:
--- a/coralvale/cluster/server/runtime.py
+++ b/coralvale/cluster/server/runtime.py
@@ -9,7 +9,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from coralvale.cluster.events import Event, tell
+from coralvale.cluster.events import Event, log_event
 from coralvale.cluster.server.messages import Parcel
 from coralvale.cluster.server.peers import Frames, Peers
 from coralvale.cluster.settings import Settings
@@ -49,10 +49,10 @@
                 await work()
             except Exception as error:  # noqa: BLE001
                 where = traceback.extract_tb(error.__traceback__)[-1]
-                tell(Event.FAILED, reason=f"{work.__name__}: {error!r} at {where.name}:{where.lineno}")
+                log_event(Event.FAILED, reason=f"{work.__name__}: {error!r} at {where.name}:{where.lineno}")
                 await asyncio.sleep(TICK)
 
     def _done(self, task: asyncio.Task[Any]) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and (error := task.exception()):
-            tell(Event.FAILED, reason=repr(error))
+            log_event(Event.FAILED, reason=repr(error))
--- a/coralvale/cluster/server/shares.py
+++ b/coralvale/cluster/server/shares.py
@@ -6,7 +6,7 @@
 
 from msgspec.structs import replace
 
-from coralvale.cluster.events import Event, tell
+from coralvale.cluster.events import Event, log_event
 from coralvale.cluster.rate_limit.holding import Holding
 from coralvale.cluster.rate_limit.shares import ShareTable
 from coralvale.cluster.server.core import Core
@@ -59,7 +59,7 @@
         try:
             table = ShareTable.restored(answer.table) if answer.table else None
         except ValueError as error:
-            tell(Event.FAILED, reason=str(error))
+            log_event(Event.FAILED, reason=str(error))
             return False
         now = self.runtime.clock.monotonic()
         since = max(self.runtime.born, now - answer.age)
@@ -67,7 +67,7 @@
         allowed = answer.allowed and now - asked_at < MAX_ANSWER_AGE_S
         if self.holding.apply_answer(since, asked_at, table, allowed):
             cells = self.holding.table.owners.count(self.holding.address)
-            tell(Event.SHARES, version=self.holding.version, cells=cells)
+            log_event(Event.SHARES, version=self.holding.version, cells=cells)
         return True
 
     async def _ask(self, left: bool) -> Shares | None:
--- a/coralvale/cluster/server/status.py
+++ b/coralvale/cluster/server/status.py
@@ -78,7 +78,7 @@
             "cells": holding.table.owners.count(holding.address),
             "lease": max(0.0, holding.lease_until - now),
         },
-        "coordination": o.coordination.figures.status(o.core.coordination, o.core.coordination_desk),
+        "coordination": o.coordination.metrics.status(o.core.coordination, o.core.coordination_desk),
         "gateways": [
             {
                 "name": m.name,
--- a/coralvale/cluster/server/zone_reports.py
+++ b/coralvale/cluster/server/zone_reports.py
@@ -25,7 +25,7 @@
 from coralvale.cluster.reports.zones import ZoneReports
 from coralvale.cluster.routing.copies import InstancePool
 from coralvale.cluster.server import relay
-from coralvale.cluster.server.arrivals import Arrivals
+from coralvale.cluster.server.arrivals import HostReplication
 from coralvale.cluster.server.changes import Changes
 from coralvale.cluster.server.core import Core
 from coralvale.cluster.server.membership import Membership
@@ -68,7 +68,7 @@
         membership: Membership,
         core: Core,
         changes: Changes,
-        arrivals: Arrivals,
+        host_replication: HostReplication,
         limiter: RateLimiter,
         shares: ShareClaims,
         instances: InstancePool,
@@ -76,7 +76,12 @@
         is_ready: Callable[[], bool],
     ) -> None:
         self.runtime, self.membership, self.core, self.changes = runtime, membership, core, changes
-        self.arrivals, self.limiter, self.shares, self.instances = arrivals, limiter, shares, instances
+        self.host_replication, self.limiter, self.shares, self.instances = (
+            host_replication,
+            limiter,
+            shares,
+            instances,
+        )
         self.carriers, self.is_ready = carriers, is_ready
         self.speaker, self.zones = ZoneReporter(runtime.settings.Ip), ZoneReports()
         self.may_speak = False  # it is among the first of its zone
@@ -147,7 +152,7 @@
         addresses = [*carriers, *(ip for ip in here if ip not in carriers)][:MOST_ADDRESSES]
         view, leader, core = self.core.known()
         beats, self.beats = list(self.beats.items()), {}
-        digest, shares = self.arrivals.register.digest, self.limiter.holding.version
+        digest, shares = self.host_replication.register.digest, self.limiter.holding.version
         return [
             Presence(
                 self._head(),
@@ -238,9 +243,9 @@
             self.carriers.hear(now, ip, False)
         self.shares.heard(report.shares)
         hear_view(self.core, report.view, report.leader, report.core)
-        unknown = self.arrivals.register.merge_beats(now, report.beats)
+        unknown = self.host_replication.register.merge_beats(now, report.beats)
         # Those that speak mend the register between zones, and those near them by their words' digests.
         if self.may_speak:
-            self.arrivals.compare(now, report.head.reporter, report.digest, unknown)
+            self.host_replication.compare(now, report.head.reporter, report.digest, unknown)
         for zone in self.zones.drop_silent(now, LONGEST):
             self.present.pop(zone, None)
--- a/coralvale/cluster/settings.py
+++ b/coralvale/cluster/settings.py
@@ -21,7 +21,7 @@
     """The settings cannot be used; one line for each mistake, with its place."""
 
 
-def address(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """`ip:port`. Raises ValueError."""
     ip, _, port = text.rpartition(":")
     if not ip or not port.isdigit() or not 0 < int(port) < 65536:
@@ -102,7 +102,7 @@
     @property
     def seeds(self) -> list[str]:
         """Their IP numbers: what nodes say to each other goes to the same port on all."""
-        return [address(seed)[0] for seed in self.Seeds]
+        return [parse_address(seed)[0] for seed in self.Seeds]
 
     @property
     def holds_state(self) -> bool:
@@ -160,7 +160,7 @@
     for name, text in named:
         try:
             if text or name.startswith("Seeds"):
-                address(text)
+                parse_address(text)
         except ValueError as error:
             found.append(f"{name}: {error}")
     if not settings.Hostname:
--- a/coralvale/cluster/start.py
+++ b/coralvale/cluster/start.py
@@ -14,9 +14,9 @@
 from coralvale.cluster.settings import SettingsError
 
 
-def serve_now(path: str, metrics: str = "", regions: str = "") -> int:
+def run_gateway(path: str, metrics: str = "", regions: str = "") -> int:
     """Runs a gateway until it is told to end; 2 if its settings cannot be used."""
-    events.set_up(os.environ.get("MYRTLEHATCH_LOG", "INFO"))
+    events.configure_logging(os.environ.get("MYRTLEHATCH_LOG", "INFO"))
     gc.set_threshold(20_000, 20, 50)
     try:
         with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
--- a/coralvale/lab/souring.py
+++ b/coralvale/lab/souring.py
@@ -233,7 +233,7 @@
             now, request.id.encode(), "day.example", f"/{kind.name}/1", None, kind.deadline
         )
         if isinstance(job, Problem):
-            return self.world.answered(request, job.status, job.promises)
+            return self.world.answered(request, job.status, job.promises_not_run)
         request.job = job
         self.world.engine.later(job.deadline - now, self._time_up, request)
         self.next(request)
@@ -244,7 +244,7 @@
         now = self.world.engine.clock
         copy = self.router.pick(now, request.job)
         if isinstance(copy, Problem):
-            return self.world.answered(request, copy.status, copy.promises)
+            return self.world.answered(request, copy.status, copy.promises_not_run)
         self.world.sent(self, copy, request)
         one = Try(request, copy, request.job.tries, now)
         self.world.engine.later(self.world.day.way, self.world.hosts[copy.entry.id].arrive, one)
@@ -264,7 +264,7 @@
             for key in [k for k in copy.in_flight if k[0] == request.id]:
                 self.ended(Try(request, copy, key[1], copy.in_flight[key]), Outcome.TIMEOUT, 0, last=True)
         problem = self.router.time_out(self.world.engine.clock, request.job)
-        self.world.answered(request, problem.status, problem.promises)
+        self.world.answered(request, problem.status, problem.promises_not_run)
 
     def ended(self, one: Try, outcome: Outcome, status: int, last: bool = False) -> None:
         request, now = one.request, self.world.engine.clock
@@ -282,7 +282,7 @@
         if outcome is Outcome.OK and not self.router.may_retry_answer(now, request.job, status):
             self.world.answered(request, status, False)
         elif problem is not None and outcome is not Outcome.OK:
-            self.world.answered(request, problem.status, problem.promises)
+            self.world.answered(request, problem.status, problem.promises_not_run)
         else:
             self.next(request)
 
--- a/tests/cluster/soak_mutants.py
+++ b/tests/cluster/soak_mutants.py
@@ -22,7 +22,7 @@
 from coralvale.cluster.server.changes import Changes  # noqa: E402
 from coralvale.cluster.server.edge import Edge  # noqa: E402
 from coralvale.cluster.server.node import GatewayNode  # noqa: E402
-from coralvale.cluster.start import serve_now  # noqa: E402
+from coralvale.cluster.start import run_gateway  # noqa: E402
 from coralvale.interface import Outcome  # noqa: E402
 from coralvale.net.server import Exchange  # noqa: E402
 
@@ -85,15 +85,15 @@
 @mutant
 def closes_connections_under_requests() -> None:
     """Now and then a kept connection is closed while its request is at a host."""
-    right, count = Edge.take_request, [0]
+    right, count = Edge.handle_request, [0]
 
-    def take_request(self: Edge, exchange: Exchange) -> None:
+    def handle_request(self: Edge, exchange: Exchange) -> None:
         right(self, exchange)
         count[0] += 1
         if count[0] % 10 == 0:
             self.loop.call_later(0.008, exchange.connection.transport.abort)
 
-    Edge.take_request = take_request  # type: ignore[method-assign]
+    Edge.handle_request = handle_request  # type: ignore[method-assign]
 
 
 @mutant
@@ -141,14 +141,14 @@
 @mutant
 def leaks_descriptors() -> None:
     """Descriptors stay open after each request."""
-    right = Edge.take_request
+    right = Edge.handle_request
 
-    def take_request(self: Edge, exchange: Exchange) -> None:
+    def handle_request(self: Edge, exchange: Exchange) -> None:
         right(self, exchange)
         for _ in range(3):
             os.dup(2)
 
-    Edge.take_request = take_request  # type: ignore[method-assign]
+    Edge.handle_request = handle_request  # type: ignore[method-assign]
 
 
 @mutant
@@ -173,4 +173,4 @@
 
 if __name__ == "__main__":
     MUTANTS[sys.argv[1]]()
-    sys.exit(serve_now(os.environ["MYRTLEHATCH_CONFIG"]))
+    sys.exit(run_gateway(os.environ["MYRTLEHATCH_CONFIG"]))
--- a/tests/cluster/test_coordination_operators.py
+++ b/tests/cluster/test_coordination_operators.py
@@ -15,7 +15,7 @@
 from coralvale.cluster.errors import Kind, Problem
 from coralvale.cluster.server.coordination import answer
 from coralvale.cluster.server.coordination_api import read_call
-from coralvale.cluster.server.coordination_figures import DELAYS_MS, CoordinationFigures
+from coralvale.cluster.server.coordination_figures import DELAYS_MS, CoordinationMetrics
 
 HOLD_MS = 3000
 
@@ -145,14 +145,14 @@
 
 
 def test_metrics_count_by_call_and_outcome_and_never_by_name() -> None:
-    figures = CoordinationFigures()
+    figures = CoordinationMetrics()
     for n in range(1000):
-        figures.settled(c.Acquire(f"l{n}", f"a{n}", 1000), c.Granted(n), 0.004)
-        figures.answered(c.Acquire(f"l{n}", f"a{n}", 1000), 200)
+        figures.record_outcome(c.Acquire(f"l{n}", f"a{n}", 1000), c.Granted(n), 0.004)
+        figures.record_answer(c.Acquire(f"l{n}", f"a{n}", 1000), 200)
     for _ in range(9):
-        figures.settled(c.Put("g1.a", "x"), c.Full("too many keys are kept"), 0.06)
-    figures.settled(c.Put("g1.a", "x"), c.Unknown("not agreed on in time"), 3.0)
-    figures.settled(c.Watch("g1.", 4, 2000), c.Watched((), 4), 2.0)
+        figures.record_outcome(c.Put("g1.a", "x"), c.Full("too many keys are kept"), 0.06)
+    figures.record_outcome(c.Put("g1.a", "x"), c.Unknown("not agreed on in time"), 3.0)
+    figures.record_outcome(c.Watch("g1.", 4, 2000), c.Watched((), 4), 2.0)
     assert figures.outcomes == {
         ("acquire", "granted"): 1000,
         ("put", "full"): 9,
@@ -163,8 +163,8 @@
     assert figures.full == {"too many keys are kept": 9}
     assert sum(figures.delays) == 1010  # the wait of a watch is not counted as delay
     assert (figures.delay_ms(0.5), figures.delay_ms(0.995), figures.delay_ms(1.0)) == (5, 80, DELAYS_MS[-1])
-    figures.look(10.0, 40)
-    figures.look(12.0, 100)
+    figures.sample_rates(10.0, 40)
+    figures.sample_rates(12.0, 100)
     assert figures.rates == {"turns": 30.0, "calls": 0.0}
 
 
--- a/tests/cluster/test_edge.py
+++ b/tests/cluster/test_edge.py
@@ -454,13 +454,13 @@
         self.limiter.holding.table = ShareTable()
         self.limiter.holding.apply_answer(0.0, math.inf, even_table(["far"]))
         self.limiter.usage.record_peer(s.edge.clock.monotonic(), "far", {})
-        s.edge.carry_out_quotas = self.carry_out
+        s.edge.run_quota_actions = self.carry_out
 
     def carry_out(self) -> None:
         now = self.scene.edge.clock.monotonic()
         for action in self.limiter.take_actions():
             if isinstance(action, Decided):
-                self.scene.edge.decided(action)
+                self.scene.edge.apply_decision(action)
             elif isinstance(action, AskTokens) and self.grants >= 0:
                 self.limiter.handle_grant(now, "far", action.number, action.tenant, self.grants, 0.4)
                 self.scene.edge.loop.call_soon(self.carry_out)
@@ -493,7 +493,7 @@
         (request,) = s.edge.open
         s.edge.client_left(request.exchange)
         before = lender.limiter.tenants["t"].bucket.fill = 5.0
-        s.edge.decided(Decided(job, Admitted(Source.GRANTED)))
+        s.edge.apply_decision(Decided(job, Admitted(Source.GRANTED)))
         assert lender.limiter.tenants["t"].bucket.fill == before - 1 and job.admitted is None
         assert not s.edge.waiting and not s.edge.open and not s.peers[0].arrived.qsize()
 
--- a/tests/cluster/test_home.py
+++ b/tests/cluster/test_home.py
@@ -232,7 +232,7 @@
             made.check_head(1.0, "a.example", "/x/secret-slot"),
             admitted(made, path="/x/secret-slot"),
         ):
-            assert isinstance(found, Problem) and found.kind is Kind.FOREIGN and not found.reason
+            assert isinstance(found, Problem) and found.kind is Kind.OTHER_REGION and not found.reason
             assert ANSWERS[found.kind].promise is Promise.NOT_RUN and found.status == 421
         assert made.home.refused == {"coast": 2} and "secret" not in str(vars(made.home))
         assert "secret" not in str(made.last_lookup)
@@ -250,7 +250,7 @@
         seen.add(ZONES[instance.entry.row.az])
         job.tries = 0  # no limit on tries
         made.instances.register.mark_gone(1.0, instance.entry.id)
-    assert seen == {"coast"} and instance.promises
+    assert seen == {"coast"} and instance.promises_not_run
 
 
 def test_a_route_bound_by_itself_goes_to_no_host_of_another_region() -> None:
@@ -275,14 +275,16 @@
     # It ends where it began, without a promise.
     assert isinstance(found, Problem) and found.kind is Kind.MAYBE_RUN
     refusal = admitted(made)
-    assert isinstance(refusal, Problem) and refusal.kind is Kind.FOREIGN
+    assert isinstance(refusal, Problem) and refusal.kind is Kind.OTHER_REGION
 
 
 def test_a_gateway_without_contact_refuses_bound_requests_after_its_lease_until_contact_returns() -> None:
     made = at("coast", bound(Svcs__s__Region="coast"), heard=1.0)
     assert isinstance(admitted(made, 1.0 + made.home.lease), Job)
     unsure = admitted(made, 1.1 + made.home.lease)
-    assert isinstance(unsure, Problem) and unsure.kind is Kind.BINDING_UNSURE and unsure.retry_after > 0
+    assert (
+        isinstance(unsure, Problem) and unsure.kind is Kind.BINDING_LEASE_EXPIRED and unsure.retry_after > 0
+    )
     made.home.core_heard_at = 20.0
     assert isinstance(admitted(made, 20.1), Job)
 
--- a/tests/cluster/test_readers.py
+++ b/tests/cluster/test_readers.py
@@ -17,7 +17,7 @@
 from coralvale.cluster.configuration.model import Configuration, parse_configuration
 from coralvale.cluster.errors import Problem
 from coralvale.cluster.registry.register import Row
-from coralvale.cluster.server.ctl import read_beat
+from coralvale.cluster.server.ctl import read_heartbeat
 from coralvale.cluster.server.messages import (
     FRAME,
     MOST,
@@ -53,7 +53,7 @@
     found = ChangeHistory().validate(Change(0, True, data))
     assert isinstance(found, Problem) and found.reason
     assert isinstance(ChangeHistory().validate(Change(0, False, data)), Problem)
-    assert isinstance(read_beat("i-1", data), Problem | Row)
+    assert isinstance(read_heartbeat("i-1", data), Problem | Row)
 
 
 @EXAMPLES
@@ -73,7 +73,7 @@
 @EXAMPLES
 @given(st.sampled_from(sorted(BEAT)), JSON)
 def test_a_heartbeat_with_one_arbitrary_field_gives_a_row_or_an_error(name: str, value: Any) -> None:
-    found = read_beat("i-1", msgspec.json.encode({**BEAT, name: value}))
+    found = read_heartbeat("i-1", msgspec.json.encode({**BEAT, name: value}))
     assert isinstance(found, Problem) or (found.slots >= 1 and 0 < found.port < 65536)
 
 
--- a/tests/cluster/test_relay.py
+++ b/tests/cluster/test_relay.py
@@ -13,7 +13,7 @@
 from coralvale.cluster.rate_limit.usage import PERIOD
 from coralvale.cluster.registry.register import PARTS, Register, Row, part
 from coralvale.cluster.server import relay
-from coralvale.cluster.server.arrivals import DIFFERS
+from coralvale.cluster.server.arrivals import MAX_MISMATCH_S
 from coralvale.cluster.server.gossip import NEAR_ONLY
 from coralvale.cluster.server.messages import Word, encode, pack_out
 from coralvale.cluster.server.node import GatewayNode
@@ -249,13 +249,16 @@
             return True
 
         fake: Any = one
-        fake.arrivals.pull, fake.runtime.spawn = pull, lambda work: (work.close(), pulled.append(fleet.now))
+        fake.host_replication.pull, fake.runtime.spawn = (
+            pull,
+            lambda work: (work.close(), pulled.append(fleet.now)),
+        )
         for n in range(40):  # hosts come all the while: not before it has lasted
             fleet.now += PERIOD
             one.register.merge(fleet.now, row(n))
             one.gossip.word(fleet.now, other, Word(1, 1000 + n))
-            assert bool(pulled) == (n * PERIOD >= DIFFERS)
-        one.arrivals.mismatch.clear()
+            assert bool(pulled) == (n * PERIOD >= MAX_MISMATCH_S)
+        one.host_replication.mismatch.clear()
         pulled.clear()
         for _ in range(2):
             assert not pulled
@@ -263,6 +266,6 @@
             one.gossip.word(fleet.now, other, Word(1, 5))
         assert pulled  # both are still, and differ
         one.gossip.word(fleet.now, other, Word(1, one.register.digest))
-        assert not one.arrivals.mismatch
+        assert not one.host_replication.mismatch
 
     play(scene)
--- a/tests/cluster/test_routing.py
+++ b/tests/cluster/test_routing.py
@@ -52,16 +52,16 @@
 def test_each_problem_kind_has_an_answer_and_only_promises_use_the_promising_statuses() -> None:
     assert set(ANSWERS) == set(Kind)
     for each, answer in ANSWERS.items():
-        if each not in (Kind.UNSETTLED, Kind.DISK):
+        if each not in (Kind.NO_MAJORITY, Kind.DISK):
             assert (answer.status in (429, 503, 408, 421)) == (answer.promise is Promise.NOT_RUN)
 
 
 def test_requests_without_route_key_or_configuration_are_refused() -> None:
     made = router(Routes__r__Public=True)
     assert kind(made.admit(1.0, b"i", "a.example", "/nowhere/", "k1", 1.0)) is Kind.NO_ROUTE
-    assert kind(made.admit(1.0, b"i", "a.example", "/x/y/1", None, 1.0)) is Kind.NO_KEY
-    assert kind(made.admit(1.0, b"i", "a.example", "/x/y/1", "other", 1.0)) is Kind.NO_KEY
-    assert kind(made.admit(1.0, b"i", "a.example", "/x/y/1", "", 1.0)) is Kind.NO_KEY
+    assert kind(made.admit(1.0, b"i", "a.example", "/x/y/1", None, 1.0)) is Kind.UNAUTHENTICATED
+    assert kind(made.admit(1.0, b"i", "a.example", "/x/y/1", "other", 1.0)) is Kind.UNAUTHENTICATED
+    assert kind(made.admit(1.0, b"i", "a.example", "/x/y/1", "", 1.0)) is Kind.UNAUTHENTICATED
     assert admitted_job(made, "/x/y/1", "k3").tenant == "u"
     assert admitted_job(made, "/x/1", None).tenant == "" and admitted_job(made, "/x/1", "k2").tenant == "t"
     empty = Router(BOUNDS, made.instances, made.limiter, random.Random(1))
@@ -85,12 +85,12 @@
         assert (
             kind(made.try_ended(1.1, job, picked_instance(made, job), 1, outcome, 0, 0.1)) is Kind.MAYBE_RUN
         )
-        assert not made.time_out(9.0, job).promises
+        assert not made.time_out(9.0, job).promises_not_run
     made = router()
     job = admitted_job(made, "/x/y/1")
     for number in (1, 2):  # turned away by two hosts: all tries of the route
         found = made.try_ended(1.1, job, picked_instance(made, job), number, Outcome.FULL, 503, 0.1)
-    assert kind(found) is Kind.NOT_RUN and found.promises
+    assert kind(found) is Kind.NOT_RUN and found.promises_not_run
 
 
 def test_each_outcome_of_a_try_is_decided_by_the_table() -> None:
@@ -109,7 +109,7 @@
             continue
         assert job.may_have_run is end.may_have_run
         # After a try that may have run, no answer promises that the request has not run.
-        assert made.time_out(1.2, job).promises is not end.may_have_run
+        assert made.time_out(1.2, job).promises_not_run is not end.may_have_run
 
 
 def test_a_repeatable_request_is_retried_at_another_instance() -> None:
@@ -131,7 +131,7 @@
         )
     ) is None:
         tries += 1
-    assert tries >= 2 and found.promises and job.admitted is None
+    assert tries >= 2 and found.promises_not_run and job.admitted is None
     assert made.limiter.tenants["t"].bucket.fill == 0
     none = router(hosts=0)
     assert kind(none.pick(1.0, admitted_job(none))) is Kind.NO_HOST
--- a/tests/cluster/test_spread.py
+++ b/tests/cluster/test_spread.py
@@ -44,7 +44,7 @@
 
 
 def spread(node: GatewayNode) -> Awaitable[bool]:
-    return node.arrivals.spread(ROW)
+    return node.host_replication.replicate(ROW)
 
 
 def play(
@@ -103,7 +103,7 @@
 
     def leave(node: GatewayNode) -> Awaitable[bool]:
         node.hosts = Hosts(node.runtime.clock, 0.5, 8.0, 100)
-        return node.arrivals.leave("i-unknown")
+        return node.host_replication.deregister("i-unknown")
 
     well, asked, cast, _ = play(3, set(), leave)
     assert well and cast == [LIFE] and all(asked[ip] == 1 for ip in IPS[1:])
@@ -120,7 +120,7 @@
         now = node.runtime.clock.monotonic()
         node.register.merge(now, replace(ROW, state=0))
         node.register.mark_gone(now, ROW.id)
-        return await node.arrivals.beat(replace(ROW, calls=9))
+        return await node.host_replication.heartbeat(replace(ROW, calls=9))
 
     well, asked, _, _ = play(3, set(), beat)
     assert well and asked[IPS[1]] == 1
@@ -154,7 +154,9 @@
 ) -> None:
     async def whole() -> None:
         logged: list[dict[str, Any]] = []
-        monkeypatch.setattr(gossip, "tell", lambda event, **fields: logged.append({"event": event, **fields}))
+        monkeypatch.setattr(
+            gossip, "log_event", lambda event, **fields: logged.append({"event": event, **fields})
+        )
         regions = ("home", "abroad")  # of zone-0 and zone-1
         node = GatewayNode(parse(settings(0, IPS, 3, Path("/nowhere"), False, regions)), "")
         node.membership.begin()
