--- a/coralvale/cluster/__main__.py
+++ b/coralvale/cluster/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one gateway: `python -m coralvale.cluster`. A word after it is a command (`myrtlehatch --help`)."""
+"""Starts a gateway: `python -m coralvale.cluster`; with arguments it runs a command (`myrtlehatch --help`)."""
 
 from __future__ import annotations
 
--- a/coralvale/cluster/errors.py
+++ b/coralvale/cluster/errors.py
@@ -1,9 +1,9 @@
-"""The closed list of what can go wrong, and the answer that each kind gets.
+"""All kinds of problems, and the HTTP status of each.
 
-Nothing in the cluster raises for what others send: what decides returns a `Problem`, a sentinel value that
-carries its reason, and the gates look up the answer. A status that promises that nothing has run (PROTOCOL:
-429, 503, 408, 421) stands in the table only with kinds that are reported before anything was sent, or after
-all tries are known not to have run.
+The cluster's code raises no exceptions for invalid input from others: it returns a `Problem` with its reason,
+and the servers look up the answer. By PROTOCOL the statuses 429, 503, 408 and 421 promise that the request has
+not run. `ANSWERS` marks them so only for kinds that are reported before anything was sent, or after every
+attempt is known not to have run.
 """
 
 from __future__ import annotations
@@ -15,6 +15,8 @@
 
 @unique
 class Kind(Enum):
+    """What went wrong. The values are sent as reasons and logged."""
+
     NO_ROUTE = "no route matches"
     UNAUTHENTICATED = "no key that is known"
     OVER_QUOTA = "the tenant's quota is used up"
@@ -45,7 +47,7 @@
 
 @unique
 class Promise(Enum):
-    """What an answer says of its request."""
+    """What an answer promises about its request."""
 
     NOTHING = "nothing"
     NOT_RUN = "it has not run and never will"
@@ -53,6 +55,8 @@
 
 @frozen
 class Answer:
+    """HTTP status of a kind of problem, and what it promises."""
+
     status: int
     promise: Promise = Promise.NOTHING
 
@@ -89,7 +93,7 @@
 
 @frozen
 class Problem:
-    """Why something was not done. `retry_after`: seconds after which to come again, 0: nothing is said."""
+    """Why something was not done. `retry_after`: for the Retry-After header, in seconds; 0: none."""
 
     kind: Kind
     reason: str = ""
@@ -101,4 +105,5 @@
 
     @property
     def promises_not_run(self) -> bool:
+        """Whether the answer promises that the request has not run."""
         return ANSWERS[self.kind].promise is Promise.NOT_RUN
--- a/coralvale/cluster/server/arrivals.py
+++ b/coralvale/cluster/server/arrivals.py
@@ -1,4 +1,8 @@
-"""Hosts that come, beat and leave: taken, told to all, and the register mended where another knows more."""
+"""Replication of the register of hosts between gateways.
+
+Heartbeats and deregistrations are merged into the local register and sent to the other gateways. Registers
+that still differ, found by comparing digests, are reconciled by pulling the other gateway's entries.
+"""
 
 from __future__ import annotations
 
@@ -17,27 +21,30 @@
 from coralvale.cluster.server.peers import LIFE
 from coralvale.cluster.server.runtime import Runtime
 
-DRAINED = 0.75  # s that gateways are given to note that a host leaves
-KEEP_HOSTS = 1.0  # s between looks whether the register on disk is old
-REMEMBERED = 1.5  # beats that hosts which the disk remembers are taken to have been silent
-SEED_PATIENCE = 0.4  # s for the first answer of a seed, which may be gone
-MAX_MISMATCH_S = 2.0  # s after which a register that differs is asked for, though both still change
+ACK_TIMEOUT_S = 0.75  # for gateways to acknowledge a host's new state, before its call is answered
+SAVE_INTERVAL_S = 1.0  # between checks whether the register on disk is out of date
+RESTORED_AGE_HEARTBEATS = 1.5  # assumed silence of hosts restored from disk, in heartbeat intervals
+SEED_TIMEOUT_S = 0.4  # for the first answer of a seed; short, because the seed may be down
+MAX_MISMATCH_S = 2.0  # a register that has differed for this long is pulled even while both still change
 
 
 class HostReplication:
+    """Handles hosts' calls and keeps this gateway's register equal to those of the others."""
+
     def __init__(
         self, runtime: Runtime, membership: Membership, register: Register, retire: Callable[[Row], None]
     ) -> None:
-        """`retire`: no new connection goes to a life that leaves."""
+        """`retire`: called with each row that drains or is gone; no new connection to it is kept."""
         self.runtime, self.membership, self.register, self.retire = runtime, membership, register, retire
         self.core: Core
         self.pulling: set[str] = set()
-        self.mismatch: dict[str, tuple[float, float, int]] = {}  # since when, and since when in this way
-        self.pulled = False
-        self.hosts_put = 0
+        # By address: since when, since when with this difference, and the XOR of both digests.
+        self.mismatch: dict[str, tuple[float, float, int]] = {}
+        self.pulled = False  # the register was pulled once after the start
+        self.saved_version = 0  # of the register on disk
 
     def merge_rows(self, rows: list[Row]) -> int:
-        """Takes lives that another gateway tells of; how many were news."""
+        """Merges rows from another gateway; returns how many changed the register."""
         now, news = self.runtime.clock.monotonic(), 0
         for row in rows:
             if self.register.merge(now, row):
@@ -47,13 +54,16 @@
         return news
 
     def compare(self, now: float, ip: str, digest: int, unknown: bool) -> None:
-        """Another gateway's digest of the register; `unknown`: it has told of a life that is not known here."""
+        """Compares another gateway's digest of the register, and pulls its register after a lasting mismatch.
+
+        `unknown`: it reported a host that is not known here.
+        """
         if digest == self.register.digest and not unknown:
             self.mismatch.pop(ip, None)
             return
         if len(self.mismatch) > MAX_GATEWAYS:
             self.mismatch.clear()
-        # Hosts that have just come are on their way to all: what is missed is what still differs later.
+        # New hosts may still be on their way to this gateway: only a mismatch that lasts means a lost update.
         first, since, before = self.mismatch.get(ip, (now, now, 0))
         both = digest ^ self.register.digest
         since = since if both == before else now
@@ -62,31 +72,34 @@
         if late and ip not in self.pulling and len(self.pulling) < 2:
             self.runtime.spawn(self.pull(ip))
 
-    async def pull(self, ip: str, patience: float = 1.0) -> bool:
+    async def pull(self, ip: str, timeout: float = 1.0) -> bool:
+        """Merges the parts in which another gateway's register differs. False if it does not answer in time."""
         self.pulling.add(ip)
         try:
             link = self.runtime.peers.link(ip)
             number = self.runtime.peers.next()
             parts = tuple(self.register.parts) if self.register.entries else ()
-            answer = await link.request(number, Pull(number, parts), patience)
+            answer = await link.request(number, Pull(number, parts), timeout)
             if isinstance(answer, Rows):
                 if news := self.merge_rows(answer.rows):
                     log_event(Event.REGISTER_MENDED, ip=ip, news=news)
-                    self.mismatch.clear()  # with others too it may have been this
+                    self.mismatch.clear()  # this may have resolved the mismatches with others too
                 return True
             return False
         finally:
             self.pulling.discard(ip)
 
     async def pull_at_start(self) -> None:
-        """One that starts asks others for all hosts, until one answers: a seed at once, whose disk remembers
-        them; then whom membership knows."""
+        """Pulls the register after the start, until a gateway answers.
+
+        Seeds are asked first, since they may have restored hosts from disk, then members.
+        """
         settings, chance = self.runtime.settings, self.runtime.chance
         seeds = [ip for ip in settings.seeds if ip != settings.Ip]
         chance.shuffle(seeds)
         while not self.pulled:
             if seeds:
-                answered = await self.pull(seeds.pop(), SEED_PATIENCE)
+                answered = await self.pull(seeds.pop(), SEED_TIMEOUT_S)
                 self.pulled = answered and bool(self.register.entries)
             others = [member.address[0] for member in self.membership.others()]
             if others and not self.pulled:
@@ -96,15 +109,15 @@
                 await asyncio.sleep(0.1)
 
     async def heartbeat(self, row: Row) -> bool:
-        """A host's beat; whether it may be acknowledged."""
+        """Handles a host's heartbeat; returns whether it may be acknowledged."""
         now = self.runtime.clock.monotonic()
         news = self.register.merge(now, row, direct=True)
         if not news:
             life = self.register.entries.get(row.id)
             if not row.state:
                 return True
-            # One that says again that it leaves was not told that it is known: it is told to all again, and if
-            # it is known here to be gone, that is.
+            # A host that repeats that it leaves got no acknowledgement: its state is sent to all gateways again,
+            # as gone if it is known to be gone here.
             row = life.row if life else row
         if row.state:
             self.retire(row)
@@ -114,7 +127,10 @@
         return True
 
     async def deregister(self, name: str) -> bool:
-        """A host says that it ends. One that is not known here may be to others, who take it for gone."""
+        """Handles a host's deregistration; returns whether it may be acknowledged.
+
+        A host that is not known here is reported as gone as well, because other gateways may know it.
+        """
         row = self.register.mark_gone(self.runtime.clock.monotonic(), name)
         if row is None:
             return await self.replicate(gone_row(name))
@@ -122,17 +138,20 @@
         return await self.replicate(row)
 
     async def replicate(self, row: Row) -> bool:
-        """Tells all gateways; whether enough of the core know, so that it cannot be forgotten with this
-        one. A gateway that knows no core cannot tell, and acknowledges nothing."""
-        # A host that is new to a large fleet is not worth a connection to each: digests find who missed it.
+        """Sends a row to the other gateways; returns whether a majority of the core has it.
+
+        With a majority the row survives the loss of this gateway. A gateway that knows no core cannot tell and
+        returns False.
+        """
+        # In a large fleet no connection to each gateway is made for a new host: digests reveal who missed it.
         told = [] if self.membership.large and not row.state else self.membership.others()
         others = [m.address[0] for m in told]
         core = set(self.core.known()[2])
         noted: set[str] = {self.runtime.settings.Ip}
-        # By datagram first, to all: what is lost, and whether it was noted, is what the connections are for.
+        # A datagram to all first. The connections make up for lost datagrams and bring the acknowledgements.
         self.runtime.peers.cast_all(*self.membership.zones(), LIFE, encode(Rows(0, [row])))
         until = self.runtime.clock.monotonic() + (
-            self.runtime.settings.Bounds.DrainMs / 1000 if row.state else DRAINED
+            self.runtime.settings.Bounds.DrainMs / 1000 if row.state else ACK_TIMEOUT_S
         )
 
         async def one(ip: str) -> None:
@@ -147,9 +166,10 @@
         self.runtime.tasks.update(work)
         for task in work:
             task.add_done_callback(self.runtime._done)
-        # Those that have not noted it by then are told again until the host may not be used any more.
+        # Gateways that have not acknowledged by then are retried in the background until the host may not be
+        # used any more.
         if work:
-            await asyncio.wait(work, timeout=DRAINED)
+            await asyncio.wait(work, timeout=ACK_TIMEOUT_S)
         if row.state:
             log_event(
                 Event.HOST_LEAVES,
@@ -162,21 +182,23 @@
         return 2 * len(core & noted) > len(core)
 
     def restore(self, rows: list[Row]) -> None:
-        """Hosts as the disk has them: passed over again soon, if no beat of theirs comes."""
+        """Merges hosts restored from disk; they expire soon unless a heartbeat arrives."""
         now = self.runtime.clock.monotonic()
         for row in rows:
             if not row.state:
-                self.register.merge(now, msgspec.structs.replace(row, age=REMEMBERED * self.register.beat))
-        self.hosts_put = self.register.version
+                self.register.merge(
+                    now, msgspec.structs.replace(row, age=RESTORED_AGE_HEARTBEATS * self.register.beat)
+                )
+        self.saved_version = self.register.version
 
     async def save_periodically(self) -> None:
-        """Puts the register on disk when it has changed."""
+        """Saves the register to disk whenever it has changed."""
         while True:
-            await asyncio.sleep(KEEP_HOSTS)
-            if self.core.store and self.register.version != self.hosts_put and not self.core.disk_failed:
+            await asyncio.sleep(SAVE_INTERVAL_S)
+            if self.core.store and self.register.version != self.saved_version and not self.core.disk_failed:
                 version, rows = self.register.version, self.register.rows(self.runtime.clock.monotonic())
                 try:
                     await self.runtime.loop.run_in_executor(self.core.disk, self.core.store.save_hosts, rows)
                 except (sqlite3.Error, OSError):
-                    continue  # a help alone: what must be on disk tells of a disk in trouble
-                self.hosts_put = version
+                    continue  # best effort; disk failures are reported by the writes of the replicated log
+                self.saved_version = version
--- a/coralvale/cluster/server/coordination.py
+++ b/coralvale/cluster/server/coordination.py
@@ -1,4 +1,4 @@
-"""Applications' calls for locks, numbers, keys and watches: settled here by the leader, else passed on to it."""
+"""Applications' calls for locks, numbers, keys and watches: handled here by the leader, else forwarded to it."""
 
 from __future__ import annotations
 
@@ -44,28 +44,33 @@
 from coralvale.cluster.server.peers import Frames
 from coralvale.cluster.server.runtime import Runtime
 
-PATIENCE = 0.95  # s for one call; callers turn elsewhere after a second of silence
-HOP = 0.03  # s less at the leader than at the gateway that passes a call on
+CALL_TIMEOUT_S = 0.95  # callers turn to another gateway after one second without an answer
+FORWARDING_MARGIN_S = 0.03  # by which the leader's timeout is shorter than that of the forwarding gateway
 
 
 class Coordination:
+    """Answers coordination calls, and logs and counts what happens to them."""
+
     def __init__(self, runtime: Runtime, core: Core) -> None:
         self.runtime, self.core, self.metrics = runtime, core, CoordinationMetrics()
         self.stopping: asyncio.Future[None] = runtime.loop.create_future()
 
     def stop(self) -> None:
-        """This process is being stopped: watches that wait here are answered, and none waits any more."""
+        """Answers all waiting watches, because this process is being stopped; later ones do not wait."""
         if not self.stopping.done():
             self.stopping.set_result(None)
 
     async def call(self, call: Call) -> StatusAndBody:
-        """An application's call to this gateway."""
+        """Handles an application's call to this gateway."""
         answered = await (self._watch(call) if isinstance(call, Watch) else self._call(call))
         self.metrics.record_answer(call, answered[0])
         return answered
 
     async def _watch(self, call: Watch) -> StatusAndBody:
-        """A watch's answer, at once if this process is being stopped: it may be resumed at any other gateway."""
+        """Waits for a watch's answer, but not while this process is being stopped.
+
+        The caller can resume the watch at any other gateway.
+        """
         waiting = self.runtime.loop.create_task(self._call(call))
         await asyncio.wait((waiting, self.stopping), return_when=asyncio.FIRST_COMPLETED)
         if waiting.done():
@@ -74,36 +79,36 @@
         return answer(Unavailable("this gateway is being stopped"))
 
     async def _call(self, call: Call) -> StatusAndBody:
-        patience = _patience(call)
+        timeout = _timeout(call)
         if self.core.leads():
-            return answer(await self._settle(call, patience))
+            return answer(await self._settle(call, timeout))
         _, leader, _ = self.core.known()
         if not leader or leader == self.runtime.settings.Ip:
             return answer(Unavailable("no leader is known"))
         number = self.runtime.peers.next()
         request = Coordinate(number, call)
-        reply = await self.runtime.peers.link(leader).request(number, request, patience)
+        reply = await self.runtime.peers.link(leader).request(number, request, timeout)
         if isinstance(reply, Reply):
             return reply.status, reply.body
         return answer(Unknown("the leader does not answer"))
 
     async def handle_forwarded(self, frames: Frames, request: Coordinate) -> None:
-        """A call that another gateway passed on; it is not passed on again."""
+        """Handles a call that another gateway forwarded; it is not forwarded again."""
         if self.core.leads():
-            outcome = await self._settle(request.call, _patience(request.call) - HOP)
+            outcome = await self._settle(request.call, _timeout(request.call) - FORWARDING_MARGIN_S)
         else:
             outcome = Unavailable("not the leader")
         frames.send(Reply(request.number, *answer(outcome)))
 
-    async def _settle(self, call: Call, patience: float) -> Outcome:
-        """By the leader."""
+    async def _settle(self, call: Call, timeout: float) -> Outcome:
+        """Handles a call as the leader."""
         begun = self.runtime.clock.monotonic()
-        outcome = await self.core.coordinate(call, patience)
+        outcome = await self.core.coordinate(call, timeout)
         self.metrics.record_outcome(call, outcome, self.runtime.clock.monotonic() - begun)
         return outcome
 
     def handle_notice(self, notice: Notice) -> None:
-        """What the log has brought of locks that left their holder without its doing."""
+        """Logs that a lock left its holder without the holder's doing, as delivered by the replicated log."""
         match notice:
             case TakenOver():
                 self.metrics.takeovers += 1
@@ -112,21 +117,21 @@
                 log_event(Event.LOCK_EXPIRED_BY_HAND, **attrs.asdict(notice))
 
     def tick(self, now: float) -> None:
-        """Once a second: rates, and which bounds were reached."""
+        """Samples the rates and logs which limits were reached; called once a second."""
         desk = self.core.coordination_desk
         self.metrics.sample_rates(now, desk.turns if desk else 0)
-        for reason, count in self.metrics.full.items():
+        for reason, count in self.metrics.limit_hits.items():
             log_event(Event.COORDINATION_FULL, count=count, reason=reason)
-        self.metrics.full.clear()
+        self.metrics.limit_hits.clear()
 
 
-def _patience(call: Call) -> float:
-    """Seconds within which a call is answered."""
-    return PATIENCE + (call.poll_ms / 1000 if isinstance(call, Watch) else 0.0)
+def _timeout(call: Call) -> float:
+    """Timeout of a call in seconds."""
+    return CALL_TIMEOUT_S + (call.poll_ms / 1000 if isinstance(call, Watch) else 0.0)
 
 
 def answer(outcome: Outcome) -> StatusAndBody:
-    """Status and body of an outcome."""
+    """HTTP status and body for an outcome."""
     match outcome:
         case Granted():
             return _body({"fence": outcome.fence})
--- a/coralvale/cluster/server/coordination_api.py
+++ b/coralvale/cluster/server/coordination_api.py
@@ -1,6 +1,6 @@
-"""The wire of applications and of operators: HTTP calls, as PROTOCOL has them, to typed calls.
+"""Parses coordination calls of applications and operators, as PROTOCOL defines them, from HTTP to typed calls.
 
-Operators have two calls of their own: `coordination.list` (`of`: locks, numbers or keys) and `locks.expire`.
+Two calls are for operators: `coordination.list` (`of`: locks, numbers or keys) and `locks.expire`.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 from coralvale.cluster.coordination.model import NameKind as Listable
 from coralvale.cluster.errors import Kind, Problem
 
-MAX_REVISION = 2**53  # what JSON's numbers hold exactly; fences too
+MAX_REVISION = 2**53  # also of fences: the largest range of integers that JSON numbers hold exactly
 
 
 class AcquireBody(msgspec.Struct):
@@ -61,7 +61,7 @@
 
 
 class ListBody(msgspec.Struct):
-    """`After`: the last name of the page before."""
+    """`After`: the last name of the previous page; `Most`: page size."""
 
     After: str = ""
     Prefix: str = ""
@@ -152,7 +152,7 @@
 
 
 def read_call(call: str, name: str, body: bytes) -> Call | Problem:
-    """A call of `READERS`."""
+    """Parses the RPC `call`, one of `READERS`; `name` is its `of` parameter."""
     try:
         return READERS[call](_name(name, "of"), body)
     except (msgspec.DecodeError, ValueError, RecursionError) as error:
@@ -160,7 +160,7 @@
 
 
 def read_number(name: str) -> Call | Problem:
-    """`POST /numbers/ID`."""
+    """Parses `POST /numbers/ID`."""
     try:
         return NextNumber(_name(name, "ID"))
     except ValueError as error:
@@ -168,17 +168,17 @@
 
 
 def read_watch(group: str, query: str) -> Call | Problem:
-    """`GET /watch/ID?after=REVISION&PollMs=MS`."""
+    """Parses `GET /watch/ID?after=REVISION&PollMs=MS`."""
     fields = parse_qs(query, keep_blank_values=True)
     try:
-        after = _whole(fields.get("after", ["0"])[0], "after", MAX_REVISION)
-        poll_ms = _whole(fields.get("PollMs", ["0"])[0], "PollMs", MAX_REVISION)
+        after = _whole_number(fields.get("after", ["0"])[0], "after", MAX_REVISION)
+        poll_ms = _whole_number(fields.get("PollMs", ["0"])[0], "PollMs", MAX_REVISION)
         return Watch(_name(group, "ID"), after, min(poll_ms, MAX_POLL_MS))
     except ValueError as error:
         return Problem(Kind.BAD_REQUEST, str(error))
 
 
-def _whole(text: str, field: str, most: int) -> int:
-    if not text.isascii() or not text.isdigit() or len(text) > 16 or int(text) > most:
-        raise ValueError(f"{field}: expected a whole number up to {most}")
+def _whole_number(text: str, field: str, maximum: int) -> int:
+    if not text.isascii() or not text.isdigit() or len(text) > 16 or int(text) > maximum:
+        raise ValueError(f"{field}: expected a whole number up to {maximum}")
     return int(text)
--- a/coralvale/cluster/server/coordination_figures.py
+++ b/coralvale/cluster/server/coordination_figures.py
@@ -1,6 +1,6 @@
-"""What a gateway tells of coordination: what its replica holds, answers to its callers, calls that it settled.
+"""Metrics of coordination: sizes of the replica, answers to callers, and calls handled as the leader.
 
-All names come from the program's own types, so the number of series is bounded; no lock, key or owner is there.
+All labels are names of types in the code, never of locks, keys or owners, so the number of series is bounded.
 """
 
 from __future__ import annotations
@@ -14,44 +14,46 @@
 from coralvale.cluster.coordination.model import Call, Full, Outcome, Watch
 from coralvale.cluster.coordination.state import CoordinationState
 
-DELAYS_MS = (2, 5, 10, 20, 40, 80, 160, 320, 640, 1000)  # upper ends of the histogram's buckets
+DELAYS_MS = (2, 5, 10, 20, 40, 80, 160, 320, 640, 1000)  # upper bounds of the histogram's buckets
 
 
 class CoordinationMetrics:
-    """Counts since the process began, and rates of the last second."""
+    """Counts since the process started, and rates over the last second."""
 
     def __init__(self) -> None:
-        self.answers: Counter[tuple[str, int]] = Counter()  # to callers of this gateway, by call and status
-        self.outcomes: Counter[tuple[str, str]] = Counter()  # settled here as the leader, by call and outcome
-        self.delays = [0] * (len(DELAYS_MS) + 1)  # calls by bucket, the last one without an upper end
-        self.delay_sum = 0.0  # s
+        self.answers: Counter[tuple[str, int]] = Counter()  # to callers of this gateway: (call, status)
+        self.outcomes: Counter[tuple[str, str]] = Counter()  # handled here as the leader: (call, outcome)
+        self.delays = [0] * (len(DELAYS_MS) + 1)  # calls by bucket; the last has no upper bound
+        self.delay_sum = 0.0  # seconds
         self.takeovers = 0
-        self.full: Counter[str] = Counter()  # calls past a bound since the last look, by its reason
-        self.rates: dict[str, float] = {"turns": 0.0, "calls": 0.0}  # a second
-        self._looked: tuple[float, int, int] | None = None  # when, turns and calls by then
+        self.limit_hits: Counter[str] = Counter()  # refused calls since the last log line, by reason
+        self.rates: dict[str, float] = {"turns": 0.0, "calls": 0.0}  # per second
+        self._last_sample: tuple[float, int, int] | None = None  # time, turns and calls at the last sample
 
     def record_answer(self, call: Call, status: int) -> None:
-        """An answer of this gateway to its caller, whoever settled the call."""
+        """Counts an answer of this gateway to its caller, whichever gateway handled the call."""
         self.answers[metric_name(call), status] += 1
 
     def record_outcome(self, call: Call, outcome: Outcome, seconds: float) -> None:
-        """A call that this gateway settled as the leader. A watch waits as long as its caller asked it to, so
-        its time is no delay."""
+        """Counts a call that this gateway handled as the leader.
+
+        The duration of a watch is not counted as a delay, because it waits as long as its caller asked.
+        """
         self.outcomes[metric_name(call), metric_name(outcome)] += 1
         if isinstance(outcome, Full):
-            self.full[outcome.reason] += 1
+            self.limit_hits[outcome.reason] += 1
         if not isinstance(call, Watch):
             self.delays[bisect_left(DELAYS_MS, seconds * 1000)] += 1
             self.delay_sum += seconds
 
     def sample_rates(self, now: float, turns: int) -> None:
-        """Once a second. `turns`: that the desk has begun."""
+        """Updates the rates; called once a second. `turns`: those that the call handler has started so far."""
         calls = self.outcomes.total()
-        if self._looked:
-            at, turns_then, calls_then = self._looked
+        if self._last_sample:
+            at, turns_then, calls_then = self._last_sample
             seconds = max(1e-3, now - at)
             self.rates = {"turns": (turns - turns_then) / seconds, "calls": (calls - calls_then) / seconds}
-        self._looked = (now, turns, calls)
+        self._last_sample = (now, turns, calls)
 
     def status(self, state: CoordinationState, desk: CoordinationHandler | None) -> dict[str, Any]:
         """For `myrtlehatch status`."""
@@ -69,8 +71,10 @@
         }
 
     def delay_ms(self, share: float) -> float:
-        """The upper end of the bucket in which this share of the calls is reached, of the last but one in the
-        last; 0 without calls."""
+        """Quantile of the delays in ms: the upper bound of the bucket that contains the quantile `share`.
+
+        For the last bucket, which has none, the upper bound of the one before; 0 without calls.
+        """
         wanted = share * sum(self.delays)
         if not wanted:
             return 0.0
@@ -79,7 +83,7 @@
 
 
 def replica_sizes(state: CoordinationState, desk: CoordinationHandler | None) -> dict[str, int]:
-    """Sizes of what a replica holds and of what waits at its desk; none of it without a replica."""
+    """Sizes of the replica's state and of its call handler's queues; the latter are 0 without a handler."""
     return {
         "locks": len(state.locks),
         "numbers": len(state.numbers),
@@ -95,5 +99,5 @@
 
 
 def metric_name(value: Any) -> str:  # noqa: ANN401
-    """The name of a call or an outcome in figures."""
+    """The label of a call or an outcome in metrics."""
     return type(value).__name__.lower()
--- a/coralvale/cluster/server/core.py
+++ b/coralvale/cluster/server/core.py
@@ -23,7 +23,7 @@
 from coralvale.cluster.registry.register import Row
 from coralvale.cluster.server.messages import ConsensusMessage, Nominate, Nominee
 from coralvale.cluster.server.runtime import Runtime
-from coralvale.cluster.share_desk import ShareAnswer, ShareClaim, ShareDesk
+from coralvale.cluster.share_desk import ShareAnswer, ShareClaim, ShareClaimHandler
 from coralvale.cluster.storage.store import DamagedStoreError, Store, StoreError, set_aside
 
 RETRY_DISK = 0.25  # s until a write that failed is tried again
@@ -55,7 +55,7 @@
         self.pending: deque[Work] = deque()
         self.acting = False
         self.desk: ChangeRequestHandler | None = None
-        self.share_desk: ShareDesk | None = None
+        self.share_desk: ShareClaimHandler | None = None
         self.coordination_desk: CoordinationHandler | None = None
         self.notice: Callable[[Notice], None] = lambda notice: None  # told of locks that left their holder
         self.founding = CoreBootstrap(
@@ -221,7 +221,7 @@
         self.replica = Replica(me, state, timing, self.runtime.chance, self.runtime.clock.monotonic())
         self.desk = ChangeRequestHandler(self.replica, self.history)
         now = self.runtime.clock.monotonic()
-        self.share_desk = ShareDesk(
+        self.share_desk = ShareClaimHandler(
             self.replica, self.shares, self.runtime.peers.next, now, s.Bounds.QuotaWindowS
         )
         self.coordination_desk = CoordinationHandler(
--- a/coralvale/cluster/server/ctl.py
+++ b/coralvale/cluster/server/ctl.py
@@ -1,4 +1,4 @@
-"""The server for hosts, the operator and applications, and the one that says whether this gateway is ready."""
+"""The HTTP server for calls of hosts, operators and applications, and for the readiness check."""
 
 from __future__ import annotations
 
@@ -20,17 +20,17 @@
 from coralvale.net.config import Address
 from coralvale.net.server import Bounds, Exchange, Server
 
-BASE = b"x-myrtlehatch-base-version"
+BASE_VERSION = b"x-myrtlehatch-base-version"
 STATES = {"up": State.UP, "draining": State.DRAINING}
-WORD = re.compile(r"[!-~]{1,128}")
-MOST_BODY = 64 * 1024 * 1024
-MOST = 512  # connections
-WATCH, NUMBERS = "/watch/", "/numbers/"
+HOST_ID_PATTERN = re.compile(r"[!-~]{1,128}")
+MAX_BODY_BYTES = 64 * 1024 * 1024
+MAX_CONNECTIONS = 512
+WATCH_PATH, NUMBERS_PATH = "/watch/", "/numbers/"
 JSON_BODIES = {200, 412}  # statuses whose answers have a body that callers read
 
 
 class HeartbeatBody(msgspec.Struct):
-    """A host's call, as PROTOCOL has it."""
+    """Body of a host's heartbeat, as PROTOCOL defines it."""
 
     Svc: str
     Address: str
@@ -42,14 +42,15 @@
     Calls: int = 0
 
 
-_beat = msgspec.json.Decoder(HeartbeatBody).decode
+_decode_heartbeat = msgspec.json.Decoder(HeartbeatBody).decode
 
 
 def read_heartbeat(name: str, body: bytes) -> Row | Problem:
-    if not WORD.fullmatch(name):
+    """Parses the heartbeat of the host `name`. A state that is not known counts as draining."""
+    if not HOST_ID_PATTERN.fullmatch(name):
         return Problem(Kind.BAD_REQUEST, "of: expected a host's id")
     try:
-        beat = _beat(body)
+        beat = _decode_heartbeat(body)
         ip, port = parse_address(beat.Address)
     except (msgspec.DecodeError, ValueError, UnicodeDecodeError) as error:
         return Problem(Kind.BAD_REQUEST, str(error))
@@ -73,7 +74,7 @@
 
 
 class ControlBackend:
-    """What the calls ask for; the node carries it out."""
+    """The operations behind the calls; `GatewayNode` implements them."""
 
     heartbeat: Callable[[Row], Awaitable[bool]]
     deregister: Callable[[str], Awaitable[bool]]
@@ -86,15 +87,15 @@
 
 
 class Control:
-    """Takes the calls; it is also what the server asks for readiness."""
+    """Routes calls to the backend, and reports readiness to the server."""
 
     def __init__(self, backend: ControlBackend) -> None:
         self.backend = backend
         self.tasks: set[asyncio.Task[None]] = set()
         self.loop = asyncio.get_running_loop()
         self.handlers: dict[str, Handler] = {
-            "instances.heartbeat": self._beat,
-            "instances.deregister": self._leave,
+            "instances.heartbeat": self._heartbeat,
+            "instances.deregister": self._deregister,
             "config.replace": self._replace,
             "config.update": self._update,
             "config.read": self._read,
@@ -107,18 +108,19 @@
         return self.backend.is_ready()
 
     def take(self, exchange: Exchange, fields: Any) -> None:  # noqa: ANN401
-        raise AssertionError("the platform's own requests do not come here")
+        raise AssertionError("ControlServer does not call take()")
 
     def turned_away(self, exchange: Exchange, status: int, why: str) -> None: ...
 
     def client_left(self, exchange: Exchange) -> None: ...
 
     def call(self, exchange: Exchange) -> None:
+        """Handles one HTTP request, and answers it when its task is done."""
         path, _, query = exchange.target.decode("latin-1").partition("?")
         if path == "/readyz":
             exchange.reply(200 if self.ready else 503)
             return
-        work = self._work(exchange, path, query)
+        work = self._route(exchange, path, query)
         if work is None:
             exchange.reply(404)
             return
@@ -126,14 +128,14 @@
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
-    def _work(self, exchange: Exchange, path: str, query: str) -> Coroutine[Any, Any, StatusAndBody] | None:
-        """What carries a call out; None where there is no such call."""
-        if exchange.method == b"GET" and path.startswith(WATCH):
-            return self._coordinate(read_watch(unquote(path[len(WATCH) :]), query))
+    def _route(self, exchange: Exchange, path: str, query: str) -> Coroutine[Any, Any, StatusAndBody] | None:
+        """The coroutine that handles a call; None if there is no such call."""
+        if exchange.method == b"GET" and path.startswith(WATCH_PATH):
+            return self._coordinate(read_watch(unquote(path[len(WATCH_PATH) :]), query))
         if exchange.method != b"POST":
             return None
-        if path.startswith(NUMBERS):
-            return self._coordinate(read_number(unquote(path[len(NUMBERS) :])))
+        if path.startswith(NUMBERS_PATH):
+            return self._coordinate(read_number(unquote(path[len(NUMBERS_PATH) :])))
         if path != "/rpc":
             return None
         fields = parse_qs(query)
@@ -153,13 +155,13 @@
             return call.status, call.reason.encode()
         return await self.backend.coordinate(call)
 
-    async def _beat(self, exchange: Exchange, of: str) -> StatusAndBody:
+    async def _heartbeat(self, exchange: Exchange, of: str) -> StatusAndBody:
         row = read_heartbeat(of, exchange.body)
         if isinstance(row, Problem):
             return row.status, row.reason.encode()
         return (200, b"{}") if await self.backend.heartbeat(row) else (503, b"")
 
-    async def _leave(self, exchange: Exchange, of: str) -> StatusAndBody:
+    async def _deregister(self, exchange: Exchange, of: str) -> StatusAndBody:
         return (200, b"{}") if await self.backend.deregister(of) else (503, b"")
 
     async def _replace(self, exchange: Exchange, of: str) -> StatusAndBody:
@@ -169,7 +171,7 @@
         return await self._change(exchange, whole=False)
 
     async def _change(self, exchange: Exchange, whole: bool) -> StatusAndBody:
-        base = exchange.fields.get(BASE, b"").strip()
+        base = exchange.fields.get(BASE_VERSION, b"").strip()
         if not base.isdigit() or len(base) >= 19:
             return 400, b"X-Myrtlehatch-Base-Version: expected a whole number"
         return await self.backend.change_configuration(Change(int(base), whole, exchange.body))
@@ -185,12 +187,18 @@
 
 
 class ControlServer(Server):
-    once = {BASE, b"content-length", b"transfer-encoding"}
+    """Accepts connections of hosts, operators and applications and passes their requests to a `Control`."""
 
-    def __init__(self, at: Address, control: Control, clock: Clock, most: int = MOST) -> None:
-        super().__init__(at, None, control, most, 64, most_bodies=2 * MOST_BODY, clock=clock)
+    once = {BASE_VERSION, b"content-length", b"transfer-encoding"}
+
+    def __init__(
+        self, address: Address, control: Control, clock: Clock, max_connections: int = MAX_CONNECTIONS
+    ) -> None:
+        super().__init__(
+            address, None, control, max_connections, 64, most_bodies=2 * MAX_BODY_BYTES, clock=clock
+        )
         self.control = control
-        self.bounds = Bounds(body=MOST_BODY, partial=5.0, idle=30.0)
+        self.bounds = Bounds(body=MAX_BODY_BYTES, partial=5.0, idle=30.0)
 
     def request(self, exchange: Exchange) -> None:
         self.control.call(exchange)
--- a/coralvale/cluster/server/edge.py
+++ b/coralvale/cluster/server/edge.py
@@ -1,4 +1,7 @@
-"""The clients' gate: reads requests, carries tries to hosts, writes answers. `routing` decides."""
+"""The HTTP server for clients: parses requests, forwards attempts to hosts and returns answers.
+
+Decisions about routes, quotas, instances and retries are made by `coralvale.cluster.routing`.
+"""
 
 from __future__ import annotations
 
@@ -20,29 +23,43 @@
 from coralvale.net.server import NOT_PASSED_ON, Exchange, Server, nominated
 from coralvale.net.transport import Answer, Attempt, Outgoing, Source
 
-ID, LEFT = b"x-myrtlehatch-request-id", b"x-myrtlehatch-time-left"
-TENANT, WANT, AUTH = b"x-myrtlehatch-tenant", b"x-myrtlehatch-want-instance", b"authorization"
-STRIPPED = NOT_PASSED_ON | {LEFT, TENANT, WANT, AUTH}
-NEVER = {ID, LEFT, TENANT, WANT, AUTH, b"host", b"content-length", b"transfer-encoding"}
-BEARER = re.compile(rb"(?i)bearer +(\S+)")
-WORD = re.compile(rb"[!-~]{1,128}")
-NUMBER = re.compile(rb"\d{1,9}(\.\d*)?")
-LONGEST = 600.0  # s that a request without a time of its own may take: the operator's time-out binds
+REQUEST_ID, TIME_LEFT = b"x-myrtlehatch-request-id", b"x-myrtlehatch-time-left"
+TENANT, WANT_INSTANCE, AUTHORIZATION = (
+    b"x-myrtlehatch-tenant",
+    b"x-myrtlehatch-want-instance",
+    b"authorization",
+)
+NOT_FORWARDED = NOT_PASSED_ON | {TIME_LEFT, TENANT, WANT_INSTANCE, AUTHORIZATION}
+# A client cannot have these removed by naming them in Connection.
+NOT_NOMINABLE = {
+    REQUEST_ID,
+    TIME_LEFT,
+    TENANT,
+    WANT_INSTANCE,
+    AUTHORIZATION,
+    b"host",
+    b"content-length",
+    b"transfer-encoding",
+}
+BEARER_PATTERN = re.compile(rb"(?i)bearer +(\S+)")
+REQUEST_ID_PATTERN = re.compile(rb"[!-~]{1,128}")
+TIME_LEFT_PATTERN = re.compile(rb"\d{1,9}(\.\d*)?")
+MAX_REQUEST_S = 600.0  # deadline of requests without a time left; the route's configured timeout applies too
 
 
 class Request:
-    """A client's request while it is in hand."""
+    """A client's request in progress, its current attempt and its timers."""
 
     __slots__ = (
-        "copy",
+        "instance",
         "exchange",
         "headers",
         "job",
-        "left",
+        "client_left",
         "number",
-        "patience",
+        "silence_timer",
         "attempt",
-        "timer",
+        "deadline_timer",
         "sent_at",
         "done",
     )
@@ -50,22 +67,27 @@
     def __init__(self, exchange: Exchange, job: Job, headers: list[tuple[bytes, bytes]]) -> None:
         self.exchange, self.job, self.headers = exchange, job, headers
         self.attempt: HostAttempt | None = None
-        self.copy: Instance | None = None
-        self.timer: asyncio.TimerHandle | None = None
-        self.patience: asyncio.TimerHandle | None = None
+        self.instance: Instance | None = None
+        self.deadline_timer: asyncio.TimerHandle | None = None
+        self.silence_timer: asyncio.TimerHandle | None = None
         self.number = 0
         self.sent_at = 0.0
-        self.left = self.done = False
+        self.client_left = self.done = False
 
 
 class EdgeServer(Server):
-    once = {ID, LEFT, AUTH, b"host", b"content-length", b"transfer-encoding"}
+    """Accepts clients' connections and passes their requests to an `Edge`."""
+
+    once = {REQUEST_ID, TIME_LEFT, AUTHORIZATION, b"host", b"content-length", b"transfer-encoding"}
 
-    def __init__(self, address: Address, edge: Edge, most: int, bodies: int, clock: Clock) -> None:
-        super().__init__(address, None, edge, most, 32, most_bodies=bodies, clock=clock)
+    def __init__(
+        self, address: Address, edge: Edge, max_connections: int, max_body_bytes: int, clock: Clock
+    ) -> None:
+        super().__init__(address, None, edge, max_connections, 32, most_bodies=max_body_bytes, clock=clock)
         self.edge = edge
 
     def turned_away_by_head(self, exchange: Exchange) -> int:
+        """The status that refuses a request bound to another region before its body is read, else 0."""
         router = self.edge.router
         if not router.home.routes:
             return 0
@@ -83,7 +105,7 @@
 
 
 class Edge:
-    """What is in hand at this gateway."""
+    """Handles the requests in progress at this gateway."""
 
     ready = True
 
@@ -94,29 +116,30 @@
         clock: Clock,
         run_quota_actions: Callable[[], None] = lambda: None,
     ) -> None:
-        """`run_quota_actions`: sends what the rate limiter asks of other gateways, for requests that wait."""
+        """`run_quota_actions`: sends the rate limiter's token requests to other gateways for waiting requests."""
         self.router, self.hosts, self.clock = router, hosts, clock
         self.run_quota_actions = run_quota_actions
-        self.waiting: dict[Job, Request] = {}  # for a token of their tenant's quota
+        self.waiting: dict[Job, Request] = {}  # requests that wait for a token of their tenant's quota
         self.loop = asyncio.get_running_loop()
         self.open: set[Request] = set()
         self.answers: dict[int, int] = {}
 
-    # The protocol of the server
+    # Handler protocol of `Server`
 
     def take(self, exchange: Exchange, fields: Any) -> None:  # noqa: ANN401
-        raise AssertionError("the platform's own requests do not come here")
+        raise AssertionError("EdgeServer does not call take()")
 
     def turned_away(self, exchange: Exchange, status: int, why: str) -> None:
         self.answers[status] = self.answers.get(status, 0) + 1
 
     def client_left(self, exchange: Exchange) -> None:
+        """Handles the loss of a client's connection before its answer was complete."""
         request: Request | None = exchange.held
         if request is None:
             return
-        request.left = True
-        # What may run once and was written runs to its end: its host would be broken off in the middle of it.
-        # What was not written never is: its body is gone with the client.
+        request.client_left = True
+        # A written request that may run only once is not cancelled, since that would interrupt the host while
+        # it runs. A request that is not written yet is dropped: its body was released with the connection.
         attempt = request.attempt
         being_written = attempt is not None and attempt.connection is not None
         if request.job.route.repeatable or not being_written:
@@ -124,16 +147,21 @@
             if attempt and not attempt.ended:
                 self.hosts.give_up(attempt, Outcome.CANCELLED)
 
-    # In
+    # Arrival of requests
 
     def handle_request(self, exchange: Exchange) -> None:
+        """Admits or refuses a request, and starts its first attempt unless it waits for a token."""
         now, fields = self.clock.monotonic(), exchange.fields
-        id_ = fields.get(ID, b"")
-        left = fields.get(LEFT, b"")
+        id_ = fields.get(REQUEST_ID, b"")
+        left = fields.get(TIME_LEFT, b"")
         host = fields.get(b"host", b"")
-        if not WORD.fullmatch(id_) or not host or (left and not NUMBER.fullmatch(left)):
+        if (
+            not REQUEST_ID_PATTERN.fullmatch(id_)
+            or not host
+            or (left and not TIME_LEFT_PATTERN.fullmatch(left))
+        ):
             return exchange.refuse(400, b"a request id, a host and the time left are needed\n")
-        key = BEARER.fullmatch(fields.get(AUTH, b""))
+        key = BEARER_PATTERN.fullmatch(fields.get(AUTHORIZATION, b""))
         path = exchange.target.partition(b"?")[0].decode("latin-1")
         job = self.router.admit(
             now,
@@ -141,14 +169,16 @@
             host.decode("latin-1").partition(":")[0].lower(),
             path,
             key[1].decode("latin-1") if key else None,
-            float(left) / 1000 if left else LONGEST,
+            float(left) / 1000 if left else MAX_REQUEST_S,
         )
         if isinstance(job, Problem):
             if RequestEvents.enabled:
                 why = f": {job.kind.value}"
                 log_event(Event.ANSWERED, id=id_.decode(), status=job.status, ms=0.0, why=why)
-            return self._say(exchange, job)
-        drop = STRIPPED | (nominated(fields[b"connection"]) - NEVER if b"connection" in fields else set())
+            return self._send_problem(exchange, job)
+        drop = NOT_FORWARDED | (
+            nominated(fields[b"connection"]) - NOT_NOMINABLE if b"connection" in fields else set()
+        )
         headers = [(n, v) for n, v in exchange.headers if n.lower() not in drop]
         if job.tenant:
             headers.append((b"X-Myrtlehatch-Tenant", job.tenant.encode()))
@@ -156,16 +186,16 @@
             log_event(Event.TAKEN, id=id_.decode(), route=job.route_name, tenant=job.tenant or "nobody")
         request = exchange.held = Request(exchange, job, headers)
         self.open.add(request)
-        request.timer = self.loop.call_later(job.deadline - now, self._time_up, request)
+        request.deadline_timer = self.loop.call_later(job.deadline - now, self._deadline_expired, request)
         if job.waits_for_token:
             self.waiting[job] = request
             self.run_quota_actions()
         else:
-            self._try(request)
+            self._start_attempt(request)
         return None
 
     def apply_decision(self, decision: Decided) -> None:
-        """What became of a request that waited for a token."""
+        """Handles the rate limiter's decision on a request that waited for a token."""
         job = decision.ticket
         assert isinstance(job, Job)
         request = self.waiting.pop(job, None)
@@ -173,93 +203,101 @@
         if request is None or request.done:
             self.router.refund(self.clock.monotonic(), job)
         elif problem:
-            self._end(request, problem)
+            self._fail(request, problem)
         else:
-            self._try(request)
+            self._start_attempt(request)
 
-    def _say(self, exchange: Exchange, problem: Problem) -> None:
+    def _send_problem(self, exchange: Exchange, problem: Problem) -> None:
         status = problem.status
         self.answers[status] = self.answers.get(status, 0) + 1
         exchange.reply(status, retry_after=problem.retry_after if problem.promises_not_run else 0.0)
 
-    # Tries
+    # Attempts
 
-    def _try(self, request: Request) -> None:
+    def _start_attempt(self, request: Request) -> None:
+        """Sends the request to the next instance, or fails it if there is none."""
         now, job = self.clock.monotonic(), request.job
-        copy = self.router.pick(now, job)
-        if isinstance(copy, Problem):
-            return self._end(request, copy)
-        row = copy.entry.row
-        request.copy, request.number, request.sent_at = copy, job.tries, now
+        instance = self.router.pick(now, job)
+        if isinstance(instance, Problem):
+            return self._fail(request, instance)
+        row = instance.entry.row
+        request.instance, request.number, request.sent_at = instance, job.tries, now
         if RequestEvents.enabled:
             log_event(Event.TRY, id=job.id.decode(), number=job.tries, host=row.id)
         attempt = request.attempt = HostAttempt(
             row.id,
             (row.ip, row.port),
-            partial(self._payload, request, copy),
-            partial(self._ended, request, copy, job.tries),
-            partial(self._stream, request),
+            partial(self._payload, request, instance),
+            partial(self._attempt_ended, request, instance, job.tries),
+            partial(self._begin_stream, request),
         )
         attempt.request = job.id.decode("latin-1")
         attempt.sent_at = now
-        if request.patience:
-            request.patience.cancel()
-            request.patience = None
+        if request.silence_timer:
+            request.silence_timer.cancel()
+            request.silence_timer = None
         if wait := self.router.silence_timeout(now, job):
-            request.patience = self.loop.call_later(wait, self._impatient, request, attempt)
+            request.silence_timer = self.loop.call_later(wait, self._silence_expired, request, attempt)
         self.hosts.send(attempt)
         return None
 
-    def _payload(self, request: Request, copy: Instance) -> Outgoing | None:
-        """Asked just before the write: the client may have left, or the host begun to leave."""
+    def _payload(self, request: Request, instance: Instance) -> Outgoing | None:
+        """Returns the request to write, or None if it must not be sent any more.
+
+        Called just before the write: while the attempt waited for a connection, the client may have disconnected,
+        the deadline may have passed, or the host may have started to drain.
+        """
         now, job, exchange = self.clock.monotonic(), request.job, request.exchange
-        if request.done or request.left or now >= job.deadline:
+        if request.done or request.client_left or now >= job.deadline:
             return None
-        if not self.router.instances.register.may_serve(copy.entry.id):
+        if not self.router.instances.register.may_serve(instance.entry.id):
             return None
+        # While it waited, the region binding may have changed, or the binding's lease may have expired.
         if self.router.home.routes and self.router.home.refusal(now, job.route_name):
-            return None  # what binds it changed while it waited for a connection
+            return None
         left = int((job.deadline - now) * 1000)
         headers = [
             *request.headers,
             (b"X-Myrtlehatch-Time-Left", b"%d" % max(1, left)),
-            (b"X-Myrtlehatch-Want-Instance", copy.entry.id.encode()),
+            (b"X-Myrtlehatch-Want-Instance", instance.entry.id.encode()),
         ]
         return Outgoing(exchange.method, exchange.target, headers, exchange.parts)
 
-    def _impatient(self, request: Request, attempt: HostAttempt) -> None:
-        if attempt.ended or request.attempt is not attempt or attempt.sink or not request.copy:
+    def _silence_expired(self, request: Request, attempt: HostAttempt) -> None:
+        """Gives up an attempt that got no answer in time, if its host counts as silent."""
+        if attempt.ended or request.attempt is not attempt or attempt.sink or not request.instance:
             return
-        if self.router.is_silent(self.clock.monotonic(), request.copy, request.sent_at):
+        if self.router.is_silent(self.clock.monotonic(), request.instance, request.sent_at):
             self.hosts.give_up(attempt, Outcome.TIMEOUT)
 
-    def _ended(
+    def _attempt_ended(
         self,
         request: Request,
-        copy: Instance,
+        instance: Instance,
         number: int,
         attempt: Attempt,
         outcome: Outcome,
         answer: Answer | None,
     ) -> None:
+        """Answers the client, streams on, retries or fails the request, by the outcome of an attempt."""
         now, job = self.clock.monotonic(), request.job
         status = answer.status if answer else 0
         if isinstance(answer, HostAnswer) and answer.load:
-            copy.update_load(now, *answer.load)
+            instance.update_load(now, *answer.load)
         if RequestEvents.enabled:
             ms = (now - request.sent_at) * 1000
-            name, told = job.id.decode(), outcome.value
+            name, result = job.id.decode(), outcome.value
             log_event(
                 Event.TRY_ENDED,
                 id=name,
                 number=number,
-                host=copy.entry.id,
-                outcome=told,
+                host=instance.entry.id,
+                outcome=result,
                 status=status,
                 ms=ms,
             )
         streaming = attempt.sink is not None
-        problem = self.router.try_ended(now, job, copy, number, outcome, status, now - request.sent_at)
+        problem = self.router.try_ended(now, job, instance, number, outcome, status, now - request.sent_at)
         if request.done:
             if streaming:
                 self._finish(request)
@@ -279,7 +317,7 @@
         ):
             self._finish(request)
             self.answers[status] = self.answers.get(status, 0) + 1
-            self._record(job, status)
+            self._log_bound_answer(job, status)
             if RequestEvents.enabled:
                 log_event(
                     Event.ANSWERED,
@@ -289,59 +327,66 @@
                     why="",
                 )
             request.exchange.reply(status, answer.body, answer.headers)
-        elif outcome is Outcome.CANCELLED or request.left:
+        elif outcome is Outcome.CANCELLED or request.client_left:
             self._finish(request)
         elif problem is not None and outcome is not Outcome.OK:
-            self._end(request, problem)
+            self._fail(request, problem)
         else:
-            self._try(request)
+            self._start_attempt(request)
 
-    def _stream(
+    def _begin_stream(
         self, request: Request, attempt: Attempt, answer: Answer, length: int | None, source: Source
     ) -> Exchange | None:
-        """An answer that is longer than is waited for is passed on as it comes."""
+        """Starts to stream an answer that is too long to be buffered whole.
+
+        Returns the sink for its body, or None if the answer is not valid for this request.
+        """
         if request.done or not isinstance(answer, HostAnswer) or not answer.sealed or answer.encoded:
             return None
-        if request.timer:
-            request.timer.cancel()
-            request.timer = self.loop.call_later(
-                max(0.0, request.job.deadline - self.clock.monotonic()), self._cut, request
+        if request.deadline_timer:
+            request.deadline_timer.cancel()
+            request.deadline_timer = self.loop.call_later(
+                max(0.0, request.job.deadline - self.clock.monotonic()),
+                self._stream_deadline_expired,
+                request,
             )
-        self._record(request.job, answer.status)
+        self._log_bound_answer(request.job, answer.status)
         request.exchange.begin(answer.headers, length, source)
         return request.exchange
 
-    def _record(self, job: Job, status: int) -> None:
-        """For the audit: a host's answer to a bound request goes to its client from here."""
+    def _log_bound_answer(self, job: Job, status: int) -> None:
+        """Logs, for the audit of regions, that this gateway returns a host's answer to a bound request."""
         if bound := self.router.home.routes.get(job.route_name):
             name, here = job.id.decode(), self.router.home.region
             log_event(Event.BOUND, id=name, service=job.service, bound=bound, status=status, region=here)
 
-    # Ends
+    # Ends of requests
 
-    def _cut(self, request: Request) -> None:
+    def _stream_deadline_expired(self, request: Request) -> None:
+        """Cancels the attempt whose answer is being streamed; the client's connection is aborted."""
         if request.attempt and not request.attempt.ended:
             self.hosts.give_up(request.attempt, Outcome.TIMEOUT)
 
-    def _time_up(self, request: Request) -> None:
+    def _deadline_expired(self, request: Request) -> None:
+        """Cancels the current attempt and answers the request with its timeout status."""
         if request.done:
             return
         request.done = True
         if request.attempt and not request.attempt.ended:
             self.hosts.give_up(request.attempt, Outcome.TIMEOUT)
-        self._end(request, self.router.time_out(self.clock.monotonic(), request.job))
+        self._fail(request, self.router.time_out(self.clock.monotonic(), request.job))
 
-    def _end(self, request: Request, problem: Problem) -> None:
+    def _fail(self, request: Request, problem: Problem) -> None:
         self._finish(request)
         if RequestEvents.enabled:
             ms = (self.clock.monotonic() - request.job.arrived_at) * 1000
             why = f": {problem.kind.value}" + (f" ({problem.reason})" if problem.reason else "")
             log_event(Event.ANSWERED, id=request.job.id.decode(), status=problem.status, ms=ms, why=why)
-        self._say(request.exchange, problem)
+        self._send_problem(request.exchange, problem)
 
     def _finish(self, request: Request) -> None:
         request.done = True
         self.open.discard(request)
-        for timer in (request.timer, request.patience):
+        for timer in (request.deadline_timer, request.silence_timer):
             if timer:
                 timer.cancel()
--- a/coralvale/cluster/server/figures.py
+++ b/coralvale/cluster/server/figures.py
@@ -1,7 +1,7 @@
-"""GatewayMetrics for Prometheus, on an address of their own, where one was named. Imported only then.
+"""Metrics for Prometheus, served on a separate address; imported only if one is configured.
 
-The text is made by the client library from what the rooms have counted; nothing is counted here. Tenants are told
-by name, hosts by service alone: lives come and go, and each would be a series for ever.
+The page is rendered by the client library from counters that other modules keep. Tenants are labelled by name,
+hosts only by service: instances come and go, and each would leave a time series behind.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 if TYPE_CHECKING:
     from coralvale.cluster.server.node import GatewayNode
 
-MOST = 16  # connections
+MAX_CONNECTIONS = 16
 
 
 class GatewayMetrics:
-    """What a gateway knows, as metrics."""
+    """A Prometheus collector for the state of a gateway."""
 
     def __init__(self, node: GatewayNode) -> None:
         self.node = node
@@ -35,113 +35,114 @@
         self.registry.register(self)
 
     def collect(self) -> Iterator[Any]:
-        o = self.node
-        now = o.runtime.clock.monotonic()
-        view, leader, core = o.core.known()
-        for name, says, value in (
-            ("ready", "1 while the platform may send new connections", float(o.is_ready())),
+        node = self.node
+        now = node.runtime.clock.monotonic()
+        view, leader, core = node.core.known()
+        for name, help_text, value in (
+            ("ready", "1 while the platform may send new connections", float(node.is_ready())),
             (
                 "configuration_version",
                 "of the configuration in force",
-                float(o.changes.configuration.version),
+                float(node.changes.configuration.version),
             ),
             ("view", "of the core, the newest that is known of", float(view)),
             ("core_members", "machines that hold the state", float(len(core))),
             ("core_leader_known", "1 while the leader of the view is known", float(bool(leader))),
             ("core_holder_known", "the same, for one version more", float(bool(leader))),
-            ("voter", "1 where this gateway's disk votes", float(o.core.role() in ("voter", "changing"))),
-            ("gateways", "that are taken to serve", float(o.gateways())),
-            ("requests_open", "requests in hand", float(len(o.edge.open))),
+            ("voter", "1 where this gateway's disk votes", float(node.core.role() in ("voter", "changing"))),
+            ("gateways", "that are taken to serve", float(node.gateways())),
+            ("requests_open", "requests in hand", float(len(node.edge.open))),
             (
                 "disk_failing_seconds",
                 "for which the disk has refused writes",
-                now - o.core.disk_failed if o.core.disk_failed else 0.0,
+                now - node.core.disk_failed if node.core.disk_failed else 0.0,
             ),
         ):
-            yield GaugeMetricFamily(f"myrtlehatch_{name}", says, value=value)
+            yield GaugeMetricFamily(f"myrtlehatch_{name}", help_text, value=value)
         answers = CounterMetricFamily("myrtlehatch_answers", "answers to clients", labels=["status"])
-        for status, count in o.edge.answers.items():
+        for status, count in node.edge.answers.items():
             answers.add_metric([str(status)], float(count))
         yield answers
         hosts = GaugeMetricFamily(
             "myrtlehatch_hosts", "lives of hosts that are known", labels=["service", "state"]
         )
-        sour = GaugeMetricFamily(
+        copies = GaugeMetricFamily(
             "myrtlehatch_copies", "by what is held against them", labels=["service", "verdict"]
         )
-        for service, lives in o.register.by_service.items():
+        for service, lives in node.register.by_service.items():
             states: dict[str, int] = {}
             verdicts = {verdict: 0 for verdict in Verdict}
             for life in lives.values():
                 states[life.state.name.lower()] = states.get(life.state.name.lower(), 0) + 1
-                if copy := o.instances.by_id.get(life.id):
-                    verdicts[o.instances.health.verdict(copy.id_hash)] += 1
+                if copy := node.instances.by_id.get(life.id):
+                    verdicts[node.instances.health.verdict(copy.id_hash)] += 1
             for state, count in states.items():
                 hosts.add_metric([service, state], float(count))
             for verdict, count in verdicts.items():
-                sour.add_metric([service, verdict.name.lower()], float(count))
+                copies.add_metric([service, verdict.name.lower()], float(count))
         yield hosts
-        yield sour
+        yield copies
         used = GaugeMetricFamily(
             "myrtlehatch_tenant_rate", "requests let through a second", labels=["tenant", "where"]
         )
         leak = GaugeMetricFamily(
             "myrtlehatch_tenant_leak", "of its bucket here, requests a second", labels=["tenant"]
         )
-        for tenant, metered in o.limiter.tenants.items():
+        for tenant, metered in node.limiter.tenants.items():
             used.add_metric([tenant, "here"], float(metered.own_rate))
             used.add_metric([tenant, "all"], float(metered.fleet_rate))
             leak.add_metric([tenant], float(metered.bucket.rate))
         yield used
         yield leak
-        sizes = replica_sizes(o.core.coordination, o.core.coordination_desk)
-        yield from _coordination(o.coordination.metrics, sizes)
+        sizes = replica_sizes(node.core.coordination, node.core.coordination_desk)
+        yield from _coordination_metrics(node.coordination.metrics, sizes)
 
     def text(self) -> bytes:
+        """The metrics page."""
         return bytes(generate_latest(self.registry))
 
 
-def _coordination(figures: CoordinationMetrics, sizes: dict[str, int]) -> Iterator[Any]:
+def _coordination_metrics(metrics: CoordinationMetrics, sizes: dict[str, int]) -> Iterator[Any]:
     prefix = "myrtlehatch_coordination"
     turns, fence = sizes.pop("turns"), sizes.pop("fence")
     yield GaugeMetricFamily(f"{prefix}_fence", "the newest that was given", value=float(fence))
     yield CounterMetricFamily(f"{prefix}_turns", "begun as the leader", value=float(turns))
     yield CounterMetricFamily(
-        f"{prefix}_takeovers", "of locks, granted as the leader", value=figures.takeovers
+        f"{prefix}_takeovers", "of locks, granted as the leader", value=metrics.takeovers
     )
     size = GaugeMetricFamily(f"{prefix}_size", "of what the replica holds, and what waits", labels=["of"])
     for name, value in sizes.items():
         size.add_metric([name], float(value))
     yield size
     answers = CounterMetricFamily(f"{prefix}_answers", "to callers", labels=["call", "status"])
-    for (call, status), count in figures.answers.items():
+    for (call, status), count in metrics.answers.items():
         answers.add_metric([call, str(status)], float(count))
     yield answers
     calls = CounterMetricFamily(f"{prefix}_calls", "settled as the leader", labels=["call", "outcome"])
-    for (call, outcome), count in figures.outcomes.items():
+    for (call, outcome), count in metrics.outcomes.items():
         calls.add_metric([call, outcome], float(count))
     yield calls
     delays = HistogramMetricFamily(f"{prefix}_seconds", "until a call was settled as the leader")
-    delays.add_metric([], _buckets(figures.delays), figures.delay_sum)
+    delays.add_metric([], _buckets(metrics.delays), metrics.delay_sum)
     yield delays
 
 
 def _buckets(delays: list[int]) -> list[tuple[str, float]]:
-    """Cumulative, by upper ends in seconds."""
+    """Cumulative counts by the buckets' upper bounds in seconds."""
     ends = [str(ms / 1000) for ms in DELAYS_MS] + ["+Inf"]
     return list(zip(ends, (float(count) for count in accumulate(delays)), strict=True))
 
 
-class _Page:
-    """Answers GET /metrics and nothing else."""
+class _MetricsHandler:
+    """Handler protocol of `Server` for a server that answers only GET /metrics."""
 
     ready = True
 
-    def __init__(self, figures: GatewayMetrics) -> None:
-        self.metrics = figures
+    def __init__(self, metrics: GatewayMetrics) -> None:
+        self.metrics = metrics
 
     def take(self, exchange: Exchange, fields: Any) -> None:  # noqa: ANN401
-        raise AssertionError("the platform's own requests do not come here")
+        raise AssertionError("MetricsServer does not call take()")
 
     def turned_away(self, exchange: Exchange, status: int, why: str) -> None: ...
 
@@ -149,11 +150,13 @@
 
 
 class MetricsServer(Server):
+    """Serves the metrics page."""
+
     once = {b"content-length", b"transfer-encoding"}
 
-    def __init__(self, at: Address, figures: GatewayMetrics, clock: Clock) -> None:
-        super().__init__(at, None, _Page(figures), MOST, 16, clock=clock)
-        self.metrics = figures
+    def __init__(self, address: Address, metrics: GatewayMetrics, clock: Clock) -> None:
+        super().__init__(address, None, _MetricsHandler(metrics), MAX_CONNECTIONS, 16, clock=clock)
+        self.metrics = metrics
         self.bounds = Bounds(body=0, partial=2.0, idle=10.0)
 
     def request(self, exchange: Exchange) -> None:
--- a/coralvale/cluster/server/hosts.py
+++ b/coralvale/cluster/server/hosts.py
@@ -1,8 +1,7 @@
-"""Connections to hosts: the pools of `coralvale.net.upstream`, with the marks of the system's wire.
+"""Connections to hosts: the pools of `coralvale.net.upstream` with the X-Myrtlehatch-* headers.
 
-An answer belongs to the request whose id it echoes. A host may send one more answer than it was asked for,
-at once or in the place of the next: such an answer is passed over, and the right one is waited for on the
-same connection.
+An answer belongs to the request whose id it echoes. A host may send a surplus answer, directly after another
+or in place of the next one. Such an answer is discarded, and the right one is awaited on the same connection.
 """
 
 from __future__ import annotations
@@ -16,60 +15,64 @@
 from coralvale.net.transport import Answer, Attempt
 from coralvale.net.upstream import NOT_PASSED_ON, Connection, Pool, Upstreams
 
-ID = b"x-myrtlehatch-request-id"
+REQUEST_ID = b"x-myrtlehatch-request-id"
 SEAL = b"x-myrtlehatch-seal"
 LOAD = b"x-myrtlehatch-load"
 NOT_EXECUTED = b"x-myrtlehatch-not-executed"
-OURS = {LOAD, NOT_EXECUTED}  # told to the gateway alone
-NOT_ON = NOT_PASSED_ON | OURS
-FIGURES = re.compile(rb"(\d{1,6}),(\d{1,6}),(\d{1,6})")
-KEEP = re.compile(rb"timeout=(\d{1,6})")
-SILENCE_MS = 1500  # that what was written may stand unacknowledged: a machine without power says nothing
+GATEWAY_ONLY = {LOAD, NOT_EXECUTED}  # response headers meant for the gateway
+NOT_FORWARDED = NOT_PASSED_ON | GATEWAY_ONLY
+LOAD_PATTERN = re.compile(rb"(\d{1,6}),(\d{1,6}),(\d{1,6})")
+KEEP_ALIVE_PATTERN = re.compile(rb"timeout=(\d{1,6})")
+# TCP_USER_TIMEOUT: limit for unacknowledged data; a machine that lost power neither answers nor resets.
+UNACKED_TIMEOUT_MS = 1500
 
 
 @dataclass(slots=True, eq=False)
 class HostAnswer(Answer):
-    """A host's answer with what the system's marks say."""
+    """A host's answer with the contents of its X-Myrtlehatch-* headers.
+
+    `load`: the three figures of X-Myrtlehatch-Load; `sealed`: it carries X-Myrtlehatch-Seal.
+    """
 
     load: tuple[int, int, int] | None = None
     sealed: bool = False
-    encoded: bool = False  # with a coding that nobody asked for
+    encoded: bool = False  # it has a Content-Encoding, which was not requested
 
 
 class HostConnection(Connection):
-    """One connection to a host."""
+    """One connection to a host; discards answers to other requests."""
 
-    foreign = False  # the answer that is being read belongs to another request
-    nameless = False  # it names none
+    other_request = False  # the answer being read echoes the id of another request
+    missing_id = False  # the answer being read echoes no id
 
     def connection_made(self, transport: Any) -> None:  # noqa: ANN401
         super().connection_made(transport)
         if sock := transport.get_extra_info("socket"):
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENCE_MS)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKED_TIMEOUT_MS)
 
     def on_headers_complete(self) -> None:
-        self.foreign = self.nameless = False
+        self.other_request = self.missing_id = False
         if not self.complete and self.parser.get_status_code() >= 200 and self.attempt:
-            ids = [value for name, value in self.headers if name.lower() == ID]
-            self.nameless = not ids
-            self.foreign = bool(ids) and any(i.decode("latin-1") != self.attempt.request for i in ids)  # type: ignore[attr-defined]
+            ids = [value for name, value in self.headers if name.lower() == REQUEST_ID]
+            self.missing_id = not ids
+            self.other_request = bool(ids) and any(i.decode("latin-1") != self.attempt.request for i in ids)  # type: ignore[attr-defined]
         super().on_headers_complete()
 
     def on_message_complete(self) -> None:
-        if self.foreign and not self.complete:
+        if self.other_request and not self.complete:
             heard = self.heard_at
             self._clear()
-            self.heard_at, self.foreign = heard, False
+            self.heard_at, self.other_request = heard, False
             return
         super().on_message_complete()
 
     def _read(self, data: bytes) -> None:
         super()._read(data)
-        if self.foreign:
+        if self.other_request:
             self.body.clear()
 
     def _pass_on(self) -> None:
-        if not self.foreign:
+        if not self.other_request:
             super()._pass_on()
 
     def _make_answer(self) -> HostAnswer:
@@ -78,39 +81,41 @@
         for name, value in self.headers:
             lower = name.lower()
             if lower == LOAD:
-                if found := FIGURES.fullmatch(value):
+                if found := LOAD_PATTERN.fullmatch(value):
                     answer.load = (int(found[1]), int(found[2]), int(found[3]))
             elif lower == NOT_EXECUTED:
                 answer.not_processed = True
-            elif lower not in NOT_ON:
+            elif lower not in NOT_FORWARDED:
                 answer.headers.append((name, value))
                 if lower == SEAL:
                     answer.sealed = True
                 elif lower == b"content-encoding":
                     answer.encoded = True
-            elif lower == b"keep-alive" and (keep := KEEP.search(value)):
+            elif lower == b"keep-alive" and (keep := KEEP_ALIVE_PATTERN.search(value)):
                 limit = self.pool.owner.idle_limit
                 limit.most = max(0.2, min(limit.most, 0.8 * int(keep[1])))
                 limit.now = min(limit.now, limit.most)
         return answer
 
     def _judge(self, answer: Answer) -> Outcome:
-        """What a whole answer says of its request (PROTOCOL, hosts)."""
+        """The outcome of an attempt by its complete answer (PROTOCOL, hosts)."""
         assert isinstance(answer, HostAnswer)
         if answer.not_processed or answer.status == 421:
             return Outcome.FULL
-        if 200 <= answer.status < 300 and (not answer.sealed or answer.encoded or self.nameless):
-            return Outcome.ERROR  # not the host's answer to this request
+        if 200 <= answer.status < 300 and (not answer.sealed or answer.encoded or self.missing_id):
+            return Outcome.ERROR  # not a valid answer of the host to this request
         return Outcome.OK
 
 
 class HostAttempt(Attempt):
-    """An attempt with the id that its answer has to echo."""
+    """An attempt with the request id that its answer must echo."""
 
     request: str = ""
 
 
 class Hosts(Upstreams):
+    """Connection pools to hosts."""
+
     made_of = HostConnection
 
 
--- a/coralvale/cluster/server/quotas.py
+++ b/coralvale/cluster/server/quotas.py
@@ -1,4 +1,4 @@
-"""Tokens that gateways ask of each other, in datagrams, and requests that wait for them. `rate_limit` decides."""
+"""Exchange of quota tokens between gateways in datagrams. `coralvale.cluster.rate_limit` decides."""
 
 from __future__ import annotations
 
@@ -14,13 +14,16 @@
 
 ASK, GRANT, RETURN = b"q", b"g", b"r"
 KINDS = (ASK, GRANT, RETURN)
-_TOKENS = struct.Struct("!IIH")  # number, what stands for the tenant, tokens
-_GRANT = struct.Struct("!IIHH")  # and milliseconds to wait
-MOST_MS = 0xFFFF
+_TOKENS = struct.Struct("!IIH")  # number, CRC-32 of the tenant's name, tokens
+_GRANT = struct.Struct("!IIHH")  # the same, and Retry-After in ms
+MAX_RETRY_AFTER_MS = 0xFFFF
 
 
 class QuotaExchange:
-    """`decided`: takes what becomes of a request that waited; set once there is a gate for clients."""
+    """Carries out the actions of the rate limiter.
+
+    `on_decision`: called with the decision on a request that waited; set once the edge server exists.
+    """
 
     on_decision: Callable[[Decided], None]
 
@@ -29,21 +32,21 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def run_actions(self) -> None:
-        """What the limiter has to send, and its decisions."""
+        """Sends the limiter's messages, passes on its decisions, and sets the timer for its next deadline."""
         while actions := self.limiter.take_actions():
             for action in actions:
                 match action:
                     case Decided():
                         self.on_decision(action)
                     case AskTokens():
-                        body = _TOKENS.pack(action.number, _mark(action.tenant), action.count)
+                        body = _TOKENS.pack(action.number, _tenant_crc(action.tenant), action.count)
                         self.runtime.peers.cast(action.to, ASK, body)
                     case ReturnTokens():
-                        body = _TOKENS.pack(action.number, _mark(action.tenant), action.count)
+                        body = _TOKENS.pack(action.number, _tenant_crc(action.tenant), action.count)
                         self.runtime.peers.cast(action.to, RETURN, body)
                     case GrantTokens():
-                        ms = min(MOST_MS, int(action.retry_after * 1000))
-                        body = _GRANT.pack(action.number, _mark(action.tenant), action.count, ms)
+                        ms = min(MAX_RETRY_AFTER_MS, int(action.retry_after * 1000))
+                        body = _GRANT.pack(action.number, _tenant_crc(action.tenant), action.count, ms)
                         self.runtime.peers.cast(action.to, GRANT, body)
         self._set_timer()
 
@@ -62,17 +65,19 @@
         self.run_actions()
 
     def handle_datagram(self, ip: str, kind: bytes, body: bytes) -> None:
-        """Another gateway's ask, or its answer. What cannot be read, or is of an unknown tenant,
-        is passed over."""
+        """Handles a datagram of another gateway.
+
+        Datagrams that cannot be decoded or that name an unknown tenant are ignored.
+        """
         now = self.runtime.clock.monotonic()
         try:
             if kind == GRANT:
-                number, mark, count, ms = _GRANT.unpack(body)
+                number, tenant_crc, count, ms = _GRANT.unpack(body)
             else:
-                number, mark, count = _TOKENS.unpack(body)
+                number, tenant_crc, count = _TOKENS.unpack(body)
         except struct.error:
             return
-        name = self.changes.tenants.get(mark)
+        name = self.changes.tenants.get(tenant_crc)
         if name is None:
             return
         if kind == GRANT:
@@ -84,6 +89,6 @@
         self.run_actions()
 
 
-def _mark(tenant: str) -> int:
-    """What stands for a tenant's name, as in words."""
+def _tenant_crc(tenant: str) -> int:
+    """CRC-32 of a tenant's name, which stands for it in datagrams, as in gossip."""
     return crc32(tenant.encode())
--- a/coralvale/cluster/server/status.py
+++ b/coralvale/cluster/server/status.py
@@ -1,4 +1,4 @@
-"""What a gateway knows of itself and all else, for `myrtlehatch status`."""
+"""The state of a gateway and what it knows of the others, for `myrtlehatch status`."""
 
 from __future__ import annotations
 
@@ -11,18 +11,19 @@
     from coralvale.cluster.server.node import GatewayNode
 
 
-def status(o: GatewayNode) -> bytes:
-    now, limiter = o.runtime.clock.monotonic(), o.limiter
+def status(node: GatewayNode) -> bytes:
+    """The status as JSON. Times are in seconds."""
+    now, limiter = node.runtime.clock.monotonic(), node.limiter
     usage, holding = limiter.usage, limiter.holding
-    view, leader, core = o.core.known()
+    view, leader, core = node.core.known()
     sent: dict[str, float] = {}
-    for copy in o.instances.by_id.values():
+    for copy in node.instances.by_id.values():
         sent[copy.entry.row.svc] = sent.get(copy.entry.row.svc, 0.0) + copy.recent
     heard = {name: now - other.heard_at for name, other in usage.peers.items()}
     hosts = []
-    for life in o.register.entries.values():
-        known = o.instances.by_id.get(life.id)
-        since, ill, by = o.instances.health.details(known.id_hash) if known else (now, 0.0, [])
+    for life in node.register.entries.values():
+        known = node.instances.by_id.get(life.id)
+        since, ill, by = node.instances.health.details(known.id_hash) if known else (now, 0.0, [])
         hosts.append(
             {
                 "id": life.id,
@@ -33,7 +34,7 @@
                 "heard": now - life.heard_at,
                 "load": known.load if known else 0.0,
                 "slow": float(known.relative_delay(now)) if known else 1.0,
-                "health": o.instances.health.verdict(known.id_hash).name.lower() if known else "well",
+                "health": node.instances.health.verdict(known.id_hash).name.lower() if known else "well",
                 "for": now - since if since else 0.0,
                 "ill": ill,
                 "by": by,
@@ -55,40 +56,40 @@
             }
         )
     found = {
-        "name": o.runtime.settings.Hostname,
-        "zone": o.runtime.settings.Az,
-        "region": o.runtime.settings.Region,
-        "ready": o.is_ready(),
-        "bindings": o.home.services,
-        "bound_routes": o.home.routes,
-        "binding_sure": o.home.lease_valid(now),
-        "refused_abroad": o.home.refused,
-        "refused_for": now - o.home.first_refused if o.home.refused else 0.0,
-        "zones": o.home.zones,
-        "version": o.changes.configuration.version,
-        "open": len(o.edge.open),
+        "name": node.runtime.settings.Hostname,
+        "zone": node.runtime.settings.Az,
+        "region": node.runtime.settings.Region,
+        "ready": node.is_ready(),
+        "bindings": node.home.services,
+        "bound_routes": node.home.routes,
+        "binding_sure": node.home.lease_valid(now),
+        "refused_abroad": node.home.refused,
+        "refused_for": now - node.home.first_refused if node.home.refused else 0.0,
+        "zones": node.home.zones,
+        "version": node.changes.configuration.version,
+        "open": len(node.edge.open),
         "tasks": len(asyncio.all_tasks()),
         "view": view,
         "leader": leader,
-        "holder": leader,  # its name before, for one version more
+        "holder": leader,  # former name of `leader`, kept for one more version
         "core": list(core),
-        "replica": o.core.role(),
+        "replica": node.core.role(),
         "shares": {
             "version": holding.version,
             "cells": holding.table.owners.count(holding.address),
             "lease": max(0.0, holding.lease_until - now),
         },
-        "coordination": o.coordination.metrics.status(o.core.coordination, o.core.coordination_desk),
+        "coordination": node.coordination.metrics.status(node.core.coordination, node.core.coordination_desk),
         "gateways": [
             {
                 "name": m.name,
-                "state": o.membership.swim.known[m.name].update.state.name.lower(),
+                "state": node.membership.swim.known[m.name].update.state.name.lower(),
                 "heard": heard.get(m.address[0], 0.0),
             }
-            for m in o.membership.swim.alive()
+            for m in node.membership.swim.alive()
         ],
         "hosts": hosts,
         "tenants": tenants,
-        "answers": {str(status): count for status, count in o.edge.answers.items()},
+        "answers": {str(status): count for status, count in node.edge.answers.items()},
     }
     return msgspec.json.encode(found)
--- a/coralvale/cluster/settings.py
+++ b/coralvale/cluster/settings.py
@@ -1,4 +1,4 @@
-"""The settings file of a process: read with attrs and cattrs, every mistake in it named with its place."""
+"""The settings file of a gateway, parsed with attrs and cattrs; each error is reported with its place."""
 
 from __future__ import annotations
 
@@ -18,11 +18,11 @@
 
 
 class SettingsError(ValueError):
-    """The settings cannot be used; one line for each mistake, with its place."""
+    """Invalid settings; the text has one line per error, with its place."""
 
 
 def parse_address(text: str) -> Address:
-    """`ip:port`. Raises ValueError."""
+    """Parses `ip:port`. Raises ValueError."""
     ip, _, port = text.rpartition(":")
     if not ip or not port.isdigit() or not 0 < int(port) < 65536:
         raise ValueError(f"{text!r}: expected ip:port")
@@ -31,6 +31,8 @@
 
 @frozen
 class Listen:
+    """Addresses, `ip:port`, of the servers; no server for an empty one."""
+
     Edge: str = ""
     Readyz: str = ""
     Ctl: str = ""
@@ -38,6 +40,8 @@
 
 @frozen
 class MachineLimits:
+    """Resources of the machine."""
+
     CpuFrac: float = 1.0
     Ncpu: int = 1
     MemMb: float = 512.0
@@ -48,6 +52,8 @@
 
 @frozen
 class FaultBudget:
+    """Number of simultaneous failures that must be survived."""
+
     Nodes: int = 0
     Zones: int = 0
     Regions: int = 0
@@ -55,7 +61,7 @@
 
 @frozen
 class Bounds:
-    """The figures of the rules; times in the unit that the name ends in."""
+    """Parameters of the rules; the end of a name is its unit: S for seconds, Ms for milliseconds."""
 
     SeedStaleS: float = 3.0
     ReuseS: float = 2.0
@@ -79,6 +85,8 @@
 
 @frozen
 class Settings:
+    """Settings of one gateway; the names of the fields are the keys of the file."""
+
     Hostname: str
     Ip: str
     Az: str
@@ -101,12 +109,12 @@
 
     @property
     def seeds(self) -> list[str]:
-        """Their IP numbers: what nodes say to each other goes to the same port on all."""
+        """IP addresses of the seeds; gateways use the same port on all machines for traffic between them."""
         return [parse_address(seed)[0] for seed in self.Seeds]
 
     @property
     def holds_state(self) -> bool:
-        """Whether this machine has a disk whose loss is counted."""
+        """Whether this gateway keeps the replicated state on a disk, whose loss counts as a fault."""
         return self.Voting and bool(self.Datadir)
 
 
@@ -121,7 +129,7 @@
             try:
                 found[name] = float(value)
             except ValueError:
-                raise SettingsError(f"Bounds: {name}: {value!r} is no number") from None
+                raise SettingsError(f"Bounds: {name}: {value!r} is not a number") from None
     return found
 
 
@@ -129,31 +137,34 @@
 
 
 def parse(text: str, place: str = "settings") -> Settings:
-    """Raises SettingsError, which names all mistakes."""
+    """Parses the text of a settings file. Raises SettingsError, which lists all errors.
+
+    `place`: prefix of each error, such as the path of the file.
+    """
     try:
         raw = yaml.load(text, Loader=Loader)
     except yaml.YAMLError as error:
         raise SettingsError(f"{place}: not YAML: {error}") from None
     if not isinstance(raw, dict):
-        raise SettingsError(f"{place}: expected fields with values")
+        raise SettingsError(f"{place}: expected a mapping of keys to values")
     raw = {**raw, "Bounds": _bounds(raw.get("Bounds"))}
     try:
         settings = _converter.structure(raw, Settings)
-        mistakes = _mistakes(settings)
+        errors = _errors(settings)
     except (cattrs.BaseValidationError, ValueError, TypeError) as error:
-        told = (
+        messages = (
             cattrs.transform_error(error) if isinstance(error, cattrs.BaseValidationError) else [str(error)]
         )
-        raise SettingsError("\n".join(f"{place}: {line}" for line in told)) from None
-    if mistakes:
-        raise SettingsError("\n".join(f"{place}: {line}" for line in mistakes))
+        raise SettingsError("\n".join(f"{place}: {line}" for line in messages)) from None
+    if errors:
+        raise SettingsError("\n".join(f"{place}: {line}" for line in errors))
     return settings
 
 
-def _mistakes(settings: Settings) -> list[str]:
+def _errors(settings: Settings) -> list[str]:
     found = []
     if len(settings.PortRange) != 2 or not 0 < settings.PortRange[0] <= settings.PortRange[-1] < 65536:
-        found.append(f"PortRange: {settings.PortRange!r}: expected the first port and the last")
+        found.append(f"PortRange: {settings.PortRange!r}: expected the first and the last port")
     named = [("Listen.Edge", settings.Listen.Edge), ("Listen.Readyz", settings.Listen.Readyz)]
     named += [("Listen.Ctl", settings.Listen.Ctl)]
     named += [(f"Seeds[{i}]", seed) for i, seed in enumerate(settings.Seeds)]
@@ -166,36 +177,36 @@
     if not settings.Hostname:
         found.append("Hostname: empty")
     if settings.HeartbeatMs <= 0:
-        found.append(f"HeartbeatMs: {settings.HeartbeatMs}: expected more than 0")
+        found.append(f"HeartbeatMs: {settings.HeartbeatMs}: expected a value above 0")
     return found
 
 
 def remarks(text: str) -> list[str]:
-    """What is no mistake in a settings file that can be read, and may not be meant."""
+    """Warnings about settings that are valid but possibly unintended."""
     raw, settings = yaml.load(text, Loader=Loader), parse(text)
     found = [
-        f"{name}: not known, passed over"
+        f"{name}: not known, ignored"
         for name in raw
         if name not in {a.name for a in Settings.__attrs_attrs__}
     ]
     if settings.Az not in settings.Zones:
-        found.append(f"Az: {settings.Az!r} is not among Zones: nothing that is bound to a region is served")
+        found.append(f"Az: {settings.Az!r} is not among Zones: no service bound to a region is served")
     elif settings.Zones[settings.Az] != settings.Region:
         region = settings.Zones[settings.Az]
         found.append(
-            f"Region: {settings.Region!r}, and Zones says {region!r}: nothing that is bound is served"
+            f"Region: {settings.Region!r}, but Zones says {region!r}: no service bound to a region is served"
         )
     if settings.Datadir and not settings.Voting:
         found.append("Datadir: not used without Voting")
     if settings.Voting and not settings.Datadir:
-        found.append("Voting: without a Datadir this machine holds no state")
+        found.append("Voting: this gateway keeps no state without a Datadir")
     if not settings.Seeds:
-        found.append("Seeds: none: this gateway finds no others")
+        found.append("Seeds: empty, so this gateway cannot find others")
     return found
 
 
 def read(path: str | None = None) -> Settings:
-    """The file that MYRTLEHATCH_CONFIG names. Raises SettingsError."""
+    """Reads the settings file `path`, by default the one named by MYRTLEHATCH_CONFIG. Raises SettingsError."""
     path = path or os.environ.get("MYRTLEHATCH_CONFIG", "")
     if not path:
         raise SettingsError("MYRTLEHATCH_CONFIG: not set")
--- a/coralvale/cluster/share_desk.py
+++ b/coralvale/cluster/share_desk.py
@@ -58,7 +58,7 @@
 Result = list[consensus.Action | ShareAnswer]
 
 
-class ShareDesk:
+class ShareClaimHandler:
     """Answers share claims and proposes table changes.
 
     Call `settled` with each `Settled` action of the replica, and `tick` periodically.
--- a/coralvale/cluster/start.py
+++ b/coralvale/cluster/start.py
@@ -1,4 +1,4 @@
-"""One gateway from its settings file to its end."""
+"""Runs one gateway process."""
 
 from __future__ import annotations
 
@@ -15,7 +15,11 @@
 
 
 def run_gateway(path: str, metrics: str = "", regions: str = "") -> int:
-    """Runs a gateway until it is told to end; 2 if its settings cannot be used."""
+    """Runs a gateway until it is stopped; returns the exit code, 2 if its settings are invalid.
+
+    `path`: of the settings file; `metrics`: ip:port of the metrics server, none if empty; `regions`: file of
+    region bindings, none if empty.
+    """
     events.configure_logging(os.environ.get("MYRTLEHATCH_LOG", "INFO"))
     gc.set_threshold(20_000, 20, 50)
     try:
--- a/tests/cluster/quota_world.py
+++ b/tests/cluster/quota_world.py
@@ -35,7 +35,7 @@
 from coralvale.cluster.rate_limit.quota import GRANT_LIFETIME_S, Rule
 from coralvale.cluster.rate_limit.shares import ShareTable
 from coralvale.cluster.rate_limit.usage import PERIOD, TenantUsage
-from coralvale.cluster.share_desk import MAX_ANSWER_AGE_S, ShareAnswer, ShareClaim, ShareDesk
+from coralvale.cluster.share_desk import MAX_ANSWER_AGE_S, ShareAnswer, ShareClaim, ShareClaimHandler
 
 RULE = Rule(window=5.0, excess=0.1, slack=20.0)
 FOUNDING_S = 4.0  # until all gateways of a new fleet own their shares
@@ -70,7 +70,7 @@
         self.replica = Replica(me, disk, Timing(min_voters=1), rng, now)
         self.table = ShareTable()
         tokens = itertools.count(1000).__next__
-        self.desk = ShareDesk(self.replica, self.table, tokens, now, RULE.window)
+        self.desk = ShareClaimHandler(self.replica, self.table, tokens, now, RULE.window)
         self.answers: dict[int, ShareAnswer] = {}
         self.holds = False  # settled actions are held in `kept`
         self.kept: list[consensus.Settled] = []
--- a/tests/cluster/test_coordination_operators.py
+++ b/tests/cluster/test_coordination_operators.py
@@ -145,27 +145,27 @@
 
 
 def test_metrics_count_by_call_and_outcome_and_never_by_name() -> None:
-    figures = CoordinationMetrics()
+    metrics = CoordinationMetrics()
     for n in range(1000):
-        figures.record_outcome(c.Acquire(f"l{n}", f"a{n}", 1000), c.Granted(n), 0.004)
-        figures.record_answer(c.Acquire(f"l{n}", f"a{n}", 1000), 200)
+        metrics.record_outcome(c.Acquire(f"l{n}", f"a{n}", 1000), c.Granted(n), 0.004)
+        metrics.record_answer(c.Acquire(f"l{n}", f"a{n}", 1000), 200)
     for _ in range(9):
-        figures.record_outcome(c.Put("g1.a", "x"), c.Full("too many keys are kept"), 0.06)
-    figures.record_outcome(c.Put("g1.a", "x"), c.Unknown("not agreed on in time"), 3.0)
-    figures.record_outcome(c.Watch("g1.", 4, 2000), c.Watched((), 4), 2.0)
-    assert figures.outcomes == {
+        metrics.record_outcome(c.Put("g1.a", "x"), c.Full("too many keys are kept"), 0.06)
+    metrics.record_outcome(c.Put("g1.a", "x"), c.Unknown("not agreed on in time"), 3.0)
+    metrics.record_outcome(c.Watch("g1.", 4, 2000), c.Watched((), 4), 2.0)
+    assert metrics.outcomes == {
         ("acquire", "granted"): 1000,
         ("put", "full"): 9,
         ("put", "unknown"): 1,
         ("watch", "watched"): 1,
     }
-    assert figures.answers == {("acquire", 200): 1000}
-    assert figures.full == {"too many keys are kept": 9}
-    assert sum(figures.delays) == 1010  # the wait of a watch is not counted as delay
-    assert (figures.delay_ms(0.5), figures.delay_ms(0.995), figures.delay_ms(1.0)) == (5, 80, DELAYS_MS[-1])
-    figures.sample_rates(10.0, 40)
-    figures.sample_rates(12.0, 100)
-    assert figures.rates == {"turns": 30.0, "calls": 0.0}
+    assert metrics.answers == {("acquire", 200): 1000}
+    assert metrics.limit_hits == {"too many keys are kept": 9}
+    assert sum(metrics.delays) == 1010  # the wait of a watch is not counted as delay
+    assert (metrics.delay_ms(0.5), metrics.delay_ms(0.995), metrics.delay_ms(1.0)) == (5, 80, DELAYS_MS[-1])
+    metrics.sample_rates(10.0, 40)
+    metrics.sample_rates(12.0, 100)
+    assert metrics.rates == {"turns": 30.0, "calls": 0.0}
 
 
 @pytest.mark.parametrize(
--- a/tests/cluster/test_edge.py
+++ b/tests/cluster/test_edge.py
@@ -1,4 +1,8 @@
-"""The edge server on real sockets, between a client and scripted hosts: matching answers, and promises."""
+"""The edge server on real sockets, between a client and scripted hosts.
+
+Guards against answers that reach the wrong client, retries of requests that may have run, and refusals that
+wrongly promise that a request has not run.
+"""
 
 from __future__ import annotations
 
@@ -289,7 +293,7 @@
             await wait_until(lambda: bool(s.edge.open))
             (request,) = s.edge.open
             if gate_opens_first:  # its connection is made before the client's leaving is handled
-                request.left = True
+                request.client_left = True
                 hosts.gate.set()
                 await wait_until(lambda: request.attempt is not None and request.attempt.ended)  # noqa: B023
             writer.transport.abort()
@@ -385,10 +389,10 @@
                     s.server.drain()
                     s.server.close_idle()
                     s.server.stop_accepting()
-                elif cause == "room":  # new connections need places
+                elif cause == "room":  # idle connections make room for new ones
                     s.server.most = 1
                     s.server.close_idle()
-                else:  # a new configuration whose bounds the request exceeds
+                else:  # a new configuration has limits that the request exceeds
                     s.server.bounds = ClientBounds(head=1, body=1, idle=0.0)
                     s.server._sweep()
             arrived.reply(reply(f"r-{number}", b"whole"))
@@ -454,16 +458,17 @@
         self.limiter.holding.table = ShareTable()
         self.limiter.holding.apply_answer(0.0, math.inf, even_table(["far"]))
         self.limiter.usage.record_peer(s.edge.clock.monotonic(), "far", {})
-        s.edge.run_quota_actions = self.carry_out
+        s.edge.run_quota_actions = self.run_actions
 
-    def carry_out(self) -> None:
+    def run_actions(self) -> None:
+        """Carries out the limiter's actions; requests for tokens are granted at once."""
         now = self.scene.edge.clock.monotonic()
         for action in self.limiter.take_actions():
             if isinstance(action, Decided):
                 self.scene.edge.apply_decision(action)
             elif isinstance(action, AskTokens) and self.grants >= 0:
                 self.limiter.handle_grant(now, "far", action.number, action.tenant, self.grants, 0.4)
-                self.scene.edge.loop.call_soon(self.carry_out)
+                self.scene.edge.loop.call_soon(self.run_actions)
 
 
 def test_a_request_waits_for_its_tenants_token_and_is_answered_either_way() -> None:
