--- a/coralvale/cluster/share_desk.py
+++ b/coralvale/cluster/share_desk.py
@@ -23,10 +23,10 @@
 )
 
 MAX_WAITING_CLAIMS = 4096
-STARTUP_S = 10.0  # after its start; in this time a leader assumes that other processes have started too
-ALLOWANCE_GRANT_S = 4.0  # after spending the allowance; processes that start in this time get theirs
-MAX_ANSWER_AGE_S = 1.0  # from a claim to its answer; a later answer brings no allowance
-RENEWAL_MARGIN_S = 5.0  # beyond these and the rule's window, until the allowance may be spent again
+STARTUP_S = 10.0  # for this time after its start, a leader assumes that other processes have started too
+ALLOWANCE_GRANT_S = 4.0  # after the allowance was spent, processes that start in this time receive it
+MAX_ANSWER_AGE_S = 1.0  # from a claim to its answer; a later answer grants no allowance
+RENEWAL_MARGIN_S = 5.0  # added to these two and the quota window, until the allowance may be spent again
 
 
 @frozen
@@ -72,7 +72,7 @@
         now: float,
         window: float,
     ) -> None:
-        """`window`: of the quotas' rule, in seconds."""
+        """`window`: the quota window in s. `next_token`: returns a new token for a proposal or a barrier."""
         self.replica, self.table, self.next_token = replica, table, next_token
         self.waiting_claims: list[ShareClaim] = []
         self.claims_in_flight: list[ShareClaim] = []  # claims that the barrier in flight will answer
--- a/tests/cluster/quota_world.py
+++ b/tests/cluster/quota_world.py
@@ -54,7 +54,7 @@
 
 
 class Core:
-    """A replica that is the only voter, with a disk, and its share desk.
+    """A replica that is the only voter, with a disk, and its handler of share claims.
 
     A restarted process continues from the disk of the previous one.
     """
@@ -310,7 +310,7 @@
         self.core = Core(self.env.now, disk, self.rng)
 
     def restore(self, after: float) -> Iterator[simpy.Event]:
-        """Replaces the state of the leader's share desk by a snapshot."""
+        """Replaces the state of the leader's claim handler by a snapshot."""
         yield self.env.timeout(after)
         if self.core:
             self.core.desk.restore(self.env.now, self.core.table.image())
--- a/tests/cluster/test_quota_shares.py
+++ b/tests/cluster/test_quota_shares.py
@@ -269,7 +269,7 @@
     assert any(max_users_of_a_cell(seed) > 1 for seed in range(4))
 
 
-# The share desk
+# The handler of share claims
 
 
 def test_claims_are_answered_behind_a_barrier_with_the_newest_table() -> None:
