--- a/coralvale/cluster/__main__.py
+++ b/coralvale/cluster/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one gateway: `python -m coralvale.cluster`. A word after it is a command (`myrtlehatch --help`)."""
+"""Starts a gateway: `python -m coralvale.cluster`; with arguments it runs a command (`myrtlehatch --help`)."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
         from coralvale.cluster import commands
 
         return commands.main(sys.argv[1:])
-    from coralvale.cluster.start import serve_now
+    from coralvale.cluster.start import run_gateway
 
-    return serve_now(os.environ.get("MYRTLEHATCH_CONFIG", ""))
+    return run_gateway(os.environ.get("MYRTLEHATCH_CONFIG", ""))
 
 
 if __name__ == "__main__":
--- a/coralvale/cluster/server/changes.py
+++ b/coralvale/cluster/server/changes.py
@@ -12,10 +12,10 @@
 from coralvale.cluster.configuration.history import Change, apply_update
 from coralvale.cluster.configuration.model import Configuration
 from coralvale.cluster.errors import Kind, Problem
-from coralvale.cluster.events import Event, tell
+from coralvale.cluster.events import Event, log_event
 from coralvale.cluster.routing.router import Router
 from coralvale.cluster.server.core import Core
-from coralvale.cluster.server.ctl import Answered
+from coralvale.cluster.server.ctl import StatusAndBody
 from coralvale.cluster.server.messages import ConfigurationRequest, Reply, UpdateReply, UpdateRequest
 from coralvale.cluster.server.peers import PeerConnection
 from coralvale.cluster.server.runtime import Runtime
@@ -54,7 +54,7 @@
                 limits.HeaderBytes, limits.BodyBytes, limits.HdrReadMs / 1000, limits.IdleMs / 1000, 431
             )
         )
-        tell(
+        log_event(
             Event.VERSION,
             version=configuration.version,
             routes=len(configuration.items.get("Routes", {})),
@@ -106,7 +106,7 @@
             if isinstance(answer, UpdateReply) and not answer.isolated and answer.update:
                 configuration = apply_update(self.configuration, answer.update)
                 if isinstance(configuration, Problem):
-                    tell(Event.NEWS_BAD, reason=configuration.reason)
+                    log_event(Event.NEWS_BAD, reason=configuration.reason)
                     await asyncio.sleep(0.2)
                 else:
                     self.apply(configuration)
@@ -135,15 +135,15 @@
         in_contact = self.core.in_contact()
         connection.send(UpdateReply(request.number, update, update is None and not in_contact, in_contact))
 
-    async def change(self, change: Change) -> Answered:
+    async def change(self, change: Change) -> StatusAndBody:
         """An operator's change: decided here if this is the leader, else forwarded to it."""
         return await self._decide_or_forward(change)
 
-    async def read(self) -> Answered:
+    async def read(self) -> StatusAndBody:
         """An operator's read of the newest configuration."""
         return await self._decide_or_forward(None)
 
-    async def _decide_or_forward(self, change: Change | None) -> Answered:
+    async def _decide_or_forward(self, change: Change | None) -> StatusAndBody:
         size = len(change.body) if change else len(self.configuration.raw) * 1000
         timeout = FORWARD_TIMEOUT_S + TIMEOUT_PER_10_MB_S * size / 1e7
         if self.core.is_leader():
@@ -159,7 +159,7 @@
             return answer.status, answer.body
         return 503, b"the leader does not answer"
 
-    async def _decide(self, change: Change | None, timeout: float) -> Answered:
+    async def _decide(self, change: Change | None, timeout: float) -> StatusAndBody:
         """At the leader: submits a change or a read (see `coralvale.cluster.orders`)."""
         started_at = self.runtime.clock.monotonic()
         answer = await self.core.submit_change(change, timeout)
@@ -167,10 +167,10 @@
             return 503, b"no majority answers"
         if answer.change:
             ms = (self.runtime.clock.monotonic() - started_at) * 1000
-            tell(Event.CHANGE_TAKEN, version=self.core.history.configuration.version, ms=ms)
+            log_event(Event.CHANGE_TAKEN, version=self.core.history.configuration.version, ms=ms)
         if problem := answer.problem:
-            if change and problem.kind is not Kind.UNSETTLED:
-                tell(Event.CHANGE_REFUSED, kind=problem.kind.name, reason=problem.reason)
+            if change and problem.kind is not Kind.NO_MAJORITY:
+                log_event(Event.CHANGE_REFUSED, kind=problem.kind.name, reason=problem.reason)
             return answer.status, problem.reason.encode()
         return answer.status, answer.body
 
@@ -182,7 +182,7 @@
             status, body = 503, b"not the leader"
         connection.send(Reply(request.number, status, body))
 
-    def history(self) -> Answered:
+    def history(self) -> StatusAndBody:
         """The newest changes and their effects, if this gateway has a current replica."""
         if not self.core.follows_log():
             at = ", ".join(self.core.known_view()[2])
--- a/coralvale/cluster/server/coordination.py
+++ b/coralvale/cluster/server/coordination.py
@@ -1,4 +1,4 @@
-"""Applications' calls for locks, numbers, keys and watches: settled here by the leader, else passed on to it."""
+"""Applications' calls for locks, numbers, keys and watches: handled here by the leader, else forwarded to it."""
 
 from __future__ import annotations
 
@@ -36,36 +36,41 @@
 from coralvale.cluster.coordination.model import Event as Put
 from coralvale.cluster.coordination.notices import ExpiredByHand, Notice, TakenOver
 from coralvale.cluster.errors import ANSWERS, Kind
-from coralvale.cluster.events import Event, tell
-from coralvale.cluster.server.coordination_figures import CoordinationFigures
+from coralvale.cluster.events import Event, log_event
+from coralvale.cluster.server.coordination_figures import CoordinationMetrics
 from coralvale.cluster.server.core import Core
-from coralvale.cluster.server.ctl import Answered
+from coralvale.cluster.server.ctl import StatusAndBody
 from coralvale.cluster.server.messages import CoordinationRequest, Reply
 from coralvale.cluster.server.peers import PeerConnection
 from coralvale.cluster.server.runtime import Runtime
 
-PATIENCE = 0.95  # s for one call; callers turn elsewhere after a second of silence
-HOP = 0.03  # s less at the leader than at the gateway that passes a call on
+CALL_TIMEOUT_S = 0.95  # callers turn to another gateway after one second without an answer
+FORWARDING_MARGIN_S = 0.03  # by which the leader's timeout is shorter than that of the forwarding gateway
 
 
 class Coordination:
+    """Answers coordination calls, and logs and counts what happens to them."""
+
     def __init__(self, runtime: Runtime, core: Core) -> None:
-        self.runtime, self.core, self.figures = runtime, core, CoordinationFigures()
+        self.runtime, self.core, self.metrics = runtime, core, CoordinationMetrics()
         self.stopping: asyncio.Future[None] = runtime.loop.create_future()
 
     def stop(self) -> None:
-        """This process is being stopped: watches that wait here are answered, and none waits any more."""
+        """Answers all waiting watches, because this process is being stopped; later ones do not wait."""
         if not self.stopping.done():
             self.stopping.set_result(None)
 
-    async def call(self, call: Call) -> Answered:
-        """An application's call to this gateway."""
+    async def call(self, call: Call) -> StatusAndBody:
+        """Handles an application's call to this gateway."""
         answered = await (self._watch(call) if isinstance(call, Watch) else self._call(call))
-        self.figures.answered(call, answered[0])
+        self.metrics.record_answer(call, answered[0])
         return answered
 
-    async def _watch(self, call: Watch) -> Answered:
-        """A watch's answer, at once if this process is being stopped: it may be resumed at any other gateway."""
+    async def _watch(self, call: Watch) -> StatusAndBody:
+        """Waits for a watch's answer, but not while this process is being stopped.
+
+        The caller can resume the watch at any other gateway.
+        """
         waiting = self.runtime.loop.create_task(self._call(call))
         await asyncio.wait((waiting, self.stopping), return_when=asyncio.FIRST_COMPLETED)
         if waiting.done():
@@ -73,60 +78,60 @@
         waiting.cancel()
         return answer(Unavailable("this gateway is being stopped"))
 
-    async def _call(self, call: Call) -> Answered:
-        patience = _patience(call)
+    async def _call(self, call: Call) -> StatusAndBody:
+        timeout = _timeout(call)
         if self.core.is_leader():
-            return answer(await self._settle(call, patience))
+            return answer(await self._settle(call, timeout))
         _, leader, _ = self.core.known_view()
         if not leader or leader == self.runtime.settings.Ip:
             return answer(Unavailable("no leader is known"))
         number = self.runtime.peers.next_number()
         request = CoordinationRequest(number, call)
-        reply = await self.runtime.peers.link(leader).request(number, request, patience)
+        reply = await self.runtime.peers.link(leader).request(number, request, timeout)
         if isinstance(reply, Reply):
             return reply.status, reply.body
         return answer(Unknown("the leader does not answer"))
 
-    async def called(self, frames: PeerConnection, request: CoordinationRequest) -> None:
-        """A call that another gateway passed on; it is not passed on again."""
+    async def handle_forwarded(self, frames: PeerConnection, request: CoordinationRequest) -> None:
+        """Handles a call that another gateway forwarded; it is not forwarded again."""
         if self.core.is_leader():
-            outcome = await self._settle(request.call, _patience(request.call) - HOP)
+            outcome = await self._settle(request.call, _timeout(request.call) - FORWARDING_MARGIN_S)
         else:
             outcome = Unavailable("not the leader")
         frames.send(Reply(request.number, *answer(outcome)))
 
-    async def _settle(self, call: Call, patience: float) -> Outcome:
-        """By the leader."""
+    async def _settle(self, call: Call, timeout: float) -> Outcome:
+        """Handles a call as the leader."""
         begun = self.runtime.clock.monotonic()
-        outcome = await self.core.coordinate(call, patience)
-        self.figures.settled(call, outcome, self.runtime.clock.monotonic() - begun)
+        outcome = await self.core.coordinate(call, timeout)
+        self.metrics.record_outcome(call, outcome, self.runtime.clock.monotonic() - begun)
         return outcome
 
-    def notice(self, notice: Notice) -> None:
-        """What the log has brought of locks that left their holder without its doing."""
+    def handle_notice(self, notice: Notice) -> None:
+        """Logs that a lock left its holder without the holder's doing, as delivered by the replicated log."""
         match notice:
             case TakenOver():
-                self.figures.takeovers += 1
-                tell(Event.LOCK_TAKEN_OVER, **attrs.asdict(notice))
+                self.metrics.takeovers += 1
+                log_event(Event.LOCK_TAKEN_OVER, **attrs.asdict(notice))
             case ExpiredByHand():
-                tell(Event.LOCK_EXPIRED_BY_HAND, **attrs.asdict(notice))
+                log_event(Event.LOCK_EXPIRED_BY_HAND, **attrs.asdict(notice))
 
-    def look(self, now: float) -> None:
-        """Once a second: rates, and which bounds were reached."""
+    def tick(self, now: float) -> None:
+        """Samples the rates and logs which limits were reached; called once a second."""
         desk = self.core.coordination_desk
-        self.figures.look(now, desk.turns if desk else 0)
-        for reason, count in self.figures.full.items():
-            tell(Event.COORDINATION_FULL, count=count, reason=reason)
-        self.figures.full.clear()
+        self.metrics.sample_rates(now, desk.turns if desk else 0)
+        for reason, count in self.metrics.limit_hits.items():
+            log_event(Event.COORDINATION_FULL, count=count, reason=reason)
+        self.metrics.limit_hits.clear()
 
 
-def _patience(call: Call) -> float:
-    """Seconds within which a call is answered."""
-    return PATIENCE + (call.poll_ms / 1000 if isinstance(call, Watch) else 0.0)
+def _timeout(call: Call) -> float:
+    """Timeout of a call in seconds."""
+    return CALL_TIMEOUT_S + (call.poll_ms / 1000 if isinstance(call, Watch) else 0.0)
 
 
-def answer(outcome: Outcome) -> Answered:
-    """Status and body of an outcome."""
+def answer(outcome: Outcome) -> StatusAndBody:
+    """HTTP status and body for an outcome."""
     match outcome:
         case Granted():
             return _body({"fence": outcome.fence})
@@ -153,9 +158,9 @@
         case Compacted():
             return _problem(Kind.COMPACTED)
         case Full():
-            return _problem(Kind.TOO_MANY, {"Reason": outcome.reason})
+            return _problem(Kind.LIMIT_REACHED, {"Reason": outcome.reason})
         case Unavailable():
-            return _problem(Kind.NOT_TAKEN, {"Reason": outcome.reason})
+            return _problem(Kind.UNAVAILABLE, {"Reason": outcome.reason})
         case Unknown():
             return _problem(Kind.UNKNOWN_OUTCOME, {"Reason": outcome.reason})
 
@@ -176,10 +181,10 @@
             return {"Name": row.name, "Val": row.value, "Rev": row.revision}
 
 
-def _body(fields: dict[str, Any]) -> Answered:
+def _body(fields: dict[str, Any]) -> StatusAndBody:
     return 200, json.dumps(fields, separators=(",", ":")).encode()
 
 
-def _problem(kind: Kind, fields: dict[str, Any] | None = None) -> Answered:
+def _problem(kind: Kind, fields: dict[str, Any] | None = None) -> StatusAndBody:
     fields = fields or {"Reason": kind.value}
     return ANSWERS[kind].status, json.dumps(fields, separators=(",", ":")).encode()
--- a/coralvale/cluster/server/core.py
+++ b/coralvale/cluster/server/core.py
@@ -20,13 +20,13 @@
 from coralvale.cluster.coordination.model import Call, Outcome, Unknown
 from coralvale.cluster.coordination.notices import Notice
 from coralvale.cluster.coordination.state import CoordinationState
-from coralvale.cluster.events import Event, tell
+from coralvale.cluster.events import Event, log_event
 from coralvale.cluster.orders import ChangeAnswer, ChangeRequestHandler
 from coralvale.cluster.rate_limit.shares import ShareTable
 from coralvale.cluster.registry.register import Row
 from coralvale.cluster.server.messages import ConsensusMessage, Nominate, Nominee
 from coralvale.cluster.server.runtime import Runtime
-from coralvale.cluster.share_desk import ShareAnswer, ShareClaim, ShareDesk
+from coralvale.cluster.share_desk import ShareAnswer, ShareClaim, ShareClaimHandler
 from coralvale.cluster.storage.store import DamagedStoreError, Store, StoreError, set_aside
 
 DISK_RETRY_S = 0.25  # until a failed write is retried
@@ -65,7 +65,7 @@
         self.pending: deque[CoreAction] = deque()
         self.executing = False
         self.desk: ChangeRequestHandler | None = None
-        self.share_desk: ShareDesk | None = None
+        self.share_desk: ShareClaimHandler | None = None
         self.coordination_desk: CoordinationHandler | None = None
         # Called when a lock has been taken from its holder.
         self.on_notice: Callable[[Notice], None] = lambda notice: None
@@ -163,11 +163,11 @@
                 except (sqlite3.Error, OSError) as error:
                     if not self.disk_failed_at:
                         self.disk_failed_at = self.runtime.clock.monotonic()
-                        tell(Event.DISK_FAILS, reason=str(error))
+                        log_event(Event.DISK_FAILS, reason=str(error))
                     await asyncio.sleep(DISK_RETRY_S)
                     continue
                 if self.disk_failed_at:
-                    tell(Event.DISK_WELL, seconds=self.runtime.clock.monotonic() - self.disk_failed_at)
+                    log_event(Event.DISK_WELL, seconds=self.runtime.clock.monotonic() - self.disk_failed_at)
                     self.disk_failed_at = 0.0
                 del self.writes[: len(batch)]
                 self.execute(self.replica.write_completed(self.runtime.clock.monotonic(), batch[-1].number))
@@ -189,11 +189,11 @@
         if replica.leader and (replica.view, replica.leader) != self.logged_view:
             self.logged_view = (replica.view, replica.leader)
             named = replica.voters.all().get(replica.leader)
-            tell(Event.VIEW, view=replica.view, leader=named.name if named else replica.leader)
+            log_event(Event.VIEW, view=replica.view, leader=named.name if named else replica.leader)
         if replica.voters != self.logged_voters:
             self.logged_voters = replica.voters
             names = ", ".join(m.name for m in replica.voters.new)
-            tell(Event.VOTERS, members=names + (" (changing)" if replica.voters.old else ""))
+            log_event(Event.VOTERS, members=names + (" (changing)" if replica.voters.old else ""))
         if replica.due_for_snapshot():
             self.execute(
                 replica.save_snapshot(self.history.image(self.shares.image(), self.coordination.image()))
@@ -208,14 +208,14 @@
         except DamagedStoreError as error:
             # Treated as a lost disk: the replica starts empty, and votes once it holds all that the others
             # have.
-            tell(Event.DISK_FOREIGN, reason=str(error))
+            log_event(Event.DISK_FOREIGN, reason=str(error))
             self.founding.mark_disk_lost()
             aside = await self.runtime.loop.run_in_executor(self.disk, set_aside, s.Datadir)
-            tell(Event.DISK_ASIDE, name=aside)
+            log_event(Event.DISK_ASIDE, name=aside)
             self.runtime.spawn(self._reopen())
             return
         except (StoreError, sqlite3.Error, OSError) as error:
-            tell(Event.DISK_FOREIGN, reason=str(error))
+            log_event(Event.DISK_FOREIGN, reason=str(error))
             await self.close()  # releases the file lock, which the next attempt needs
             self.store = None
             self.runtime.spawn(self._reopen())
@@ -238,7 +238,7 @@
         self.replica = Replica(me, state, timing, self.runtime.rng, self.runtime.clock.monotonic())
         self.desk = ChangeRequestHandler(self.replica, self.history)
         now = self.runtime.clock.monotonic()
-        self.share_desk = ShareDesk(
+        self.share_desk = ShareClaimHandler(
             self.replica, self.shares, self.runtime.peers.next_number, now, s.Bounds.QuotaWindowS
         )
         self.coordination_desk = CoordinationHandler(
@@ -272,7 +272,7 @@
                 continue
             if not logged and not replica.is_voter:
                 logged = True
-                tell(Event.JOINING, id=replica.me.id)
+                log_event(Event.JOINING, id=replica.me.id)
             for ip in {leader} if leader else set(core):
                 self.runtime.peers.link(ip).send(ConsensusMessage(consensus.JoinRequest(replica.me)))
 
@@ -288,7 +288,7 @@
             named = answer.id if isinstance(answer, Nominee) else ""
         if not replica.bootstrapped and self.founding.accept_answer(named, bool(self.known_view()[2])):
             self.execute(replica.bootstrap(self.runtime.clock.monotonic()))
-            tell(Event.FOUNDED, id=replica.me.id)
+            log_event(Event.FOUNDED, id=replica.me.id)
 
     async def submit_change(self, change: Change | None, timeout: float) -> ChangeAnswer | None:
         """At the leader: submits an operator's change, or (None) a read. Returns None if undecided after
--- a/coralvale/cluster/server/gossip.py
+++ b/coralvale/cluster/server/gossip.py
@@ -13,13 +13,13 @@
 
 import msgspec
 
-from coralvale.cluster.events import Event, tell
+from coralvale.cluster.events import Event, log_event
 from coralvale.cluster.host_health.watch import VerdictChange as Verdict
 from coralvale.cluster.rate_limit.limiter import RateLimiter
 from coralvale.cluster.rate_limit.usage import PERIOD
 from coralvale.cluster.routing.copies import VERDICT_GAP_S, InstancePool
 from coralvale.cluster.server import quotas, relay
-from coralvale.cluster.server.arrivals import Arrivals
+from coralvale.cluster.server.arrivals import HostReplication
 from coralvale.cluster.server.changes import Changes
 from coralvale.cluster.server.core import Core
 from coralvale.cluster.server.membership import LARGE_FLEET, LARGE_FLEET_ABOVE, SMALL_FLEET, Membership
@@ -83,16 +83,21 @@
         membership: Membership,
         core: Core,
         changes: Changes,
-        arrivals: Arrivals,
+        host_replication: HostReplication,
         limiter: RateLimiter,
         shares: ShareClaims,
         instances: InstancePool,
         is_ready: Callable[[], bool],
     ) -> None:
         self.runtime, self.membership, self.core, self.changes = runtime, membership, core, changes
-        self.arrivals, self.limiter, self.instances, self.is_ready = arrivals, limiter, instances, is_ready
+        self.host_replication, self.limiter, self.instances, self.is_ready = (
+            host_replication,
+            limiter,
+            instances,
+            is_ready,
+        )
         self.shares, self.quotas = shares, QuotaExchange(runtime, changes, limiter)
-        self.register = arrivals.register
+        self.register = host_replication.register
         self.in_flight_in_gossip = False
         self.batch, self.carriers, self.batch_scheduled = RelayBatch(), Carriers(), False
         self.reports = ZoneReportExchange(
@@ -100,7 +105,7 @@
             membership,
             core,
             changes,
-            arrivals,
+            host_replication,
             limiter,
             shares,
             instances,
@@ -268,7 +273,7 @@
         """Logs changed health verdicts."""
         for change in changes:
             copy = self.instances.by_hash.get(change.id_hash)
-            tell(
+            log_event(
                 Event.HEALTH,
                 id=copy.entry.id if copy else f"{change.id_hash:08x}",
                 before=change.before.name.lower(),
@@ -298,7 +303,7 @@
         elif kind in (REPORT, REPORTED):
             self.log_verdicts(self.reports.handle_datagram(kind, body))
         elif kind in quotas.KINDS:
-            self.quotas.datagram(ip, kind, body)
+            self.quotas.handle_datagram(ip, kind, body)
         else:
             self._handle_message(ip, kind, body)
 
@@ -323,7 +328,7 @@
                 return
         elif kind == HOST_ROWS:
             try:
-                self.arrivals.note(decode_rows(body).rows)
+                self.host_replication.merge_rows(decode_rows(body).rows)
             except msgspec.MsgspecError:
                 return
         elif kind == HEALTH:
@@ -350,7 +355,7 @@
         """Applies a gossip message of another gateway."""
         self.membership.record_gossip(now, (ip,))
         if message.region and (mismatch := self.membership.region_mismatch(ip, message.region)):
-            tell(Event.REGION_OF_OTHER, **mismatch)
+            log_event(Event.REGION_OF_OTHER, **mismatch)
         self.carriers.record(now, ip, message.carries)
         self.shares.note_version(message.shares)
         update_heard_view(self.core, message.view, message.leader, message.core)
@@ -364,4 +369,4 @@
         if message.in_flight is not None:
             self.instances.update_in_flight(now, ip, unpack_in_flight(message.in_flight))
         self.reports.note_beats(message.beats)
-        self.arrivals.compare(now, ip, message.digest, unknown)
+        self.host_replication.compare(now, ip, message.digest, unknown)
--- a/coralvale/cluster/server/node.py
+++ b/coralvale/cluster/server/node.py
@@ -12,7 +12,7 @@
 
 from coralvale.cluster.configuration.history import Change
 from coralvale.cluster.coordination.model import Call as CoordinationCall
-from coralvale.cluster.events import Event, tell
+from coralvale.cluster.events import Event, log_event
 from coralvale.cluster.rate_limit.limiter import RateLimiter
 from coralvale.cluster.rate_limit.quota import Rule
 from coralvale.cluster.regions import Regions
@@ -21,11 +21,11 @@
 from coralvale.cluster.routing.copies import InstancePool
 from coralvale.cluster.routing.home import HomeRegion
 from coralvale.cluster.routing.router import Router
-from coralvale.cluster.server.arrivals import Arrivals
+from coralvale.cluster.server.arrivals import HostReplication
 from coralvale.cluster.server.changes import Changes
 from coralvale.cluster.server.coordination import Coordination
 from coralvale.cluster.server.core import Core
-from coralvale.cluster.server.ctl import Answered, Control, ControlServer, Desk
+from coralvale.cluster.server.ctl import Control, ControlBackend, ControlServer, StatusAndBody
 from coralvale.cluster.server.edge import Edge, EdgeServer
 from coralvale.cluster.server.gossip import GossipExchange
 from coralvale.cluster.server.hosts import Hosts
@@ -48,7 +48,7 @@
 from coralvale.cluster.server.runtime import TICK_S, Runtime
 from coralvale.cluster.server.shares import ShareClaims
 from coralvale.cluster.server.status import status
-from coralvale.cluster.settings import Settings, SettingsError, address, read
+from coralvale.cluster.settings import Settings, SettingsError, parse_address, read
 from coralvale.members import wire as swim_wire
 from coralvale.members.model import MembersError
 from coralvale.net.clock import Clock
@@ -72,7 +72,7 @@
 QUORUM_WAIT_S = 4.0  # after which a core member without a majority serves by the state on its disk
 
 
-class GatewayNode(Desk):
+class GatewayNode(ControlBackend):
     """One gateway process; `run` serves until it is stopped."""
 
     def __init__(
@@ -105,18 +105,18 @@
         self.router = Router(bounds, self.instances, self.limiter, runtime.rng)
         self.membership = Membership(runtime, self.limiter.usage)
         self.changes = Changes(runtime, self.router, self._set_client_bounds)
-        self.arrivals = Arrivals(runtime, self.membership, self.register, self._retire)
-        self.core = Core(runtime, self.changes.apply, self.arrivals.remember)
-        self.changes.core = self.arrivals.core = self.core
+        self.host_replication = HostReplication(runtime, self.membership, self.register, self._retire)
+        self.core = Core(runtime, self.changes.apply, self.host_replication.restore)
+        self.changes.core = self.host_replication.core = self.core
         self.coordination = Coordination(runtime, self.core)
-        self.core.on_notice = self.coordination.notice
+        self.core.on_notice = self.coordination.handle_notice
         self.shares = ShareClaims(runtime, self.core, self.limiter.holding)
         self.gossip = GossipExchange(
             runtime,
             self.membership,
             self.core,
             self.changes,
-            self.arrivals,
+            self.host_replication,
             self.limiter,
             self.shares,
             self.instances,
@@ -132,7 +132,7 @@
         by_zone = settings.Zones.get(settings.Az, "")
         if by_zone == settings.Region:
             return settings.Region
-        tell(
+        log_event(
             Event.REGION_UNSURE, zone=settings.Az, by_zone=by_zone or "none", region=settings.Region or "none"
         )
         return ""
@@ -142,7 +142,7 @@
     async def run(self) -> None:
         """Starts all servers and background tasks, serves until `stop`, and closes everything."""
         settings = self.runtime.settings
-        tell(
+        log_event(
             Event.STARTED,
             name=settings.Hostname,
             ip=settings.Ip,
@@ -157,13 +157,13 @@
         max_host_connections = int(descriptors * HOST_CONNECTIONS_SHARE)
         max_body_bytes = int(limits.MemMb * 0.25 * 1e6)
         self.hosts = Hosts(self.runtime.clock, CONNECT_TIMEOUT_S, HOST_IDLE_S / 0.8, max_host_connections)
-        self.edge = Edge(self.router, self.hosts, self.runtime.clock, self.gossip.quotas.carry_out)
-        self.gossip.quotas.decided = self.edge.decided
+        self.edge = Edge(self.router, self.hosts, self.runtime.clock, self.gossip.quotas.run_actions)
+        self.gossip.quotas.on_decision = self.edge.apply_decision
         self.control = Control(self)
         self.servers: list[Server] = []
         if settings.Listen.Edge:
             self.edge_server = EdgeServer(
-                address(settings.Listen.Edge),
+                parse_address(settings.Listen.Edge),
                 self.edge,
                 descriptors - max_host_connections,
                 max_body_bytes,
@@ -172,11 +172,13 @@
             self.servers.append(self.edge_server)
         for text in (settings.Listen.Readyz, settings.Listen.Ctl):
             if text:
-                self.servers.append(ControlServer(address(text), self.control, self.runtime.clock))
+                self.servers.append(ControlServer(parse_address(text), self.control, self.runtime.clock))
         if self.metrics:
-            from coralvale.cluster.server.figures import Figures, FiguresServer
+            from coralvale.cluster.server.figures import GatewayMetrics, MetricsServer
 
-            self.servers.append(FiguresServer(address(self.metrics), Figures(self), self.runtime.clock))
+            self.servers.append(
+                MetricsServer(parse_address(self.metrics), GatewayMetrics(self), self.runtime.clock)
+            )
         await self.runtime.peers.start()
         self.membership.start()
         if settings.holds_state:
@@ -192,10 +194,10 @@
             self._watch_settings,
             self.core.join_loop,
             self.shares.claim_loop,
-            self.arrivals.keep_hosts,
+            self.host_replication.save_periodically,
         ):
             self.runtime.spawn(self.runtime.run_forever(loop))
-        self.runtime.spawn(self.arrivals.pull_first())
+        self.runtime.spawn(self.host_replication.pull_at_start())
         await self.stopped.wait()
         for task in list(self.runtime.tasks):
             task.cancel()
@@ -217,7 +219,7 @@
         The platform first takes this gateway out of its list; open requests are finished, and leadership and
         vote are handed over, before the process ends.
         """
-        tell(Event.LEAVING, open=len(self.edge.open))
+        log_event(Event.LEAVING, open=len(self.edge.open))
         started_at = self.runtime.clock.monotonic()
         deadline = started_at + max(1.0, self.runtime.settings.Bounds.GraceS - GRACE_MARGIN_S)
         self.edge_server.drain()
@@ -235,14 +237,14 @@
         while not self.core.can_stop() and self.runtime.clock.monotonic() < deadline:
             await asyncio.sleep(0.02)
         if not self.core.can_stop():
-            tell(Event.ENDS_UNSAFE)
+            log_event(Event.ENDS_UNSAFE)
         await self._finish_control_calls(deadline)
         self.runtime.spawn(self.shares.release())  # even if it gets lost: the shares stay reserved a while
         self.membership.swim.leave(self.runtime.clock.monotonic())
         for _ in range(4):
             self.membership.flush()
             await asyncio.sleep(0.06)
-        tell(Event.ENDED, open=len(self.edge.open))
+        log_event(Event.ENDED, open=len(self.edge.open))
         self.stopped.set()
 
     async def _finish_control_calls(self, deadline: float) -> None:
@@ -256,14 +258,14 @@
         try:
             fresh = read(self.runtime.path)
         except SettingsError as error:
-            tell(Event.SETTINGS_BAD, reason=str(error))
+            log_event(Event.SETTINGS_BAD, reason=str(error))
             return
         if fresh != self.runtime.settings:
             self.runtime.settings = fresh
             self.home.set_regions(self._own_region(fresh), fresh.Zones)
             self.instances.candidates.clear()
             self.membership.swim.seeds = [(ip, fresh.peers_port) for ip in fresh.seeds if ip != fresh.Ip]
-            tell(Event.SETTINGS_READ, seeds=len(fresh.Seeds))
+            log_event(Event.SETTINGS_READ, seeds=len(fresh.Seeds))
 
     async def _watch_settings(self) -> None:
         """Reloads the settings when their file changes, also without SIGHUP."""
@@ -298,7 +300,7 @@
             if age < STARTUP_WAIT_S and not (self.register.entries and self._knows_others()):
                 return False
             self.was_ready = True
-            tell(
+            log_event(
                 Event.READY,
                 seconds=age,
                 version=self.changes.configuration.version,
@@ -348,13 +350,13 @@
     def _sweep(self, now: float) -> None:
         """Removes expired hosts and peers, and logs what has accumulated since the last sweep."""
         for name in self.register.sweep(now):
-            tell(Event.HOST_LOST, id=name)
+            log_event(Event.HOST_LOST, id=name)
         self.instances.drop_silent_gateways(now)
         for copy in self.instances.sweep():
             row = copy.entry.row
             self._retire(row)
         self._log_quotas()
-        self.coordination.look(now)
+        self.coordination.tick(now)
         if self.home.routes:
             self._log_home_region(now)
         self.membership.near = None  # gateways known only by their gossip may have come or gone
@@ -370,8 +372,8 @@
     def _log_quotas(self) -> None:
         """Logs, by tenant, the requests refused over quota and those admitted since the last call."""
         for tenant, tally in self.limiter.take_tallies().items():
-            tell(Event.QUOTA, count=tally.refused, tenant=tenant)
-            tell(
+            log_event(Event.QUOTA, count=tally.refused, tenant=tenant)
+            log_event(
                 Event.CHARGED,
                 tenant=tenant,
                 own=tally.own,
@@ -385,11 +387,11 @@
         service's region."""
         for bound, count in self.home.refused.items():
             if new := count - self.logged_refusals.get(bound, 0):
-                tell(Event.ABROAD, count=new, bound=bound)
+                log_event(Event.ABROAD, count=new, bound=bound)
                 self.logged_refusals[bound] = count
         lease_lost = not self.home.lease_valid(now)
         if lease_lost and not self.lease_loss_logged:
-            tell(
+            log_event(
                 Event.BINDING_UNSURE,
                 seconds=min(now - self.home.core_heard_at, now - self.runtime.started_at),
             )
@@ -400,7 +402,7 @@
                 if not self.home.host_allowed(service, entry.row.az):
                     abroad.add(name)
                     if name not in self.logged_hosts_abroad:
-                        tell(Event.HOST_ABROAD, id=name, service=service, bound=bound, zone=entry.row.az)
+                        log_event(Event.HOST_ABROAD, id=name, service=service, bound=bound, zone=entry.row.az)
         self.logged_hosts_abroad = abroad
 
     def _set_client_bounds(self, bounds: ClientBounds) -> None:
@@ -411,25 +413,25 @@
 
     # Calls of hosts, operators and applications (`Desk`)
 
-    async def beat(self, row: Row) -> bool:
-        return await self.arrivals.beat(row)
+    async def heartbeat(self, row: Row) -> bool:
+        return await self.host_replication.heartbeat(row)
 
-    async def leave(self, name: str) -> bool:
-        return await self.arrivals.leave(name)
+    async def deregister(self, name: str) -> bool:
+        return await self.host_replication.deregister(name)
 
-    async def change(self, change: Change) -> Answered:
+    async def change_configuration(self, change: Change) -> StatusAndBody:
         return await self.changes.change(change)
 
-    async def read(self) -> Answered:
+    async def read_configuration(self) -> StatusAndBody:
         return await self.changes.read()
 
-    def history(self) -> Answered:
+    def history(self) -> StatusAndBody:
         return self.changes.history()
 
     def status(self) -> bytes:
         return status(self)
 
-    async def coordinate(self, call: CoordinationCall) -> Answered:
+    async def coordinate(self, call: CoordinationCall) -> StatusAndBody:
         return await self.coordination.call(call)
 
     # Messages of other gateways
@@ -451,11 +453,11 @@
         elif isinstance(message, ConfigurationRequest):
             self.runtime.spawn(self.changes.handle_request(connection, message))
         elif isinstance(message, CoordinationRequest):
-            self.runtime.spawn(self.coordination.called(connection, message))
+            self.runtime.spawn(self.coordination.handle_forwarded(connection, message))
         elif isinstance(message, ClaimShares):
             self.runtime.spawn(self.shares.handle_claim(connection, message))
         elif isinstance(message, HostRows):
-            self.arrivals.note(message.rows)
+            self.host_replication.merge_rows(message.rows)
             connection.send(Ack(message.number))
         elif isinstance(message, HostRowsRequest):
             connection.send(HostRows(message.number, self.register.rows(now, message.parts)))
--- a/coralvale/cluster/server/zone_reports.py
+++ b/coralvale/cluster/server/zone_reports.py
@@ -26,7 +26,7 @@
 from coralvale.cluster.reports.zones import ZoneReports
 from coralvale.cluster.routing.copies import InstancePool
 from coralvale.cluster.server import relay
-from coralvale.cluster.server.arrivals import Arrivals
+from coralvale.cluster.server.arrivals import HostReplication
 from coralvale.cluster.server.changes import Changes
 from coralvale.cluster.server.core import Core
 from coralvale.cluster.server.membership import Membership
@@ -71,7 +71,7 @@
         membership: Membership,
         core: Core,
         changes: Changes,
-        arrivals: Arrivals,
+        host_replication: HostReplication,
         limiter: RateLimiter,
         shares: ShareClaims,
         instances: InstancePool,
@@ -79,7 +79,12 @@
         is_ready: Callable[[], bool],
     ) -> None:
         self.runtime, self.membership, self.core, self.changes = runtime, membership, core, changes
-        self.arrivals, self.limiter, self.shares, self.instances = arrivals, limiter, shares, instances
+        self.host_replication, self.limiter, self.shares, self.instances = (
+            host_replication,
+            limiter,
+            shares,
+            instances,
+        )
         self.carriers, self.is_ready = carriers, is_ready
         self.reporter, self.zones = ZoneReporter(runtime.settings.Ip), ZoneReports()
         self.may_report = False  # this gateway is a candidate for reporter of its zone
@@ -162,7 +167,7 @@
         addresses = [*carriers, *(ip for ip in here if ip not in carriers)][:MAX_ADDRESSES]
         view, leader, core = self.core.known_view()
         beats, self.beats = list(self.beats.items()), {}
-        digest, shares = self.arrivals.register.digest, self.limiter.holding.version
+        digest, shares = self.host_replication.register.digest, self.limiter.holding.version
         return [
             Presence(
                 self._head(),
@@ -255,10 +260,10 @@
             self.carriers.record(now, ip, False)
         self.shares.note_version(report.shares)
         update_heard_view(self.core, report.view, report.leader, report.core)
-        unknown = self.arrivals.register.merge_beats(now, report.beats)
+        unknown = self.host_replication.register.merge_beats(now, report.beats)
         # Candidates for reporter reconcile the register between zones; the others of their zone reconcile
         # with them, by the digests in gossip messages.
         if self.may_report:
-            self.arrivals.compare(now, report.head.reporter, report.digest, unknown)
+            self.host_replication.compare(now, report.head.reporter, report.digest, unknown)
         for zone in self.zones.drop_silent(now, FORGET_AFTER_S):
             self.members.pop(zone, None)
--- a/tests/cluster/test_relay.py
+++ b/tests/cluster/test_relay.py
@@ -13,7 +13,7 @@
 from coralvale.cluster.rate_limit.usage import PERIOD
 from coralvale.cluster.registry.register import PARTS, Register, Row, part
 from coralvale.cluster.server import relay
-from coralvale.cluster.server.arrivals import DIFFERS
+from coralvale.cluster.server.arrivals import MAX_MISMATCH_S
 from coralvale.cluster.server.gossip import ZONE_ONLY_KINDS
 from coralvale.cluster.server.messages import GossipMessage, encode, pack_in_flight
 from coralvale.cluster.server.node import GatewayNode
@@ -266,13 +266,16 @@
             return True
 
         fake: Any = one
-        fake.arrivals.pull, fake.runtime.spawn = pull, lambda work: (work.close(), pulled.append(fleet.now))
+        fake.host_replication.pull, fake.runtime.spawn = (
+            pull,
+            lambda work: (work.close(), pulled.append(fleet.now)),
+        )
         for n in range(40):  # hosts change continuously: not before DIFFERS s have passed
             fleet.now += PERIOD
             one.register.merge(fleet.now, row(n))
             one.gossip.handle_gossip(fleet.now, other, GossipMessage(1, 1000 + n))
-            assert bool(pulled) == (n * PERIOD >= DIFFERS)
-        one.arrivals.mismatch.clear()
+            assert bool(pulled) == (n * PERIOD >= MAX_MISMATCH_S)
+        one.host_replication.mismatch.clear()
         pulled.clear()
         for _ in range(2):
             assert not pulled
@@ -280,6 +283,6 @@
             one.gossip.handle_gossip(fleet.now, other, GossipMessage(1, 5))
         assert pulled  # both are unchanged, and differ
         one.gossip.handle_gossip(fleet.now, other, GossipMessage(1, one.register.digest))
-        assert not one.arrivals.mismatch
+        assert not one.host_replication.mismatch
 
     run_scene(scene)
