--- a/coralvale/cluster/server/arrivals.py
+++ b/coralvale/cluster/server/arrivals.py
@@ -197,7 +197,11 @@
         """Saves the register to disk whenever it has changed."""
         while True:
             await asyncio.sleep(SAVE_INTERVAL_S)
-            if self.core.store and self.register.version != self.saved_version and not self.core.disk_failed_at:
+            if (
+                self.core.store
+                and self.register.version != self.saved_version
+                and not self.core.disk_failed_at
+            ):
                 version, rows = self.register.version, self.register.rows(self.runtime.clock.monotonic())
                 try:
                     await self.runtime.loop.run_in_executor(self.core.disk, self.core.store.save_hosts, rows)
