--- a/coralvale/cluster/commands/__init__.py
+++ b/coralvale/cluster/commands/__init__.py
@@ -11,7 +11,7 @@
 
 import defopt
 
-from coralvale.cluster.commands.asking import Fault
+from coralvale.cluster.commands.asking import CommandError
 from coralvale.cluster.commands.configuration import diff, history, send
 from coralvale.cluster.commands.coordination import keys, locks, numbers, release, watch
 from coralvale.cluster.commands.disk import check_state, export, restore, show
@@ -46,7 +46,7 @@
             cli_options="has_default",
             no_negated_flags=True,
         )
-    except Fault as fault:
+    except CommandError as fault:
         print(f"myrtlehatch: {fault}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
--- a/coralvale/cluster/commands/asking.py
+++ b/coralvale/cluster/commands/asking.py
@@ -8,28 +8,28 @@
 from typing import Any
 
 
-class Fault(Exception):
+class CommandError(Exception):
     """A command cannot be carried out; one line."""
 
 
-def ask(at: str, name: str) -> Any:  # noqa: ANN401
+def call_gateway(address: str, name: str) -> Any:  # noqa: ANN401
     """What a gateway answers to a call without a body. Raises Fault where that is not 200."""
     from coralvale.cluster.sending import post
 
     try:
-        status, body = post(at, f"/rpc?call={name}", b"")
+        status, body = post(address, f"/rpc?call={name}", b"")
         if status != 200:
-            raise Fault(f"{at}: {status} {body.decode(errors='replace')}")
+            raise CommandError(f"{address}: {status} {body.decode(errors='replace')}")
         return json.loads(body)
     except (OSError, ValueError) as error:
-        raise Fault(f"{at}: {error}") from None
+        raise CommandError(f"{address}: {error}") from None
 
 
-def call(at: str, name: str) -> dict[str, Any]:
+def call_for_object(address: str, name: str) -> dict[str, Any]:
     """The same, of a call that is answered by an object."""
-    found = ask(at, name)
+    found = call_gateway(address, name)
     if not isinstance(found, dict):
-        raise Fault(f"{at}: not an answer of a gateway")
+        raise CommandError(f"{address}: not an answer of a gateway")
     return found
 
 
@@ -39,4 +39,4 @@
         try:
             yield file, file.read_text(errors="replace").splitlines()
         except OSError as error:
-            raise Fault(f"{file}: {error.strerror}") from None
+            raise CommandError(f"{file}: {error.strerror}") from None
--- a/coralvale/cluster/commands/configuration.py
+++ b/coralvale/cluster/commands/configuration.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from coralvale.cluster.commands.asking import Fault, ask, call
+from coralvale.cluster.commands.asking import CommandError, call_for_object, call_gateway
 
 
 def send(file: Path, *at: str, base: int = -1, patience: float = 30.0, as_json: bool = False) -> int:
@@ -25,14 +25,14 @@
     from coralvale.cluster import sending
 
     if not at:
-        raise Fault("config send: at least one ip:port")
+        raise CommandError("config send: at least one ip:port")
     try:
         change = json.loads(file.read_bytes())
         sending.call_of(change)
     except (OSError, ValueError) as error:
-        raise Fault(f"{file}: {error}") from None
+        raise CommandError(f"{file}: {error}") from None
     if base < 0:
-        base = _in_force(at)
+        base = _current_version(at)
     found = sending.send(change, base, at, patience, lambda line: print(line, file=sys.stderr, flush=True))
     row = {"status": found.status, "at": found.gateway, "reason": found.reason, "tries": found.tries}
     if as_json:
@@ -44,13 +44,13 @@
     return 0 if found.status == 200 else 1 if found.status else 2
 
 
-def _in_force(gateways: tuple[str, ...]) -> int:
+def _current_version(gateways: tuple[str, ...]) -> int:
     """The newest version, from the first gateway that tells it."""
-    fault = Fault("no gateway answers")
+    fault = CommandError("no gateway answers")
     for one in gateways:
         try:
-            return int(call(one, "config.read").get("Ver", 0))
-        except Fault as error:
+            return int(call_for_object(one, "config.read").get("Ver", 0))
+        except CommandError as error:
             fault = error
     raise fault
 
@@ -61,19 +61,19 @@
     :param at: the Ctl address of a member of the core, ip:port
     :param as_json: print one JSON list
     """
-    steps = ask(at, "gateway.history")
+    steps = call_gateway(at, "gateway.history")
     if as_json:
         print(json.dumps(steps))
         return 0
     for step in steps:
         what = "whole" if step["whole"] else "by names"
         print(f"{step['version']:>8} on {step['base']:<8} {what:<9} {step['size']:>9} bytes")
-        _print_did({s: {w: tuple(n) for w, n in rows.items()} for s, rows in step["did"].items()})
+        _print_changes({s: {w: tuple(n) for w, n in rows.items()} for s, rows in step["did"].items()})
     return 0
 
 
-def _print_did(did: dict[str, dict[str, tuple[int, list[str]]]]) -> None:
-    for section, rows in did.items():
+def _print_changes(changes: dict[str, dict[str, tuple[int, list[str]]]]) -> None:
+    for section, rows in changes.items():
         for kind, (count, names) in rows.items():
             more = f" and {count - len(names)} more" if count > len(names) else ""
             print(f"         {section}: {kind} {', '.join(names)}{more}")
@@ -92,7 +92,7 @@
     if as_json:
         print(json.dumps(found))
     else:
-        _print_did({s: {w: (len(n), n) for w, n in rows.items()} for s, rows in found.items()})
+        _print_changes({s: {w: (len(n), n) for w, n in rows.items()} for s, rows in found.items()})
     return 1 if found else 0
 
 
@@ -100,12 +100,12 @@
     if not Path(of).exists():
         host, _, port = of.rpartition(":")
         if not host or not port.isdigit():
-            raise Fault(f"{of}: no such file, and no ip:port")
-        return call(of, "config.read")
+            raise CommandError(f"{of}: no such file, and no ip:port")
+        return call_for_object(of, "config.read")
     try:
         found = json.loads(Path(of).read_bytes())
     except (OSError, ValueError) as error:
-        raise Fault(f"{of}: {error}") from None
+        raise CommandError(f"{of}: {error}") from None
     if not isinstance(found, dict):
-        raise Fault(f"{of}: expected a configuration")
+        raise CommandError(f"{of}: expected a configuration")
     return found
--- a/coralvale/cluster/commands/coordination.py
+++ b/coralvale/cluster/commands/coordination.py
@@ -10,15 +10,21 @@
 from typing import Any
 from urllib.parse import quote, urlencode
 
-from coralvale.cluster.commands.asking import Fault
+from coralvale.cluster.commands.asking import CommandError
 
-CLEAR = {200, 400, 404, 409, 410}  # statuses that say what is the case; after others another gateway is asked
-ROUNDS = 10  # in which all gateways are asked until one gives a clear answer
-PAUSE = 0.4  # s between rounds
-POLL_MS = 2000  # for which a gateway keeps a watch waiting
-POLL_SPARE = 3.0  # s more until its answer is given up
+DEFINITE_STATUSES = {
+    200,
+    400,
+    404,
+    409,
+    410,
+}  # statuses that say what is the case; after others another gateway is asked
+MAX_ROUNDS = 10  # in which all gateways are asked until one gives a clear answer
+RETRY_DELAY_S = 0.4  # s between rounds
+LONG_POLL_MS = 2000  # for which a gateway keeps a watch waiting
+LONG_POLL_MARGIN_S = 3.0  # s more until its answer is given up
 
-Ask = Callable[[str], tuple[int, bytes]]
+GatewayCall = Callable[[str], tuple[int, bytes]]
 
 
 def locks(*at: str, prefix: str = "", as_json: bool = False) -> int:
@@ -30,7 +36,7 @@
     :param prefix: of the names
     :param as_json: print one JSON object a line
     """
-    return _print(at, "locks", prefix, as_json, _lock_line)
+    return _print_rows(at, "locks", prefix, as_json, _format_lock)
 
 
 def numbers(*at: str, prefix: str = "", as_json: bool = False) -> int:
@@ -40,7 +46,7 @@
     :param prefix: of the names
     :param as_json: print one JSON object a line
     """
-    return _print(at, "numbers", prefix, as_json, lambda row: f"{row['Val']:>16} {row['Name']}")
+    return _print_rows(at, "numbers", prefix, as_json, lambda row: f"{row['Val']:>16} {row['Name']}")
 
 
 def keys(group: str, *at: str, as_json: bool = False) -> int:
@@ -50,7 +56,9 @@
     :param at: Ctl addresses of gateways, ip:port
     :param as_json: print one JSON object a line
     """
-    return _print(at, "keys", group, as_json, lambda row: f"{row['Rev']:>10} {row['Name']:<32} {row['Val']}")
+    return _print_rows(
+        at, "keys", group, as_json, lambda row: f"{row['Rev']:>10} {row['Name']:<32} {row['Val']}"
+    )
 
 
 def release(name: str, *at: str, fence: int, reason: str, as_json: bool = False) -> int:
@@ -66,7 +74,7 @@
     :param as_json: print one JSON object
     """
     body = json.dumps({"fence": fence, "Reason": reason}).encode()
-    status, told, unclear = _clear_answer(at, lambda one: _post(one, "locks.expire", name, body))
+    status, answer, unclear = _definite_answer(at, lambda one: _post(one, "locks.expire", name, body))
     taken = status == 200
     # After a try without a clear answer nobody knows which try it was; that the lock is not held is known.
     done = taken or (status == 409 and unclear)
@@ -77,7 +85,7 @@
     elif status == 409:
         print(f"{name}: not held under fence {fence}", file=sys.stderr)
     else:
-        raise Fault(f"{name}: {status} {_reason(told)}")
+        raise CommandError(f"{name}: {status} {_decode(answer)}")
     return 0 if done else 1
 
 
@@ -95,7 +103,7 @@
     ends = time.monotonic() + seconds if seconds else float("inf")
     known = after or _first_revision(at, group, ends)
     while (left := ends - time.monotonic()) > 0:
-        events, revision = _watched(at, group, known, int(min(POLL_MS, left * 1000)))
+        events, revision = _poll_watch(at, group, known, int(min(LONG_POLL_MS, left * 1000)))
         for event in events:
             line = f"{event['Rev']:>10} {event['Name']:<32} {event['Val']}"
             print(json.dumps(event) if as_json else line, flush=True)
@@ -109,29 +117,31 @@
 def _first_revision(at: tuple[str, ...], group: str, ends: float) -> int:
     """The group's revision. A group is there from its first put on, and watched from there."""
     waited = False
-    while (revision := _watched(at, group, 0, 0)[1]) == 0 and time.monotonic() < ends:
+    while (revision := _poll_watch(at, group, 0, 0)[1]) == 0 and time.monotonic() < ends:
         waited = True
-        time.sleep(PAUSE)
+        time.sleep(RETRY_DELAY_S)
     if waited and revision:
         print(f"{group}: watched from revision {revision} on; `keys` shows what is there", file=sys.stderr)
     return revision
 
 
-def _watched(at: tuple[str, ...], group: str, after: int, poll_ms: int) -> tuple[list[dict[str, Any]], int]:
+def _poll_watch(
+    at: tuple[str, ...], group: str, after: int, poll_ms: int
+) -> tuple[list[dict[str, Any]], int]:
     """Puts above a revision, and the revision up to which they are all; -1: they are not kept."""
     from coralvale.cluster.sending import get
 
     path = f"/watch/{quote(group, safe='')}?{urlencode({'after': after, 'PollMs': poll_ms})}"
-    status, told, _ = _clear_answer(at, lambda one: get(one, path, poll_ms / 1000 + POLL_SPARE))
+    status, answer, _ = _definite_answer(at, lambda one: get(one, path, poll_ms / 1000 + LONG_POLL_MARGIN_S))
     if status == 410:
         return [], -1
     if status != 200:
-        raise Fault(f"{group}: {status} {_reason(told)}")
-    found = _object(told)
+        raise CommandError(f"{group}: {status} {_decode(answer)}")
+    found = _parse_object(answer)
     return found["Events"], found["Rev"]
 
 
-def _print(
+def _print_rows(
     at: tuple[str, ...], kind: str, prefix: str, as_json: bool, line: Callable[[dict[str, Any]], str]
 ) -> int:
     for row in _rows(at, kind, prefix):
@@ -139,7 +149,7 @@
     return 0
 
 
-def _lock_line(row: dict[str, Any]) -> str:
+def _format_lock(row: dict[str, Any]) -> str:
     renewed = "-" if row["RenewedS"] is None else f"{row['RenewedS']:.1f}"
     times = f"{row['HoldMs'] / 1000:>7.1f} s held {renewed:>8} s renewed {row['LeftS']:>8.1f} s left"
     return f"{row['Name']:<32} {row['Owner']:<24} fence {row['fence']:<10} {times}"
@@ -156,10 +166,10 @@
 
 def _page(at: tuple[str, ...], kind: str, prefix: str, after: str) -> dict[str, Any]:
     body = json.dumps({"After": after, "Prefix": prefix}).encode()
-    status, told, _ = _clear_answer(at, lambda one: _post(one, "coordination.list", kind, body))
+    status, answer, _ = _definite_answer(at, lambda one: _post(one, "coordination.list", kind, body))
     if status != 200:
-        raise Fault(f"{kind}: {status} {_reason(told)}")
-    return _object(told)
+        raise CommandError(f"{kind}: {status} {_decode(answer)}")
+    return _parse_object(answer)
 
 
 def _post(at: str, call: str, of: str, body: bytes) -> tuple[int, bytes]:
@@ -168,36 +178,36 @@
     return post(at, f"/rpc?{urlencode({'call': call, 'of': of})}", body)
 
 
-def _clear_answer(at: tuple[str, ...], ask: Ask) -> tuple[int, bytes, bool]:
+def _definite_answer(at: tuple[str, ...], ask: GatewayCall) -> tuple[int, bytes, bool]:
     """Status and body of the first clear answer, and whether a try before it may have taken effect. Raises
     Fault where none comes."""
     if not at:
-        raise Fault("at least one ip:port")
+        raise CommandError("at least one ip:port")
     last, unclear = "", False
-    for number in range(ROUNDS):
-        time.sleep(PAUSE if number else 0.0)
+    for number in range(MAX_ROUNDS):
+        time.sleep(RETRY_DELAY_S if number else 0.0)
         for one in at:
             try:
                 status, body = ask(one)
             except (OSError, HTTPException) as error:
                 last, unclear = f"{one}: {error}", True
                 continue
-            if status in CLEAR:
+            if status in DEFINITE_STATUSES:
                 return status, body, unclear
-            last = f"{one}: {status} {_reason(body)}"
+            last = f"{one}: {status} {_decode(body)}"
             unclear = unclear or status not in (429, 503)
-    raise Fault(last)
+    raise CommandError(last)
 
 
-def _object(body: bytes) -> dict[str, Any]:
+def _parse_object(body: bytes) -> dict[str, Any]:
     try:
         found = json.loads(body)
     except ValueError:
         found = None
     if not isinstance(found, dict):
-        raise Fault("not an answer of a gateway")
+        raise CommandError("not an answer of a gateway")
     return found
 
 
-def _reason(body: bytes) -> str:
+def _decode(body: bytes) -> str:
     return body.decode(errors="replace")
--- a/coralvale/cluster/commands/disk.py
+++ b/coralvale/cluster/commands/disk.py
@@ -6,16 +6,16 @@
 from pathlib import Path
 from typing import Any
 
-from coralvale.cluster.commands.asking import Fault
+from coralvale.cluster.commands.asking import CommandError
 
 
-def _kept(folder: Path) -> dict[str, Any]:
+def _inspect(folder: Path) -> dict[str, Any]:
     from coralvale.cluster.storage.keeper import DiskStateError, inspect_state
 
     try:
         return inspect_state(folder)
     except DiskStateError as error:
-        raise Fault(str(error)) from None
+        raise CommandError(str(error)) from None
 
 
 def show(datadir: Path, *, as_json: bool = False) -> int:
@@ -24,7 +24,7 @@
     :param datadir: the settings' Datadir
     :param as_json: print one JSON object, the configuration with it
     """
-    found = _kept(datadir)
+    found = _inspect(datadir)
     if as_json:
         print(json.dumps({name: value for name, value in found.items() if name != "image"}))
         return 0
@@ -42,7 +42,7 @@
 
     :param datadir: the settings' Datadir
     """
-    found = _kept(datadir)
+    found = _inspect(datadir)
     print(f"{found['file']}: well, version {found['version']}, delivered up to {found['delivered']}")
     return 0
 
@@ -57,7 +57,7 @@
     try:
         print(json.dumps(keeper.export(datadir)))
     except keeper.DiskStateError as error:
-        raise Fault(str(error)) from None
+        raise CommandError(str(error)) from None
     return 0
 
 
@@ -73,11 +73,13 @@
     from coralvale.cluster.storage import keeper
 
     if not all_others_are_lost:
-        raise Fault("refused: say --all-others-are-lost, and empty the disks of all other members first")
+        raise CommandError(
+            "refused: say --all-others-are-lost, and empty the disks of all other members first"
+        )
     try:
         name = keeper.restore(json.loads(file.read_bytes()), datadir, hostname, ip)
     except (keeper.DiskStateError, OSError, ValueError) as error:
-        raise Fault(str(error)) from None
+        raise CommandError(str(error)) from None
     print(
         f"{datadir}: disk {name} is the only member of a new core; start it, then the others on empty disks"
     )
--- a/coralvale/cluster/commands/gateway.py
+++ b/coralvale/cluster/commands/gateway.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from coralvale.cluster.commands.asking import Fault, call
+from coralvale.cluster.commands.asking import CommandError, call_for_object
 
 
 def run(*, settings: str = "", metrics: str = "", regions: str = "") -> int:
@@ -27,9 +27,11 @@
         try:
             address(metrics)
         except ValueError as error:
-            raise Fault(f"--metrics: {error}") from None
+            raise CommandError(f"--metrics: {error}") from None
         if find_spec("prometheus_client") is None:
-            raise Fault("--metrics: needs the extra cluster-metrics (pip install '.[cluster-metrics]')")
+            raise CommandError(
+                "--metrics: needs the extra cluster-metrics (pip install '.[cluster-metrics]')"
+            )
     return serve_now(settings or os.environ.get("MYRTLEHATCH_CONFIG", ""), metrics, regions)
 
 
@@ -45,35 +47,35 @@
     from coralvale.cluster.settings import SettingsError, read, remarks
 
     mistakes: list[str] = []
-    remarked: list[str] = []
+    remark_lines: list[str] = []
     if configuration:
         try:
             found = parse_configuration(json.loads(file.read_bytes()), Configuration())
             if isinstance(found, Problem):
                 mistakes = found.reason.split("; ")
         except OSError as error:
-            raise Fault(f"{file}: {error.strerror}") from None
+            raise CommandError(f"{file}: {error.strerror}") from None
         except ValueError as error:
             mistakes = [f"cannot be read whole: {error}"]
     else:
         if not file.exists():
-            raise Fault(f"{file}: no such file")
+            raise CommandError(f"{file}: no such file")
         try:
             read(str(file))
-            remarked = remarks(file.read_text())
+            remark_lines = remarks(file.read_text())
         except SettingsError as error:
             mistakes = str(error).split("\n")
     if as_json:
-        row = {"file": str(file), "well": not mistakes, "mistakes": mistakes, "remarks": remarked}
+        row = {"file": str(file), "well": not mistakes, "mistakes": mistakes, "remarks": remark_lines}
         print(json.dumps(row))
     else:
-        for line in remarked:
+        for line in remark_lines:
             print(f"{file}: remark: {line}")
         print("\n".join(mistakes) if mistakes else f"{file}: well")
     return 1 if mistakes else 0
 
 
-def _table(found: dict[str, Any]) -> str:
+def _format_status(found: dict[str, Any]) -> str:
     from coralvale.cluster.rate_limit.shares import CELLS
 
     leader = found.get("leader", found.get("holder"))  # a gateway of the version before has the other name
@@ -84,7 +86,7 @@
         f"quotas: {found['shares']['cells']} of {CELLS} cells by table {found['shares']['version']}",
     ]
     if coordination := found.get("coordination"):
-        lines.append(_coordination_line(coordination))
+        lines.append(_format_coordination(coordination))
     lines.append(f"{'gateway':<28} {'state':<9} {'heard s':>8}")
     lines += [f"{g['name']:<28} {g['state']:<9} {g['heard']:>8.1f}" for g in found["gateways"]]
     lines.append(
@@ -107,7 +109,7 @@
     return "\n".join(lines)
 
 
-def _coordination_line(told: dict[str, Any]) -> str:
+def _format_coordination(told: dict[str, Any]) -> str:
     held = ", ".join(f"{told[name]} {name}" for name in ("locks", "numbers", "keys", "watches"))
     pace = f"{told['turns_per_s']:.1f} turns/s, {told['calls_per_s']:.1f} calls/s"
     delay = f"p50 {told['delay_ms']['p50']:.0f} ms, p99 {told['delay_ms']['p99']:.0f} ms as the leader"
@@ -122,8 +124,8 @@
     :param watch: seconds between looks; 0 looks once
     """
     while True:
-        found = call(at, "gateway.status")
-        print(json.dumps(found) if as_json else _table(found), flush=True)
+        found = call_for_object(at, "gateway.status")
+        print(json.dumps(found) if as_json else _format_status(found), flush=True)
         if not watch:
             return 0 if found["ready"] else 1
         time.sleep(watch)
--- a/coralvale/cluster/commands/hosts.py
+++ b/coralvale/cluster/commands/hosts.py
@@ -7,7 +7,7 @@
 import time
 from typing import Any
 
-from coralvale.cluster.commands.asking import Fault, call
+from coralvale.cluster.commands.asking import CommandError, call_for_object
 
 
 def health(*at: str, as_json: bool = False, watch: float = 0.0) -> int:
@@ -20,11 +20,11 @@
     :param watch: seconds between looks; 0 looks once
     """
     if not at:
-        raise Fault("health: at least one ip:port")
+        raise CommandError("health: at least one ip:port")
     while True:
         copies: dict[str, dict[str, Any]] = {}
         for one in at:
-            found = call(one, "gateway.status")
+            found = call_for_object(one, "gateway.status")
             for row in found["hosts"]:
                 copy = copies.setdefault(
                     row["id"], {"service": row["service"], "state": row["state"], "at": {}}
--- a/coralvale/cluster/commands/regions.py
+++ b/coralvale/cluster/commands/regions.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from coralvale.cluster.commands.asking import Fault, call, read_logs
+from coralvale.cluster.commands.asking import CommandError, call_for_object, read_logs
 
 
 def show_regions(*at: str, as_json: bool = False) -> int:
@@ -19,8 +19,8 @@
     :param as_json: print one JSON object
     """
     if not at:
-        raise Fault("regions: at least one ip:port")
-    seen = [call(one, "gateway.status") for one in at]
+        raise CommandError("regions: at least one ip:port")
+    seen = [call_for_object(one, "gateway.status") for one in at]
     zones = {zone: region for found in seen for zone, region in found["zones"].items()}
     services: dict[str, dict[str, Any]] = {}
     for found in seen:
--- a/coralvale/cluster/commands/soak.py
+++ b/coralvale/cluster/commands/soak.py
@@ -4,7 +4,7 @@
 
 from pathlib import Path
 
-from coralvale.cluster.commands.asking import Fault
+from coralvale.cluster.commands.asking import CommandError
 
 
 def soak(
@@ -50,15 +50,17 @@
 
     try:
         if check:
-            return runs.check_again(Path(check), as_json)
+            return runs.recheck(Path(check), as_json)
         if gateways < 3 or seconds <= 0 or at_once < 1:
-            raise Fault("soak: at least 3 gateways, some seconds, and one run at once")
+            raise CommandError("soak: at least 3 gateways, some seconds, and one run at once")
         for wanted, package in ((shrink, "tomli_w"), (plot, "matplotlib")):
             if wanted and find_spec(package) is None:
-                raise Fault("soak: --shrink and --plot need the extra lab (pip install '.[lab]')")
-        schedules = [schedule.load(Path(replay))] if replay else runs.drawn(first, seeds, gateways, seconds)
+                raise CommandError("soak: --shrink and --plot need the extra lab (pip install '.[lab]')")
+        schedules = (
+            [schedule.load(Path(replay))] if replay else runs.draw_schedules(first, seeds, gateways, seconds)
+        )
         found = terms.read(Path(settings)) if settings else terms.Terms()
     except (SettingsError, schedule.ScheduleError, HistoryError, OSError) as error:
-        raise Fault(str(error)) from None
+        raise CommandError(str(error)) from None
     schedules = [found.fit(one) for one in schedules]
     return runs.play_all(schedules, runs.Options(Path(folder), found, at_once, log, as_json, plot, shrink))
--- a/coralvale/cluster/soak/callers.py
+++ b/coralvale/cluster/soak/callers.py
@@ -11,16 +11,16 @@
 from coralvale.cluster.soak.history import CallAnswer, Called, Writer, now
 from coralvale.standins.cluster import CTL, call
 
-HOLD = 2.0  # s that a lock is asked for
-LOCKS, COUNTERS, GROUPS, KEYS = 2, 2, 2, 3
-POLL = 1000  # ms that a watch waits
-SILENCE = 1.2  # s without an answer after which a caller turns elsewhere
-PUT_FOR = 6.0  # s for which a put without a clear answer is sent again
-PAUSE = 0.25  # s between a caller's calls
-TURNED_AWAY = (429, 503)  # nothing was done
+LOCK_HOLD_S = 2.0  # s that a lock is asked for
+LOCK_COUNT, COUNTER_COUNT, GROUP_COUNT, KEY_COUNT = 2, 2, 2, 3
+WATCH_POLL_MS = 1000  # ms that a watch waits
+CALL_TIMEOUT_S = 1.2  # s without an answer after which a caller turns elsewhere
+PUT_RETRY_S = 6.0  # s for which a put without a clear answer is sent again
+CALL_INTERVAL_S = 0.25  # s between a caller's calls
+NOT_EXECUTED_STATUSES = (429, 503)  # nothing was done
 
 
-class Numbers:
+class CallNumbers:
     """Numbers of calls, over all callers."""
 
     def __init__(self) -> None:
@@ -34,25 +34,25 @@
 class Caller:
     """One application: an owner of locks with one name over all its holds."""
 
-    def __init__(self, cluster: SoakCluster, history: Writer, numbers: Numbers, name: str) -> None:
+    def __init__(self, cluster: SoakCluster, history: Writer, numbers: CallNumbers, name: str) -> None:
         self.cluster, self.history, self.numbers, self.name = cluster, history, numbers, name
-        self.at = 0
+        self.gateway_index = 0
 
     async def hold_locks(self) -> None:
         """Takes a lock, keeps it for a while with renewals, and gives it back, or goes without a word."""
         while True:
-            name = f"lock-{random.randrange(LOCKS)}"
-            body = {"Owner": self.name, "HoldMs": HOLD * 1000}
-            found = await self._call("acquire", name, "locks.begin", body, hold=HOLD)
+            name = f"lock-{random.randrange(LOCK_COUNT)}"
+            body = {"Owner": self.name, "HoldMs": LOCK_HOLD_S * 1000}
+            found = await self._call("acquire", name, "locks.begin", body, hold=LOCK_HOLD_S)
             if found and found[0] == 200:
-                await self._keep(name, int(found[1]["fence"]))
-            await asyncio.sleep(PAUSE)
+                await self._renew_lock(name, int(found[1]["fence"]))
+            await asyncio.sleep(CALL_INTERVAL_S)
 
-    async def _keep(self, name: str, fence: int) -> None:
+    async def _renew_lock(self, name: str, fence: int) -> None:
         for _ in range(random.randrange(4)):
-            await asyncio.sleep(HOLD * random.uniform(0.1, 0.4))
-            body = {"Owner": self.name, "fence": fence, "HoldMs": HOLD * 1000}
-            found = await self._call("renew", name, "locks.heartbeat", body, fence=fence, hold=HOLD)
+            await asyncio.sleep(LOCK_HOLD_S * random.uniform(0.1, 0.4))
+            body = {"Owner": self.name, "fence": fence, "HoldMs": LOCK_HOLD_S * 1000}
+            found = await self._call("renew", name, "locks.heartbeat", body, fence=fence, hold=LOCK_HOLD_S)
             if found is None or found[0] != 200:
                 return
         if random.random() < 0.7:
@@ -62,39 +62,39 @@
 
     async def draw_numbers(self) -> None:
         while True:
-            await self._call("number", f"count-{random.randrange(COUNTERS)}", "", {})
-            await asyncio.sleep(PAUSE)
+            await self._call("number", f"count-{random.randrange(COUNTER_COUNT)}", "", {})
+            await asyncio.sleep(CALL_INTERVAL_S)
 
     async def put_and_get(self) -> None:
         while True:
-            key = f"group-{random.randrange(GROUPS)}.{random.randrange(KEYS)}"
+            key = f"group-{random.randrange(GROUP_COUNT)}.{random.randrange(KEY_COUNT)}"
             found = await self._call("get", key, "cells.read", None)
-            at = int(found[1]["Rev"]) if found and found[0] == 200 else 0
+            revision = int(found[1]["Rev"]) if found and found[0] == 200 else 0
             if found and found[0] in (200, 404):
-                await self._put(key, at)
-            await asyncio.sleep(PAUSE)
+                await self._put(key, revision)
+            await asyncio.sleep(CALL_INTERVAL_S)
 
-    async def _put(self, key: str, at: int) -> None:
+    async def _put(self, key: str, revision: int) -> None:
         """The same put until it has a clear answer, for a while."""
-        expected = at if random.random() < 0.5 else None
+        expected = revision if random.random() < 0.5 else None
         value = f"{random.getrandbits(64):016x}"
         body = {"Val": value} if expected is None else {"Val": value, "Duty": expected}
-        ends = now() + PUT_FOR
-        while now() < ends:
+        deadline = now() + PUT_RETRY_S
+        while now() < deadline:
             found = await self._call("put", key, "cells.replace", body, value=value, expected=expected)
             if found is not None:
                 return
             await asyncio.sleep(0.1)
 
     async def watch(self) -> None:
-        group, after = f"group-{random.randrange(GROUPS)}.", 0
+        group, after = f"group-{random.randrange(GROUP_COUNT)}.", 0
         while True:
             found = await self._call("watch", group, "", None, after=after)
             if found and found[0] == 200:
                 after = max(after, int(found[1]["Rev"]))
             elif found and found[0] == 410:
                 after = 0
-            await asyncio.sleep(0.05 if after else PAUSE)
+            await asyncio.sleep(0.05 if after else CALL_INTERVAL_S)
 
     async def _call(
         self,
@@ -111,32 +111,37 @@
     ) -> tuple[int, dict[str, Any]] | None:
         """Status and body of a clear answer; None without one."""
         addresses = self.cluster.addresses()
-        ip = addresses[self.at % len(addresses)]
+        ip = addresses[self.gateway_index % len(addresses)]
         number = self.numbers.next()
         self.history.write(Called(now(), number, kind, name, self.name, fence, hold, value, expected, after))
         text = json.dumps(body).encode() if body is not None else b""
         if kind == "watch":
             found = await call(
-                ip, CTL, "GET", f"/watch/{name}?after={after}&PollMs={POLL}", b"", SILENCE + POLL / 1000
+                ip,
+                CTL,
+                "GET",
+                f"/watch/{name}?after={after}&PollMs={WATCH_POLL_MS}",
+                b"",
+                CALL_TIMEOUT_S + WATCH_POLL_MS / 1000,
             )
         else:
             path = f"/numbers/{name}" if kind == "number" else f"/rpc?call={rpc}&of={name}"
-            found = await call(ip, CTL, "POST", path, text, SILENCE)
+            found = await call(ip, CTL, "POST", path, text, CALL_TIMEOUT_S)
         status = found.status if found else 0
-        clear = 0 < status < 500 or status in TURNED_AWAY
-        said: dict[str, Any] = json.loads(found.body or b"{}") if found and clear else {}
+        definite = 0 < status < 500 or status in NOT_EXECUTED_STATUSES
+        answer: dict[str, Any] = json.loads(found.body or b"{}") if found and definite else {}
         self.history.write(
             CallAnswer(
                 now(),
                 number,
-                status if clear else 0,
+                status if definite else 0,
                 self.cluster.number_of(ip),
-                int(said.get("fence", 0)),
-                str(said.get("Val", "")) if kind == "get" else "",
-                int(said["Val"]) if kind == "number" and "Val" in said else int(said.get("Rev", 0)),
-                tuple((e["Name"], e["Val"], e["Rev"]) for e in said.get("Events", ())),
+                int(answer.get("fence", 0)),
+                str(answer.get("Val", "")) if kind == "get" else "",
+                int(answer["Val"]) if kind == "number" and "Val" in answer else int(answer.get("Rev", 0)),
+                tuple((e["Name"], e["Val"], e["Rev"]) for e in answer.get("Events", ())),
             )
         )
-        if not clear or status in TURNED_AWAY:
-            self.at += 1
-        return (status, said) if clear and status not in TURNED_AWAY else None
+        if not definite or status in NOT_EXECUTED_STATUSES:
+            self.gateway_index += 1
+        return (status, answer) if definite and status not in NOT_EXECUTED_STATUSES else None
--- a/coralvale/cluster/soak/checker.py
+++ b/coralvale/cluster/soak/checker.py
@@ -16,29 +16,29 @@
 Rule = Callable[[Timeline], Iterator[Violation]]
 
 RULES: tuple[Rule, ...] = (
-    rules_requests.answered,
-    rules_requests.runs,
+    rules_requests.answers_match_runs,
+    rules_requests.request_runs,
     rules_requests.own_answers,
-    rules_requests.ends,
-    rules_requests.drained,
+    rules_requests.request_ends,
+    rules_requests.drained_hosts,
     rules_requests.quotas,
-    rules_configuration.acknowledged,
-    rules_configuration.read_back,
-    rules_configuration.in_force,
+    rules_configuration.accepted_changes,
+    rules_configuration.configuration_reads,
+    rules_configuration.routes_in_force,
     rules_coordination.locks,
     rules_coordination.numbers,
     rules_coordination.revisions,
     rules_coordination.reads,
     rules_coordination.watches,
-    rules_processes.processes,
+    rules_processes.process_ends,
     rules_processes.growth,
 )
 
 
 def check(events: Iterable[Event], rules: tuple[Rule, ...] = RULES) -> list[Violation]:
     """All violations, by time."""
-    line = Timeline(events)
-    return sorted((v for rule in rules for v in rule(line)), key=lambda v: v.at)
+    timeline = Timeline(events)
+    return sorted((v for rule in rules for v in rule(timeline)), key=lambda v: v.at)
 
 
 __all__ = ["RULES", "Rule", "Violation", "check"]
--- a/coralvale/cluster/soak/clients.py
+++ b/coralvale/cluster/soak/clients.py
@@ -25,13 +25,13 @@
 from coralvale.standins.wire import Message
 
 VHOST = "demo.example"
-LIMIT = 2.5  # s that a request may take; the routes' time-outs are longer
-OVERTIME = 15.0  # s beyond its time after which a client gives up
-CONNECT = 3.0  # s
-LEAVES_AFTER = 0.05  # s, at most, after which a client that leaves does so
+TIME_LIMIT_S = 2.5  # s that a request may take; the routes' time-outs are longer
+GIVE_UP_AFTER_S = 15.0  # s beyond its time after which a client gives up
+CONNECT_TIMEOUT_S = 3.0  # s
+MAX_LEAVE_DELAY_S = 0.05  # s, at most, after which a client that leaves does so
 
 
-class Manner(Enum):
+class RequestStyle(Enum):
     """How a request is made and its answer read."""
 
     PLAIN = "plain"
@@ -42,25 +42,27 @@
 
 
 @define
-class Asked:
+class RequestSpec:
     """One request as it is to be sent."""
 
     path: str
     repeatable: bool
     key: str
     tenant: str
-    manner: Manner = Manner.PLAIN
+    style: RequestStyle = RequestStyle.PLAIN
     proper: bool = True
 
 
 class Client:
     """One connection at a time, one request at a time on it."""
 
-    def __init__(self, cluster: SoakCluster, history: Writer, number: int, heeds_close: bool = True) -> None:
+    def __init__(
+        self, cluster: SoakCluster, history: Writer, number: int, honours_close: bool = True
+    ) -> None:
         """`heeds_close`: ends its connection after an answer with `Connection: close`; else it goes on using
         it until the gateway ends it."""
         self.cluster, self.history, self.number = cluster, history, number
-        self.heeds_close = heeds_close
+        self.honours_close = honours_close
         self.gateway = self.life = self.connection = -1
         self.reader: asyncio.StreamReader | None = None
         self.writer: asyncio.StreamWriter | None = None
@@ -69,7 +71,7 @@
         """Whether a connection to this gateway came up."""
         self.close()
         try:
-            async with asyncio.timeout(CONNECT):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 self.reader, self.writer = await asyncio.open_connection(self.cluster.ips[gateway], EDGE)
         except (OSError, TimeoutError):
             return False
@@ -94,75 +96,75 @@
             self.writer.transport.abort()
         self.reader = self.writer = None
 
-    async def ask(self, asked: Asked) -> int:
+    async def send(self, spec: RequestSpec) -> int:
         """The status of the answer; 0 without a whole one."""
         if self.writer is None and not await self.connect_to_any():
             await asyncio.sleep(0.1)
             return 0
         id_ = f"{random.getrandbits(64):016x}"
-        self._say(
+        self._record(
             Sent(
                 now(),
                 id_,
                 self.gateway,
                 self.life,
                 self.number * 1_000_000 + self.connection,
-                asked.path,
-                asked.repeatable,
-                asked.tenant,
-                LIMIT,
-                asked.proper,
+                spec.path,
+                spec.repeatable,
+                spec.tenant,
+                TIME_LIMIT_S,
+                spec.proper,
             )
         )
         try:
-            return await self._exchange(id_, asked)
+            return await self._exchange(id_, spec)
         except TimeoutError:
-            self._say(Silent(now(), id_))
+            self._record(Silent(now(), id_))
         except asyncio.IncompleteReadError as error:
-            self._say(Closed(now(), id_, begun=bool(error.partial)))
+            self._record(Closed(now(), id_, begun=bool(error.partial)))
         except (OSError, ValueError):
-            self._say(Closed(now(), id_))
+            self._record(Closed(now(), id_))
         except asyncio.CancelledError:
-            self._say(Left(now(), id_))
+            self._record(Left(now(), id_))
             self.close()
             raise
         self.close()
         return 0
 
-    async def _exchange(self, id_: str, asked: Asked) -> int:
+    async def _exchange(self, id_: str, spec: RequestSpec) -> int:
         assert self.reader and self.writer
-        self.writer.write(_bytes_of(id_, asked))
-        async with asyncio.timeout(LIMIT + OVERTIME):
+        self.writer.write(_encode(id_, spec))
+        async with asyncio.timeout(TIME_LIMIT_S + GIVE_UP_AFTER_S):
             await self.writer.drain()
-            self._say(Written(now(), id_))
-            if asked.manner is Manner.LEAVES:
-                await asyncio.sleep(random.uniform(0, LEAVES_AFTER))
-                self._say(Left(now(), id_))
+            self._record(Written(now(), id_))
+            if spec.style is RequestStyle.LEAVES:
+                await asyncio.sleep(random.uniform(0, MAX_LEAVE_DELAY_S))
+                self._record(Left(now(), id_))
                 self.close()
                 self.gateway = -1  # it comes back like a new client
                 return 0
-            pause = 0.02 if asked.manner is Manner.SLOW else 0.0
+            pause = 0.02 if spec.style is RequestStyle.SLOW else 0.0
             found = await read_message(self.reader, pause, 16384)
-        self._say(_answered(id_, found))
-        if self.heeds_close and found.headers.get(b"connection", b"").lower() == b"close":
+        self._record(_answered(id_, found))
+        if self.honours_close and found.headers.get(b"connection", b"").lower() == b"close":
             self.close()
         return found.status
 
-    def _say(self, event: Event) -> None:
+    def _record(self, event: Event) -> None:
         self.history.write(event)
 
 
-def _bytes_of(id_: str, asked: Asked) -> bytes:
+def _encode(id_: str, spec: RequestSpec) -> bytes:
     headers = {
         "Host": VHOST,
         "X-Myrtlehatch-Request-Id": id_,
-        "X-Myrtlehatch-Time-Left": str(int(LIMIT * 1000)),
-        "Authorization": f"Bearer {asked.key}",
+        "X-Myrtlehatch-Time-Left": str(int(TIME_LIMIT_S * 1000)),
+        "Authorization": f"Bearer {spec.key}",
     }
-    if asked.manner not in (Manner.BODY, Manner.CHUNKED):
-        return request("GET" if asked.repeatable else "POST", asked.path, headers, b"")
+    if spec.style not in (RequestStyle.BODY, RequestStyle.CHUNKED):
+        return request("GET" if spec.repeatable else "POST", spec.path, headers, b"")
     body = body_of(id_, random.randrange(1, 40_000))
-    return request("POST", asked.path, headers, body, asked.manner is Manner.CHUNKED)
+    return request("POST", spec.path, headers, body, spec.style is RequestStyle.CHUNKED)
 
 
 def _answered(id_: str, found: Message) -> Answered:
--- a/coralvale/cluster/soak/hosts.py
+++ b/coralvale/cluster/soak/hosts.py
@@ -14,9 +14,9 @@
 from coralvale.standins.cluster import BEAT, CTL, call
 from coralvale.standins.wire import Message, answer
 
-LONG = 192 * 1024  # bytes of a long answer
-LINGER = (5.0, 14.0)  # s for which a host serves on after its leave was acknowledged: from, to
-UNHEARD = 5.0  # s after which a host that leaves goes without an acknowledgement
+LONG_BODY_BYTES = 192 * 1024  # bytes of a long answer
+LEAVE_DELAY_RANGE_S = (5.0, 14.0)  # s for which a host serves on after its leave was acknowledged: from, to
+LEAVE_TIMEOUT_S = 5.0  # s after which a host that leaves goes without an acknowledgement
 
 
 class SoakHost:
@@ -25,10 +25,10 @@
     def __init__(self, history: Writer, service: str, cluster: SoakCluster, zone: str) -> None:
         self.history, self.service, self.cluster, self.zone = history, service, cluster, zone
         self.ip = cluster.ips[0]
-        self.work = 0.02  # s
+        self.service_time = 0.02  # s
         self.state = "up"
         self.slots = 8
-        self.running = self.calls = 0
+        self.in_flight = self.heartbeats_sent = 0
         self.id = f"i-{random.randrange(1 << 40):010x}"
         self.relay = Relay(self.ip)
         self.tasks: set[asyncio.Task[None]] = set()
@@ -36,8 +36,8 @@
     async def start(self) -> SoakHost:
         self.server = await asyncio.start_server(self._serve, self.ip, 0)
         self.port = await self.relay.start(self.server.sockets[0].getsockname()[1])
-        self._say("up")
-        self.beats = asyncio.create_task(self._beats())
+        self._record("up")
+        self.heartbeat_task = asyncio.create_task(self._heartbeat_loop())
         return self
 
     def crash(self) -> None:
@@ -47,13 +47,13 @@
     async def leave(self) -> None:
         """Says that it drains until that is acknowledged, serves on for a while, deregisters and ends."""
         self.state = "draining"
-        self._say("draining")
-        ends = now() + UNHEARD
-        while now() < ends:
-            gateway = await self._beat()
+        self._record("draining")
+        deadline = now() + LEAVE_TIMEOUT_S
+        while now() < deadline:
+            gateway = await self._heartbeat()
             if gateway >= 0:
-                self._say("acknowledged", gateway)
-                await asyncio.sleep(random.uniform(*LINGER))
+                self._record("acknowledged", gateway)
+                await asyncio.sleep(random.uniform(*LEAVE_DELAY_RANGE_S))
                 ip = random.choice(self.cluster.addresses())
                 await call(ip, CTL, "POST", f"/rpc?call=instances.deregister&of={self.id}")
                 break
@@ -64,24 +64,24 @@
         if self.state == "ended":
             return
         self.state = "ended"
-        self._say(what)
-        self.beats.cancel()
+        self._record(what)
+        self.heartbeat_task.cancel()
         self.server.close()
         self.relay.stop()
         for task in list(self.tasks):
             task.cancel()
 
-    def _say(self, what: str, gateway: int = -1) -> None:
+    def _record(self, what: str, gateway: int = -1) -> None:
         self.history.write(HostState(now(), self.id, self.service, what, gateway))
 
-    async def _beats(self) -> None:
+    async def _heartbeat_loop(self) -> None:
         while True:
-            await self._beat()
+            await self._heartbeat()
             await asyncio.sleep(BEAT)
 
-    async def _beat(self) -> int:
+    async def _heartbeat(self) -> int:
         """The gateway that acknowledged; -1: none did."""
-        self.calls += 1
+        self.heartbeats_sent += 1
         body = {
             "Svc": self.service,
             "Address": f"{self.ip}:{self.port}",
@@ -90,7 +90,7 @@
             "Capacity": self.slots,
             "State": self.state,
             "WarmupMs": 0,
-            "Calls": self.calls,
+            "Calls": self.heartbeats_sent,
         }
         path = f"/rpc?call=instances.heartbeat&of={self.id}"
         addresses = self.cluster.addresses()
@@ -122,22 +122,22 @@
         if message.headers.get(b"x-myrtlehatch-want-instance", b"").decode() != self.id:
             writer.write(answer(421, b"", X_Myrtlehatch_Not_Executed="1"))
             return
-        if self.running >= self.slots * 4:
+        if self.in_flight >= self.slots * 4:
             writer.write(answer(503, b"", X_Myrtlehatch_Not_Executed="1"))
             return
         tenant = message.headers.get(b"x-myrtlehatch-tenant", b"").decode()
         self.history.write(Ran(now(), id_, self.id, tenant, is_body_of(id_, message.body)))
-        self.running += 1
+        self.in_flight += 1
         try:
-            await asyncio.sleep(self.work * (0.5 + random.random()))
-            size = LONG if b"/long/" in message.first else 200
+            await asyncio.sleep(self.service_time * (0.5 + random.random()))
+            size = LONG_BODY_BYTES if b"/long/" in message.first else 200
             writer.write(
                 answer(
                     200,
                     body_of(id_, size),
                     X_Myrtlehatch_Request_Id=id_,
                     X_Myrtlehatch_Seal=f"seal.{self.id}",
-                    X_Myrtlehatch_Load=f"{self.running},0,{self.slots}",
+                    X_Myrtlehatch_Load=f"{self.in_flight},0,{self.slots}",
                 )
             )
             await writer.drain()
@@ -145,7 +145,7 @@
             self.history.write(Broke(now(), id_, self.id))
             raise
         finally:
-            self.running -= 1
+            self.in_flight -= 1
         if writer.is_closing() or reader.at_eof():
             self.history.write(Broke(now(), id_, self.id))
         else:
--- a/coralvale/cluster/soak/main.py
+++ b/coralvale/cluster/soak/main.py
@@ -18,7 +18,7 @@
 from coralvale.cluster.soak.shrink import shrink
 from coralvale.cluster.soak.terms import Terms
 
-NETS = 40_000  # address ranges 127.x.y that runs side by side are spread over
+NETWORK_COUNT = 40_000  # address ranges 127.x.y that runs side by side are spread over
 
 
 @frozen
@@ -34,10 +34,10 @@
     shrink: bool = False
 
 
-def net(place: int) -> str:
+def loopback_network(index: int) -> str:
     """An address range of this process's own, for a run."""
-    lot = (os.getpid() * 64 + place % 64) % NETS + 20_000
-    return f"127.{lot >> 8}.{lot & 255}"
+    number = (os.getpid() * 64 + index % 64) % NETWORK_COUNT + 20_000
+    return f"127.{number >> 8}.{number & 255}"
 
 
 def play_all(schedules: list[Schedule], options: Options) -> int:
@@ -50,17 +50,17 @@
 
 
 async def _play_all(schedules: list[Schedule], options: Options) -> int:
-    whole = asyncio.current_task()
-    assert whole
+    main_task = asyncio.current_task()
+    assert main_task
     # Told to end, it ends its gateways too.
-    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, whole.cancel)
-    turns = asyncio.Semaphore(options.at_once)
+    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, main_task.cancel)
+    slots = asyncio.Semaphore(options.at_once)
 
-    async def one(place: int, schedule: Schedule) -> int:
-        async with turns:
-            return await _play_one(place, schedule, options)
+    async def one(index: int, schedule: Schedule) -> int:
+        async with slots:
+            return await _play_one(index, schedule, options)
 
-    codes = await asyncio.gather(*(one(place, schedule) for place, schedule in enumerate(schedules)))
+    codes = await asyncio.gather(*(one(index, schedule) for index, schedule in enumerate(schedules)))
     if not options.as_json:
         print(
             f"{len(codes)} runs, {codes.count(0)} well, {codes.count(1)} broken, {codes.count(2)} not played"
@@ -68,24 +68,24 @@
     return max(codes, default=0)
 
 
-async def _play_one(place: int, schedule: Schedule, options: Options) -> int:
+async def _play_one(index: int, schedule: Schedule, options: Options) -> int:
     folder = options.folder / f"seed-{schedule.seed}"
     try:
-        outcome = await _play(place, schedule, folder, options)
+        outcome = await _play(index, schedule, folder, options)
     except SoakError as error:
         print(f"seed {schedule.seed}: not played: {error}", file=sys.stderr)
         return 2
-    _tell(outcome, folder, options)
+    _report(outcome, folder, options)
     if outcome.violations and options.shrink:
-        await _shrink(place, outcome, folder, options)
+        await _shrink(index, outcome, folder, options)
     return 1 if outcome.violations else 0
 
 
-async def _play(place: int, schedule: Schedule, folder: Path, options: Options) -> Outcome:
-    return await play(schedule, folder, net(place), level=options.level, terms=options.terms)
+async def _play(index: int, schedule: Schedule, folder: Path, options: Options) -> Outcome:
+    return await play(schedule, folder, loopback_network(index), level=options.level, terms=options.terms)
 
 
-def _tell(outcome: Outcome, folder: Path, options: Options) -> None:
+def _report(outcome: Outcome, folder: Path, options: Options) -> None:
     summary = report.summarise(outcome.events, outcome.violations, outcome.left_out)
     if options.as_json:
         print(msgspec.json.encode(summary).decode(), flush=True)
@@ -94,19 +94,19 @@
     broken = []
     for violation in outcome.violations:
         broken += [f"{violation.at:.3f} {violation.rule} {violation.subject}: {violation.text}"]
-        broken += [f"  {line}" for line in report.around(outcome.events, violation)]
+        broken += [f"  {line}" for line in report.context(outcome.events, violation)]
     (folder / "broken.txt").write_text("\n".join(broken))
     if options.plot:
         report.plot(outcome.events, folder / "plot.png")
 
 
-async def _shrink(place: int, outcome: Outcome, folder: Path, options: Options) -> None:
+async def _shrink(index: int, outcome: Outcome, folder: Path, options: Options) -> None:
     """Writes the least schedule found that breaks one of the same rules."""
     rules = {violation.rule for violation in outcome.violations}
 
     async def fails(schedule: Schedule) -> bool:
         try:
-            found = await _play(place, schedule, folder / "shrink", options)
+            found = await _play(index, schedule, folder / "shrink", options)
         except SoakError:
             return False
         return any(violation.rule in rules for violation in found.violations)
@@ -118,14 +118,14 @@
     )
 
 
-def check_again(path: Path, as_json: bool) -> int:
+def recheck(path: Path, as_json: bool) -> int:
     """Checks a history that was written before. Raises HistoryError."""
     events = read(path)
     violations = checker.check(events)
     summary = report.summarise(events, violations)
     print(msgspec.json.encode(summary).decode() if as_json else report.text(summary))
-    return 0 if summary.well else 1
+    return 0 if summary.passed else 1
 
 
-def drawn(first: int, seeds: int, gateways: int, seconds: float) -> list[Schedule]:
+def draw_schedules(first: int, seeds: int, gateways: int, seconds: float) -> list[Schedule]:
     return [draw(seed, gateways, seconds) for seed in range(first, first + seeds)]
--- a/coralvale/cluster/soak/measure.py
+++ b/coralvale/cluster/soak/measure.py
@@ -11,27 +11,27 @@
 from coralvale.cluster.soak.history import Sample, Stall, Writer, now
 from coralvale.standins.cluster import CTL, call
 
-EVERY = 0.5  # s between samples of a process
-LOOK = 0.05  # s between looks at the own event loop
-LATE = 0.05  # s of lateness that is recorded
-PAGE = os.sysconf("SC_PAGE_SIZE") // 1024  # KiB
+SAMPLE_INTERVAL_S = 0.5  # s between samples of a process
+STALL_CHECK_INTERVAL_S = 0.05  # s between looks at the own event loop
+MIN_STALL_S = 0.05  # s of lateness that is recorded
+PAGE_KIB = os.sysconf("SC_PAGE_SIZE") // 1024  # KiB
 
 
-async def sample(cluster: SoakCluster, history: Writer) -> None:
+async def sample_processes(cluster: SoakCluster, history: Writer) -> None:
     """Samples all processes for as long as it is let."""
     while True:
         for number, process in list(cluster.processes.items()):
             if number not in cluster.frozen:
-                await _sample(cluster, history, number, process.pid)
-        await asyncio.sleep(EVERY)
+                await _sample_process(cluster, history, number, process.pid)
+        await asyncio.sleep(SAMPLE_INTERVAL_S)
 
 
-async def _sample(cluster: SoakCluster, history: Writer, number: int, pid: int) -> None:
+async def _sample_process(cluster: SoakCluster, history: Writer, number: int, pid: int) -> None:
     life = cluster.lives[number]
     tasks = await _tasks(cluster, number)
     with contextlib.suppress(OSError, ValueError, IndexError):
         descriptors = len(os.listdir(f"/proc/{pid}/fd"))
-        memory = int(_read(f"/proc/{pid}/statm").split()[1]) * PAGE
+        memory = int(_read(f"/proc/{pid}/statm").split()[1]) * PAGE_KIB
         waited = int(_read(f"/proc/{pid}/schedstat").split()[1]) / 1e9
         if cluster.lives[number] == life:
             history.write(Sample(now(), number, life, descriptors, memory, waited, tasks))
@@ -49,11 +49,11 @@
     return int(json.loads(found.body).get("tasks", 0))
 
 
-async def watch_own_loop(history: Writer) -> None:
+async def record_stalls(history: Writer) -> None:
     """Records by how much this process is late: its clients' times are late by as much."""
     while True:
         begun = now()
-        await asyncio.sleep(LOOK)
-        late = now() - begun - LOOK
-        if late > LATE:
+        await asyncio.sleep(STALL_CHECK_INTERVAL_S)
+        late = now() - begun - STALL_CHECK_INTERVAL_S
+        if late > MIN_STALL_S:
             history.write(Stall(now(), late))
--- a/coralvale/cluster/soak/nemesis.py
+++ b/coralvale/cluster/soak/nemesis.py
@@ -16,10 +16,12 @@
 from coralvale.cluster.soak.workload import Workload
 from coralvale.standins.cluster import CTL, call
 
-SEATED = 30.0  # s for which a voter that comes back is waited for before it counts as back all the same
-SYNC = 4.0  # s for which it still counts as lost after its return, as the settings have it
-TURN = 20.0  # s for which an act waits for its turn; then it is left out
-HERD = 0.9  # s within which all are back that were killed at one moment
+VOTER_TIMEOUT_S = (
+    30.0  # s for which a voter that comes back is waited for before it counts as back all the same
+)
+SYNC_GRACE_S = 4.0  # s for which it still counts as lost after its return, as the settings have it
+BUDGET_TIMEOUT_S = 20.0  # s for which an act waits for its turn; then it is left out
+MASS_KILL_PAUSE_S = 0.9  # s within which all are back that were killed at one moment
 
 
 class Nemesis:
@@ -27,51 +29,51 @@
 
     def __init__(self, cluster: SoakCluster, workload: Workload, history: Writer, schedule: Schedule) -> None:
         self.cluster, self.workload, self.history, self.schedule = cluster, workload, history, schedule
-        self.lost: Counter[int] = Counter()  # acts by which a voter counts as lost
+        self.lost_voters: Counter[int] = Counter()  # acts by which a voter counts as lost
         self.busy: set[int] = set()  # gateways that an act of process or disk holds
-        self.herding = False
+        self.mass_kill = False
         self.left_out = 0
         self.acts: dict[str, Callable[[Act], Awaitable[object]]] = {
             "restart": self._restart,
             "kill": self._kill,
-            "herd": self._herd,
+            "herd": self._kill_all,
             "freeze": self._freeze,
-            "hup": self._settings,
-            "hup-bad": self._settings,
+            "hup": self._reload_settings,
+            "hup-bad": self._reload_settings,
             "wipe": self._wipe,
             "disk-full": self._fill_disk,
-            "move": self._move,
+            "move": self._replace,
             "reset": self._reset,
             "silence": self._silence,
             "host-crash": self._host_crash,
             "host-leave": self._host_leave,
             "host-slow": self._host_slow,
-            "change-bad": lambda act: self.workload.operator.bad(),
-            "change-rival": lambda act: self.workload.operator.rivals(),
+            "change-bad": lambda act: self.workload.operator.send_invalid(),
+            "change-rival": lambda act: self.workload.operator.send_rivals(),
             "change-burst": self._burst,
         }
 
     async def play(self) -> None:
         """All acts at their times, and until the last is over."""
-        begun = now()
+        started_at = now()
         tasks = []
         for act in self.schedule.acts:
-            await asyncio.sleep(max(0.0, begun + act.at - now()))
-            tasks.append(asyncio.create_task(self._play(act)))
-        await asyncio.sleep(max(0.0, begun + self.schedule.seconds - now()))
+            await asyncio.sleep(max(0.0, started_at + act.at - now()))
+            tasks.append(asyncio.create_task(self._run(act)))
+        await asyncio.sleep(max(0.0, started_at + self.schedule.seconds - now()))
         for found in await asyncio.gather(*tasks, return_exceptions=True):
             if isinstance(found, BaseException):
                 raise found
 
-    async def _play(self, act: Act) -> None:
+    async def _run(self, act: Act) -> None:
         await self.acts[act.kind](act)
 
-    def _say(self, act: Act, target: object) -> None:
+    def _record(self, act: Act, target: object) -> None:
         self.history.write(h.Act(now(), act.kind, str(target), act.series))
 
     # Whose turn it is
 
-    async def _gateway(self, act: Act) -> int | None:
+    async def _target(self, act: Act) -> int | None:
         members = self.cluster.members()
         if act.target >= 0:
             return members[act.target % len(members)]
@@ -87,45 +89,45 @@
                     return self.cluster.number_of(leader)
         return None
 
-    async def _turn(self, number: int, whole: bool = False) -> bool:
+    async def _acquire_budget(self, number: int, with_disk: bool = False) -> bool:
         """Waits until the gateway may be lost; `whole`: with its disk, so that no other may be lost."""
-        ends = now() + TURN
-        while not self._may_lose(number, whole):
-            if now() > ends:
+        deadline = now() + BUDGET_TIMEOUT_S
+        while not self._within_budget(number, with_disk):
+            if now() > deadline:
                 self.left_out += 1
                 return False
             await asyncio.sleep(0.1)
-        self._lose(number)
+        self._mark_lost(number)
         return True
 
-    def _may_lose(self, number: int, whole: bool) -> bool:
-        if self.herding:
+    def _within_budget(self, number: int, with_disk: bool) -> bool:
+        if self.mass_kill:
             return False
-        if number not in self.cluster.holders:
+        if number not in self.cluster.disk_gateways:
             return True
-        others = [n for n in self.lost if n != number]
+        others = [n for n in self.lost_voters if n != number]
         budget = self.cluster.budget
-        return len(others) < (min(1, budget) if whole else budget)
+        return len(others) < (min(1, budget) if with_disk else budget)
 
-    def _lose(self, number: int) -> None:
-        if number in self.cluster.holders:
-            self.lost[number] += 1
+    def _mark_lost(self, number: int) -> None:
+        if number in self.cluster.disk_gateways:
+            self.lost_voters[number] += 1
 
-    def _found(self, number: int) -> None:
-        self.lost[number] -= 1
-        self.lost = +self.lost
+    def _mark_recovered(self, number: int) -> None:
+        self.lost_voters[number] -= 1
+        self.lost_voters = +self.lost_voters
 
-    async def _back(self, number: int) -> None:
+    async def _wait_until_recovered(self, number: int) -> None:
         """A voter that returned counts as lost until it has its seat again, and for some time."""
-        if number not in self.cluster.holders:
+        if number not in self.cluster.disk_gateways:
             return
-        ends = now() + SEATED
-        while now() < ends and not await self._seated(number):
+        deadline = now() + VOTER_TIMEOUT_S
+        while now() < deadline and not await self._is_voter(number):
             await asyncio.sleep(0.2)
-        await asyncio.sleep(SYNC)
-        self._found(number)
+        await asyncio.sleep(SYNC_GRACE_S)
+        self._mark_recovered(number)
 
-    async def _seated(self, number: int) -> bool:
+    async def _is_voter(self, number: int) -> bool:
         ip = self.cluster.ips[number]
         found = await call(ip, CTL, "POST", "/rpc?call=gateway.status", patience=0.5)
         return found is not None and found.status == 200 and json.loads(found.body)["replica"] == "voter"
@@ -133,140 +135,140 @@
     # Processes
 
     async def _restart(self, act: Act) -> None:
-        await self._end_and_begin(act, signal.SIGTERM)
+        await self._end_and_restart(act, signal.SIGTERM)
 
     async def _kill(self, act: Act) -> None:
-        await self._end_and_begin(act, signal.SIGKILL)
+        await self._end_and_restart(act, signal.SIGKILL)
 
-    async def _end_and_begin(self, act: Act, how: int) -> None:
-        number = await self._gateway(act)
+    async def _end_and_restart(self, act: Act, how: int) -> None:
+        number = await self._target(act)
         if number is None or number in self.busy:
             return
         self.busy.add(number)
         try:
-            if how == signal.SIGTERM and not await self.cluster.has_begun(number, TURN):
+            if how == signal.SIGTERM and not await self.cluster.is_responsive(number, BUDGET_TIMEOUT_S):
                 return
-            if not await self._turn(number):
+            if not await self._acquire_budget(number):
                 return
-            self._say(act, number)
+            self._record(act, number)
             await self.cluster.kill(number, how)
             await asyncio.sleep(act.seconds)
             await self.cluster.begin(number)
         finally:
             self.busy.discard(number)
-        await self._back(number)
+        await self._wait_until_recovered(number)
 
-    async def _herd(self, act: Act) -> None:
+    async def _kill_all(self, act: Act) -> None:
         """All processes are killed at one moment, and come back within a second."""
-        ends = now() + TURN
-        while self.busy or self.lost or self.herding:
-            if now() > ends:
+        deadline = now() + BUDGET_TIMEOUT_S
+        while self.busy or self.lost_voters or self.mass_kill:
+            if now() > deadline:
                 self.left_out += 1
                 return
             await asyncio.sleep(0.1)
-        self.herding = True
-        self._say(act, "all")
+        self.mass_kill = True
+        self._record(act, "all")
         numbers = self.cluster.running()
         self.busy.update(numbers)
         for number in numbers:
-            self._lose(number)
+            self._mark_lost(number)
         try:
             await asyncio.gather(*(self.cluster.kill(n) for n in numbers))
-            await asyncio.sleep(min(HERD, act.seconds))
+            await asyncio.sleep(min(MASS_KILL_PAUSE_S, act.seconds))
             for number in numbers:
                 await self.cluster.begin(number)
         finally:
             self.busy.difference_update(numbers)
-            self.herding = False
-        await asyncio.gather(*(self._back(n) for n in numbers))
+            self.mass_kill = False
+        await asyncio.gather(*(self._wait_until_recovered(n) for n in numbers))
 
     async def _freeze(self, act: Act) -> None:
-        number = await self._gateway(act)
-        if number is None or number in self.lost or not await self._turn(number):
+        number = await self._target(act)
+        if number is None or number in self.lost_voters or not await self._acquire_budget(number):
             return
         if self.cluster.freeze(number):
-            self._say(act, number)
+            self._record(act, number)
             await asyncio.sleep(act.seconds)
             self.cluster.thaw(number)
-        await self._back(number)
+        await self._wait_until_recovered(number)
 
-    async def _settings(self, act: Act) -> None:
-        number = await self._gateway(act)
-        if number is None or number in self.busy or not await self.cluster.has_begun(number, 1.0):
+    async def _reload_settings(self, act: Act) -> None:
+        number = await self._target(act)
+        if number is None or number in self.busy or not await self.cluster.is_responsive(number, 1.0):
             return
-        self._say(act, number)
-        self.cluster.settings_changed(number, bad=act.kind == "hup-bad")
+        self._record(act, number)
+        self.cluster.reload_settings(number, invalid=act.kind == "hup-bad")
         if act.kind == "hup-bad":
             await asyncio.sleep(0.5)
             if number not in self.busy:
-                self.cluster.settings_changed(number, bad=False)
+                self.cluster.reload_settings(number, invalid=False)
 
     async def _wipe(self, act: Act) -> None:
         """A process is killed and its disk lost; it comes back at its address on an empty one."""
-        number = await self._gateway(act)
+        number = await self._target(act)
         if number is None or number in self.busy:
             return
         self.busy.add(number)
         try:
-            if not await self._turn(number, whole=True):
+            if not await self._acquire_budget(number, with_disk=True):
                 return
-            self._say(act, number)
+            self._record(act, number)
             await self.cluster.kill(number)
             self.cluster.wipe(number)
             await asyncio.sleep(act.seconds)
             await self.cluster.begin(number)
         finally:
             self.busy.discard(number)
-        await self._back(number)
+        await self._wait_until_recovered(number)
 
     async def _fill_disk(self, act: Act) -> None:
         """A voter's disk takes no more for a while."""
-        voters = [n for n in self.cluster.members() if n in self.cluster.holders]
+        voters = [n for n in self.cluster.members() if n in self.cluster.disk_gateways]
         number = voters[act.target % len(voters)]
-        if number in self.busy or not await self._turn(number):
+        if number in self.busy or not await self._acquire_budget(number):
             return
         if self.cluster.fill_disk(number):
-            self._say(act, number)
+            self._record(act, number)
             await asyncio.sleep(act.seconds)
-            self.cluster.clear_disk(number)
-        await self._back(number)
+            self.cluster.free_disk(number)
+        await self._wait_until_recovered(number)
 
-    async def _move(self, act: Act) -> None:
+    async def _replace(self, act: Act) -> None:
         """A gateway is told to end and does not come back; another begins at a new address."""
-        number = await self._gateway(act)
+        number = await self._target(act)
         if number is None or number in self.busy:
             return
         self.busy.add(number)
-        if not await self._turn(number, whole=True):
+        if not await self._acquire_budget(number, with_disk=True):
             self.busy.discard(number)
             return
-        how = signal.SIGTERM if await self.cluster.has_begun(number, 1.0) else signal.SIGKILL
-        self._say(act, number)
+        how = signal.SIGTERM if await self.cluster.is_responsive(number, 1.0) else signal.SIGKILL
+        self._record(act, number)
         await self.cluster.kill(number, random.choice((how, signal.SIGKILL)))
         await asyncio.sleep(act.seconds)
         fresh = await self.cluster.move(number)
-        self._lose(fresh)
-        self._found(number)
-        await self._back(fresh)
+        self._mark_lost(fresh)
+        self._mark_recovered(number)
+        await self._wait_until_recovered(fresh)
 
     # Hosts and their links
 
     async def _reset(self, act: Act) -> None:
         host = self.workload.hosts[act.target % len(self.workload.hosts)]
-        self._say(act, host.id)
+        self._record(act, host.id)
         self.history.write(h.Link(now(), host.id, "reset"))
         host.relay.reset()
 
     async def _silence(self, act: Act) -> None:
         host = self.workload.hosts[act.target % len(self.workload.hosts)]
-        self._say(act, host.id)
+        self._record(act, host.id)
         self.history.write(h.Link(now(), host.id, "silent"))
         await host.relay.silence(act.seconds)
         self.history.write(h.Link(now(), host.id, "well"))
 
     async def _host_crash(self, act: Act) -> None:
         host = self.workload.hosts[act.target % len(self.workload.hosts)]
-        self._say(act, host.id)
+        self._record(act, host.id)
         self.workload.hosts.remove(host)
         host.crash()
         await asyncio.sleep(act.seconds)
@@ -274,18 +276,18 @@
 
     async def _host_leave(self, act: Act) -> None:
         host = self.workload.hosts[act.target % len(self.workload.hosts)]
-        self._say(act, host.id)
-        self.workload.leave(host)
+        self._record(act, host.id)
+        self.workload.retire_host(host)
         await self.workload.start_host(host.service, host.zone)
 
     async def _host_slow(self, act: Act) -> None:
         host = self.workload.hosts[act.target % len(self.workload.hosts)]
-        self._say(act, host.id)
-        usual, host.work = host.work, 0.6
+        self._record(act, host.id)
+        usual, host.service_time = host.service_time, 0.6
         await asyncio.sleep(act.seconds)
-        host.work = usual
+        host.service_time = usual
 
     async def _burst(self, act: Act) -> None:
-        self._say(act, "operator")
+        self._record(act, "operator")
         for _ in range(3):
             await self.workload.operator.change()
--- a/coralvale/cluster/soak/operator.py
+++ b/coralvale/cluster/soak/operator.py
@@ -14,11 +14,11 @@
 
 SERVICES = ("schedule", "archive")
 QUOTAS = {"station": (0.0, 0.0), "hot": (4.0, 4.0)}  # by tenant: requests a second, burst
-PATIENCE = 20.0  # s for which a change is sent again
-PROBES = 3  # routes of the newest changes that are kept
+RETRY_S = 20.0  # s for which a change is sent again
+MAX_PROBE_ROUTES = 3  # routes of the newest changes that are kept
 
 
-def key_of(tenant: str) -> str:
+def api_key(tenant: str) -> str:
     return f"key-{tenant}"
 
 
@@ -33,7 +33,7 @@
             "PathPrefix": f"/{name}/long/",
         }
     whole["Tenants"] = {
-        name: {"ApiKeys": [key_of(name)], "Prio": 1, "RatePerS": rate, "Burst": burst}
+        name: {"ApiKeys": [api_key(name)], "Prio": 1, "RatePerS": rate, "Burst": burst}
         for name, (rate, burst) in QUOTAS.items()
     }
     return whole
@@ -51,21 +51,21 @@
 
     def __init__(self, cluster: SoakCluster, history: Writer, seed: int) -> None:
         self.cluster, self.history = cluster, history
-        self.chance = random.Random(f"operator/{seed}")
+        self.rng = random.Random(f"operator/{seed}")
         self.current: dict[str, Any] = {"Ver": 0, "Routes": {}}
         self.number = 0
         self.base = 0  # of the newest change that was sent
-        self.turn = asyncio.Lock()
+        self.change_lock = asyncio.Lock()
 
     @property
     def version(self) -> int:
         return int(self.current["Ver"])
 
-    def probes(self) -> list[str]:
+    def probe_paths(self) -> list[str]:
         """Paths of the routes that changes have added and that are in force."""
         return [r["PathPrefix"] for n, r in self.current["Routes"].items() if n.startswith("probe-")]
 
-    async def found(self) -> bool:
+    async def install_first(self) -> bool:
         """The first configuration, sent until it is taken."""
         whole = first_configuration()
         status = await self._send("config.replace", whole, 0, whole, "good", (), ())
@@ -73,27 +73,27 @@
 
     async def change(self) -> None:
         """One proper change, and now and then the same again."""
-        async with self.turn:
-            call_, body, after, adds, removes = self._next()
+        async with self.change_lock:
+            call_, body, after, adds, removes = self._next_change()
             status = await self._send(call_, body, self.version, after, "good", adds, removes)
             if status == 0 or status == 412:
-                await self._look()
-            elif self.chance.random() < 0.3:
+                await self._refresh()
+            elif self.rng.random() < 0.3:
                 await self._post(call_, body, self.base, 3.0)
 
-    async def bad(self) -> None:
+    async def send_invalid(self) -> None:
         """One that names an unknown service: refused."""
-        async with self.turn:
-            call_, body, after, adds, removes = self._next()
+        async with self.change_lock:
+            call_, body, after, adds, removes = self._next_change()
             for route in body["Upsert"]["Routes"].values():
                 route["Svc"] = "nobody"
             await self._send(call_, body, self.version, after, "bad", adds, removes)
 
-    async def rivals(self) -> None:
+    async def send_rivals(self) -> None:
         """Two operators at once, under one number and on top of the same version: one may win."""
-        async with self.turn:
-            first = self._next()
-            second = self._next("rival", int(first[1]["Ver"]))
+        async with self.change_lock:
+            first = self._next_change()
+            second = self._next_change("rival", int(first[1]["Ver"]))
             base = self.version
             await asyncio.gather(
                 *(
@@ -101,7 +101,7 @@
                     for c, body, after, adds, removes in (first, second)
                 )
             )
-            await self._look()
+            await self._refresh()
 
     async def read(self) -> dict[str, Any] | None:
         """The configuration as some gateway gives it."""
@@ -115,7 +115,7 @@
         self.history.write(ReadBack(now(), sent, whole["Ver"], digest(whole), self.cluster.number_of(ip)))
         return whole
 
-    async def _look(self) -> None:
+    async def _refresh(self) -> None:
         """After a change whose outcome is not known: what is in force."""
         for _ in range(60):
             if whole := await self.read():
@@ -124,24 +124,24 @@
                 return
             await asyncio.sleep(0.2)
 
-    def _next(
+    def _next_change(
         self, suffix: str = "", version: int = 0
     ) -> tuple[str, dict[str, Any], dict[str, Any], tuple[str, ...], tuple[str, ...]]:
         """A change that adds a route and removes the oldest that changes added: call, body, what follows."""
-        version = version or self.version + self.chance.randint(1, 3)
+        version = version or self.version + self.rng.randint(1, 3)
         name = f"probe-{version:06d}{suffix}"
         route = {
             **self.current["Routes"]["schedule-read"],
             "PathPrefix": f"/{name}/",
-            "Svc": self.chance.choice(SERVICES),
+            "Svc": self.rng.choice(SERVICES),
         }
         probes = sorted(n for n in self.current["Routes"] if n.startswith("probe-"))
-        gone = probes[: max(0, len(probes) - PROBES + 1)]
-        removes = tuple(self.current["Routes"][n]["PathPrefix"] for n in gone)
+        removed_names = probes[: max(0, len(probes) - MAX_PROBE_ROUTES + 1)]
+        removes = tuple(self.current["Routes"][n]["PathPrefix"] for n in removed_names)
         body: dict[str, Any] = {"Ver": version, "Upsert": {"Routes": {name: route}}}
-        if gone:
-            body["Remove"] = {"Routes": gone}
-        routes = {n: r for n, r in self.current["Routes"].items() if n not in gone}
+        if removed_names:
+            body["Remove"] = {"Routes": removed_names}
+        routes = {n: r for n, r in self.current["Routes"].items() if n not in removed_names}
         after = {**self.current, "Ver": version, "Routes": {**routes, name: route}}
         return "config.update", body, after, (route["PathPrefix"],), removes
 
@@ -159,17 +159,17 @@
         number = self.number
         self.base = base
         self.history.write(Change(now(), number, int(body["Ver"]), base, kind, digest(after), adds, removes))
-        status = await self._post(call_, body, base, PATIENCE)
+        status = await self._post(call_, body, base, RETRY_S)
         self.history.write(ChangeAnswer(now(), number, status))
         if status == 200:
             self.current = after
         return status
 
-    async def _post(self, call_: str, body: dict[str, Any], base: int, patience: float) -> int:
+    async def _post(self, call_: str, body: dict[str, Any], base: int, retry_s: float) -> int:
         """Sent unchanged to one gateway after another until there is a clear answer; 0: there was none."""
-        ends = now() + patience
+        deadline = now() + retry_s
         text = json.dumps(body).encode()
-        while now() < ends:
+        while now() < deadline:
             ip = random.choice(self.cluster.addresses())
             found = await call(
                 ip, CTL, "POST", f"/rpc?call={call_}", text, 1.5, X_Myrtlehatch_Base_Version=str(base)
--- a/coralvale/cluster/soak/play.py
+++ b/coralvale/cluster/soak/play.py
@@ -18,11 +18,11 @@
 from coralvale.cluster.soak.terms import Terms
 from coralvale.cluster.soak.workload import Workload
 
-COMES_UP = 60.0  # s for all gateways to be ready at first
-SETTLES = 30.0  # s for all to be ready after the last act
-CALM = 3.5  # s of traffic after that, and until all gateways are in touch
-LEAVES = 5.0  # s of traffic after hosts have said that they leave: past the end of DrainMs
-LAST_READ = 30.0  # s for the last read of the configuration
+START_TIMEOUT_S = 60.0  # s for all gateways to be ready at first
+RECOVERY_TIMEOUT_S = 30.0  # s for all to be ready after the last act
+CALM_S = 3.5  # s of traffic after that, and until all gateways are in touch
+LEAVE_TRAFFIC_S = 5.0  # s of traffic after hosts have said that they leave: past the end of DrainMs
+LAST_READ_TIMEOUT_S = 30.0  # s for the last read of the configuration
 
 
 class SoakError(Exception):
@@ -48,7 +48,7 @@
     program: tuple[str, ...] = ("-m", "coralvale.cluster"),
     coordination: bool = True,
     terms: Terms | None = None,
-    to_the_end: bool = True,
+    orderly_shutdown: bool = True,
 ) -> Outcome:
     """Plays a schedule; `folder` keeps its history and its gateways' logs. Raises SoakError.
 
@@ -67,12 +67,12 @@
     workload = Workload(cluster, history, schedule.seed, coordination)
     nemesis = Nemesis(cluster, workload, history, schedule)
     try:
-        history.write(terms.began(now(), schedule.seed, schedule.gateways, QUOTAS))
-        await _come_up(cluster, workload)
+        history.write(terms.began_event(now(), schedule.seed, schedule.gateways, QUOTAS))
+        await _start(cluster, workload)
         workload.start()
         await nemesis.play()
-        if to_the_end:
-            await _end(cluster, workload)
+        if orderly_shutdown:
+            await _shut_down(cluster, workload)
     finally:
         await workload.stop()
         await cluster.stop_with_logs(folder)
@@ -83,34 +83,34 @@
     return Outcome(schedule, events, checker.check(events), nemesis.left_out)
 
 
-async def _come_up(cluster: SoakCluster, workload: Workload) -> None:
+async def _start(cluster: SoakCluster, workload: Workload) -> None:
     try:
         await cluster.start()
         await workload.start_hosts()
-        if not await workload.operator.found():
+        if not await workload.operator.install_first():
             raise SoakError("the first configuration was not taken")
         for number in cluster.members():
-            await _ready(cluster, number, COMES_UP)
+            await _wait_until_ready(cluster, number, START_TIMEOUT_S)
     except TimeoutError:
         raise SoakError("the gateways did not come up") from None
 
 
-async def _ready(cluster: SoakCluster, number: int, seconds: float) -> None:
+async def _wait_until_ready(cluster: SoakCluster, number: int, seconds: float) -> None:
     await cluster.until(lambda: cluster.ready(number), seconds)
-    cluster.say(number, "ready")
+    cluster.record(number, "ready")
 
 
-async def _end(cluster: SoakCluster, workload: Workload) -> None:
+async def _shut_down(cluster: SoakCluster, workload: Workload) -> None:
     """All come back, some calm, hosts that leave in it, a last read, and the end of all under traffic."""
     for number in cluster.members():
         with contextlib.suppress(TimeoutError):
-            await _ready(cluster, number, SETTLES)
-    await asyncio.sleep(CALM)
+            await _wait_until_ready(cluster, number, RECOVERY_TIMEOUT_S)
+    await asyncio.sleep(CALM_S)
     for host in workload.hosts[:: len(workload.hosts) // 3]:
-        workload.leave(host)
-    await asyncio.sleep(LEAVES)
+        workload.retire_host(host)
+    await asyncio.sleep(LEAVE_TRAFFIC_S)
     workload.history.write(Act(now(), "last-read", ""))
-    ends = now() + LAST_READ
-    while now() < ends and not await workload.operator.read():
+    deadline = now() + LAST_READ_TIMEOUT_S
+    while now() < deadline and not await workload.operator.read():
         await asyncio.sleep(0.2)
-    await asyncio.gather(*(cluster.end(number) for number in cluster.running()))
+    await asyncio.gather(*(cluster.terminate(number) for number in cluster.running()))
--- a/coralvale/cluster/soak/relay.py
+++ b/coralvale/cluster/soak/relay.py
@@ -5,7 +5,7 @@
 import asyncio
 import contextlib
 
-PIECE = 1 << 16  # bytes read at once
+READ_BYTES = 1 << 16  # bytes read at once
 
 
 class Relay:
@@ -13,14 +13,14 @@
 
     def __init__(self, ip: str) -> None:
         self.ip = ip
-        self.to = 0
-        self.passing = asyncio.Event()
-        self.passing.set()
+        self.target_port = 0
+        self.forwarding = asyncio.Event()
+        self.forwarding.set()
         self.writers: set[asyncio.StreamWriter] = set()
 
-    async def start(self, to: int) -> int:
+    async def start(self, target_port: int) -> int:
         """Begins to pass on to port `to`; the port that it listens on."""
-        self.to = to
+        self.target_port = target_port
         self.server = await asyncio.start_server(self._serve, self.ip, 0)
         port: int = self.server.sockets[0].getsockname()[1]
         return port
@@ -32,9 +32,9 @@
 
     async def silence(self, seconds: float) -> None:
         """Passes nothing on for a while; nothing is lost."""
-        self.passing.clear()
+        self.forwarding.clear()
         await asyncio.sleep(seconds)
-        self.passing.set()
+        self.forwarding.set()
 
     def stop(self) -> None:
         self.server.close()
@@ -43,23 +43,23 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers.add(writer)
         try:
-            back_reader, back_writer = await asyncio.open_connection(self.ip, self.to)
+            back_reader, back_writer = await asyncio.open_connection(self.ip, self.target_port)
         except OSError:
             writer.transport.abort()
             self.writers.discard(writer)
             return
         self.writers.add(back_writer)
         try:
-            await asyncio.gather(self._pass(reader, back_writer), self._pass(back_reader, writer))
+            await asyncio.gather(self._forward(reader, back_writer), self._forward(back_reader, writer))
         finally:
             for one in (writer, back_writer):
                 one.close()
                 self.writers.discard(one)
 
-    async def _pass(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _forward(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(OSError):
-            while data := await reader.read(PIECE):
-                await self.passing.wait()
+            while data := await reader.read(READ_BYTES):
+                await self.forwarding.wait()
                 writer.write(data)
                 await writer.drain()
         if not writer.is_closing():
--- a/coralvale/cluster/soak/report.py
+++ b/coralvale/cluster/soak/report.py
@@ -12,9 +12,9 @@
 from coralvale.cluster.soak import history as h
 from coralvale.cluster.soak.timeline import Timeline, Violation
 
-AROUND = 1.0  # s of history before and after a violation that are told
-MOST_LINES = 40  # of history for each violation
-MOST_DELAY = 60_000  # ms that the histogram takes
+CONTEXT_S = 1.0  # s of history before and after a violation that are told
+MAX_CONTEXT_LINES = 40  # of history for each violation
+MAX_DELAY_MS = 60_000  # ms that the histogram takes
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
 
 
@@ -38,79 +38,79 @@
     left_out: int = 0
 
     @property
-    def well(self) -> bool:
+    def passed(self) -> bool:
         return not self.violations
 
 
 def summarise(events: list[h.Event], violations: list[Violation], left_out: int = 0) -> Summary:
-    line = Timeline(events)
+    timeline = Timeline(events)
     answers: Counter[str] = Counter()
-    for request in line.requests.values():
-        answers[_end_of(request.end)] += 1
-    kinds = {called.number: called.call for called in line.of(h.Called)}
-    calls = Counter(f"{kinds[a.number]} {a.status or 'unclear'}" for a in line.of(h.CallAnswer))
-    samples = line.of(h.Sample)
+    for request in timeline.requests.values():
+        answers[_outcome(request.end)] += 1
+    kinds = {called.number: called.call for called in timeline.events_of(h.Called)}
+    calls = Counter(f"{kinds[a.number]} {a.status or 'unclear'}" for a in timeline.events_of(h.CallAnswer))
+    samples = timeline.events_of(h.Sample)
     return Summary(
-        line.began.seed,
-        line.began.gateways,
-        round(line.last - line.began.at, 1),
-        len(line.requests),
+        timeline.run.seed,
+        timeline.run.gateways,
+        round(timeline.last_at - timeline.run.at, 1),
+        len(timeline.requests),
         dict(sorted(answers.items())),
-        dict(sorted(Counter(act.kind for act in line.of(h.Act)).items())),
-        dict(sorted(Counter(str(a.status or "unclear") for a in line.of(h.ChangeAnswer)).items())),
+        dict(sorted(Counter(act.kind for act in timeline.events_of(h.Act)).items())),
+        dict(sorted(Counter(str(a.status or "unclear") for a in timeline.events_of(h.ChangeAnswer)).items())),
         dict(sorted(calls.items())),
-        len(line.lives),
+        len(timeline.lives),
         max((s.descriptors for s in samples), default=0),
-        round(_most_memory(samples) / 1024, 1),
-        _delays(line),
-        round(max((s for _, s in line.stalls), default=0.0), 3),
+        round(_peak_memory_kib(samples) / 1024, 1),
+        _delays(timeline),
+        round(max((s for _, s in timeline.stalls), default=0.0), 3),
         [f"{v.rule}: {v.text} ({v.subject})" for v in violations],
         left_out,
     )
 
 
-def _end_of(end: h.Event | None) -> str:
+def _outcome(end: h.Event | None) -> str:
     if isinstance(end, h.Answered):
         return str(end.status)
     return type(end).__name__.lower() if end else "open"
 
 
-def _most_memory(samples: list[h.Sample]) -> int:
+def _peak_memory_kib(samples: list[h.Sample]) -> int:
     """KiB of all processes together, by their last samples."""
     now: dict[int, int] = {}
-    most = 0
+    peak = 0
     for sample in samples:
         now[sample.gateway] = sample.memory
-        most = max(most, sum(now.values()))
-    return most
+        peak = max(peak, sum(now.values()))
+    return peak
 
 
-def _delays(line: Timeline) -> dict[str, float]:
-    took = [
+def _delays(timeline: Timeline) -> dict[str, float]:
+    durations = [
         r.end.at - r.sent.at
-        for r in line.requests.values()
+        for r in timeline.requests.values()
         if isinstance(r.end, h.Answered) and r.end.status == 200
     ]
     try:
         from hdrh.histogram import HdrHistogram
     except ImportError:
-        return _exact(took)
-    histogram = HdrHistogram(1, MOST_DELAY, 3)
-    for seconds in took:
-        histogram.record_value(min(MOST_DELAY, max(1, round(seconds * 1000))))
+        return _exact_quantiles(durations)
+    histogram = HdrHistogram(1, MAX_DELAY_MS, 3)
+    for seconds in durations:
+        histogram.record_value(min(MAX_DELAY_MS, max(1, round(seconds * 1000))))
     return {f"p{q:g}": float(histogram.get_value_at_percentile(q)) for q in QUANTILES}
 
 
-def _exact(took: list[float]) -> dict[str, float]:
+def _exact_quantiles(durations: list[float]) -> dict[str, float]:
     """Without the histogram's package."""
-    ranked = sorted(took)
+    ranked = sorted(durations)
     if not ranked:
         return {}
     places = {q: min(len(ranked) - 1, int(len(ranked) * q / 100)) for q in QUANTILES}
     return {f"p{q:g}": round(ranked[place] * 1000, 1) for q, place in places.items()}
 
 
-def around(events: Iterable[h.Event], violation: Violation) -> list[str]:
+def context(events: Iterable[h.Event], violation: Violation) -> list[str]:
     """Lines of the history that name what a violation is about, or stand around it."""
     encode = msgspec.json.Encoder().encode
     about, near = [], []
@@ -118,11 +118,11 @@
         text = encode(event).decode()
         if violation.subject and f'"{violation.subject}"' in text:
             about.append(text)
-        elif abs(event.at - violation.at) < AROUND and isinstance(
+        elif abs(event.at - violation.at) < CONTEXT_S and isinstance(
             event, h.Process | h.Act | h.HostState | h.Link | h.Change | h.ChangeAnswer | h.Stall
         ):
             near.append(text)
-    return about[:MOST_LINES] + near[:MOST_LINES]
+    return about[:MAX_CONTEXT_LINES] + near[:MAX_CONTEXT_LINES]
 
 
 def text(summary: Summary) -> str:
@@ -133,7 +133,7 @@
 
     lines = [
         f"seed {summary.seed}: {summary.gateways} gateways, {summary.seconds} s, {summary.requests} requests, "
-        f"{summary.lives} lives, {'no rule broken' if summary.well else 'BROKEN'}",
+        f"{summary.lives} lives, {'no rule broken' if summary.passed else 'BROKEN'}",
         row("answers", summary.answers),
         row("delay ms", summary.delay_ms),
         row("acts", {**summary.acts, "left out": summary.left_out}),
@@ -152,18 +152,18 @@
     matplotlib.use("Agg")
     from matplotlib import pyplot
 
-    line = Timeline(events)
+    timeline = Timeline(events)
     counts: dict[str, Counter[int]] = {name: Counter() for name in ("served", "refused", "failed")}
-    for request in line.requests.values():
+    for request in timeline.requests.values():
         if request.end is not None and not isinstance(request.end, h.Left):
-            counts[_class_of(request.end)][int(request.end.at - line.began.at)] += 1
-    seconds = range(int(line.last - line.began.at) + 1)
+            counts[_plot_class(request.end)][int(request.end.at - timeline.run.at)] += 1
+    seconds = range(int(timeline.last_at - timeline.run.at) + 1)
     figure, axes = pyplot.subplots(figsize=(12, 4))
     for name, colour in (("served", "tab:green"), ("refused", "tab:orange"), ("failed", "tab:red")):
         axes.plot(seconds, [counts[name][s] for s in seconds], label=name, color=colour)
-    for act in line.of(h.Act):
-        axes.axvline(act.at - line.began.at, color="grey", linewidth=0.5)
-        axes.text(act.at - line.began.at, axes.get_ylim()[1], act.kind, rotation=90, fontsize=6, va="top")
+    for act in timeline.events_of(h.Act):
+        axes.axvline(act.at - timeline.run.at, color="grey", linewidth=0.5)
+        axes.text(act.at - timeline.run.at, axes.get_ylim()[1], act.kind, rotation=90, fontsize=6, va="top")
     axes.set_xlabel("s")
     axes.set_ylabel("requests a second")
     axes.legend()
@@ -171,7 +171,7 @@
     pyplot.close(figure)
 
 
-def _class_of(end: h.Event) -> str:
+def _plot_class(end: h.Event) -> str:
     if isinstance(end, h.Answered):
         if end.status == 200:
             return "served"
--- a/coralvale/cluster/soak/rules_configuration.py
+++ b/coralvale/cluster/soak/rules_configuration.py
@@ -8,67 +8,69 @@
 from attrs import define
 
 from coralvale.cluster.soak import history as h
-from coralvale.cluster.soak.timeline import MARGIN, Request, Timeline, Violation
+from coralvale.cluster.soak.timeline import MARGIN_S, Request, Timeline, Violation
 
-DENIED = {401, 403, 404}
+NO_ROUTE_STATUSES = {401, 403, 404}
 
 
 @define
-class Known:
+class ChangeOutcome:
     """A change and its clear answer."""
 
     change: h.Change
     status: int = 0
-    answered: float = float("inf")
+    answered_at: float = float("inf")
 
     @property
-    def taken(self) -> bool:
+    def accepted(self) -> bool:
         return self.status == 200
 
 
-def _changes(line: Timeline) -> list[Known]:
-    found = {change.number: Known(change) for change in line.of(h.Change)}
-    for answer in line.of(h.ChangeAnswer):
-        found[answer.number].status, found[answer.number].answered = answer.status, answer.at
+def _changes(timeline: Timeline) -> list[ChangeOutcome]:
+    found = {change.number: ChangeOutcome(change) for change in timeline.events_of(h.Change)}
+    for answer in timeline.events_of(h.ChangeAnswer):
+        found[answer.number].status, found[answer.number].answered_at = answer.status, answer.at
     return list(found.values())
 
 
-def acknowledged(line: Timeline) -> Iterator[Violation]:
+def accepted_changes(timeline: Timeline) -> Iterator[Violation]:
     """CONFIG: nothing invalid is taken, and of changes on one version one at most."""
     by_base: dict[int, set[str]] = defaultdict(set)
-    for known in _changes(line):
-        change = known.change
-        if not known.taken:
+    for outcome in _changes(timeline):
+        change = outcome.change
+        if not outcome.accepted:
             continue
         if change.kind == "bad":
-            yield Violation("CONFIG", known.answered, f"invalid version {change.version} was taken")
+            yield Violation("CONFIG", outcome.answered_at, f"invalid version {change.version} was taken")
         by_base[change.base].add(change.digest)
         if len(by_base[change.base]) == 2:
-            yield Violation("CONFIG", known.answered, f"two changes on version {change.base} were taken")
+            yield Violation("CONFIG", outcome.answered_at, f"two changes on version {change.base} were taken")
 
 
-def read_back(line: Timeline) -> Iterator[Violation]:
+def configuration_reads(timeline: Timeline) -> Iterator[Violation]:
     """LOST: what is read is no older than what was acknowledged before, and is what was sent."""
-    changes = _changes(line)
+    changes = _changes(timeline)
     refused = {k.change.digest for k in changes if k.change.kind == "bad" or 400 <= k.status < 500}
     possible = {k.change.digest for k in changes} - refused
-    reads = line.of(h.ReadBack)
+    reads = timeline.events_of(h.ReadBack)
     for read in reads:
-        newest = max((k.change.version for k in changes if k.taken and k.answered < read.sent_at), default=0)
+        newest = max(
+            (k.change.version for k in changes if k.accepted and k.answered_at < read.sent_at), default=0
+        )
         if read.version < newest:
             yield Violation("LOST", read.at, f"version {read.version} was read after {newest} was taken")
         elif read.version and read.digest not in possible:
             yield Violation("CONFIG", read.at, f"version {read.version} was read with a content never taken")
-    for act in line.of(h.Act):
+    for act in timeline.events_of(h.Act):
         if act.kind == "last-read" and not any(read.sent_at >= act.at for read in reads):
-            yield Violation("LOST", line.last, "no gateway gave the configuration at the end")
+            yield Violation("LOST", timeline.last_at, "no gateway gave the configuration at the end")
 
 
-def in_force(line: Timeline) -> Iterator[Violation]:
+def routes_in_force(timeline: Timeline) -> Iterator[Violation]:
     """CONFIG: a route that was taken is served `ApplyMs` later, and one that was served stays."""
-    routes = _routes(line)
+    routes = _routes(timeline)
     seen: dict[tuple[int, int, str], float] = {}
-    asked = [r for r in line.requests.values() if not r.sent.proper and isinstance(r.end, h.Answered)]
+    asked = [r for r in timeline.requests.values() if not r.sent.proper and isinstance(r.end, h.Answered)]
     for request in sorted(asked, key=lambda r: r.sent.at):
         assert isinstance(request.end, h.Answered)
         prefix = request.sent.path.rpartition("/")[0] + "/"
@@ -76,34 +78,34 @@
         added, removed = routes.get(prefix, (float("inf"), float("inf")))
         if request.end.status == 200 and request.ran:
             seen.setdefault(key, min(ran.at for ran in request.ran))
-        elif request.end.status in DENIED and request.end.at < removed:
-            yield from _judge(line, request, request.end, added, seen.get(key))
+        elif request.end.status in NO_ROUTE_STATUSES and request.end.at < removed:
+            yield from _check_missing_route(timeline, request, request.end, added, seen.get(key))
 
 
-def _judge(
-    line: Timeline, request: Request, end: h.Answered, added: float, seen: float | None
+def _check_missing_route(
+    timeline: Timeline, request: Request, end: h.Answered, added: float, seen: float | None
 ) -> Iterator[Violation]:
-    sent, life = request.sent, line.life_of(request)
+    sent, life = request.sent, timeline.life_of(request)
     if seen is not None:
-        since = sent.at - seen - line.lost_time(life, seen, sent.at)
-        if since > line.began.revert + MARGIN:
+        since = sent.at - seen - timeline.lost_time(life, seen, sent.at)
+        if since > timeline.run.revert + MARGIN_S:
             yield Violation("CONFIG", end.at, f"gateway {sent.gateway} went back: {sent.path}", sent.id)
-    since = sent.at - added - line.lost_time(life, added, end.at)
-    if since > line.began.apply and line.in_touch(sent.gateway, sent.at, end.at):
+    since = sent.at - added - timeline.lost_time(life, added, end.at)
+    if since > timeline.run.apply and timeline.undisturbed(sent.gateway, sent.at, end.at):
         text = f"gateway {sent.gateway} does not know {sent.path} {sent.at - added:.2f} s after its change"
         yield Violation("CONFIG", end.at, text, sent.id)
 
 
-def _routes(line: Timeline) -> dict[str, tuple[float, float]]:
+def _routes(timeline: Timeline) -> dict[str, tuple[float, float]]:
     """By prefix: when the change that adds it was taken, and when one that removes it was first sent."""
     found: dict[str, tuple[float, float]] = {}
-    for known in _changes(line):
-        for prefix in known.change.adds:
+    for outcome in _changes(timeline):
+        for prefix in outcome.change.adds:
             added, removed = found.get(prefix, (float("inf"), float("inf")))
-            if known.taken:
-                added = min(added, known.answered)
+            if outcome.accepted:
+                added = min(added, outcome.answered_at)
             found[prefix] = (added, removed)
-        for prefix in known.change.removes:
+        for prefix in outcome.change.removes:
             added, removed = found.get(prefix, (float("inf"), float("inf")))
-            found[prefix] = (added, min(removed, known.change.at))
+            found[prefix] = (added, min(removed, outcome.change.at))
     return found
--- a/coralvale/cluster/soak/rules_coordination.py
+++ b/coralvale/cluster/soak/rules_coordination.py
@@ -10,8 +10,8 @@
 from coralvale.cluster.soak import history as h
 from coralvale.cluster.soak.timeline import Timeline, Violation
 
-NOTHING_DONE = {412, 429, 503}
-RELEASED = "release"
+NOT_EXECUTED_STATUSES = {412, 429, 503}
+RELEASE = "release"
 
 
 @define
@@ -22,11 +22,11 @@
     answer: h.CallAnswer | None = None
 
     @property
-    def good(self) -> bool:
+    def succeeded(self) -> bool:
         return self.answer is not None and self.answer.status == 200
 
     @property
-    def answered(self) -> float:
+    def answered_at(self) -> float:
         return self.answer.at if self.answer else float("inf")
 
     @property
@@ -45,9 +45,9 @@
     end: float
 
 
-def _calls(line: Timeline) -> list[Call]:
-    found = {called.number: Call(called) for called in line.of(h.Called)}
-    for answer in line.of(h.CallAnswer):
+def _calls(timeline: Timeline) -> list[Call]:
+    found = {called.number: Call(called) for called in timeline.events_of(h.Called)}
+    for answer in timeline.events_of(h.CallAnswer):
         found[answer.number].answer = answer
     return list(found.values())
 
@@ -68,16 +68,16 @@
 # Locks
 
 
-def locks(line: Timeline) -> Iterator[Violation]:
+def locks(timeline: Timeline) -> Iterator[Violation]:
     """ONE: one holder at a time, and fences that rise from holder to holder."""
-    for name, calls in _by_name(_calls(line), "acquire", "renew", RELEASED).items():
+    for name, calls in _by_name(_calls(timeline), "acquire", "renew", RELEASE).items():
         holds = sorted(_holds(calls), key=lambda hold: hold.begin)
         for place, hold in enumerate(holds):
             for other in holds[place + 1 :]:
-                yield from _compare(name, hold, other)
+                yield from _check_pair(name, hold, other)
 
 
-def _compare(name: str, hold: Hold, other: Hold) -> Iterator[Violation]:
+def _check_pair(name: str, hold: Hold, other: Hold) -> Iterator[Violation]:
     if hold.owner == other.owner:
         return
     if other.begin < hold.end:
@@ -92,60 +92,62 @@
 
 def _holds(calls: list[Call]) -> Iterator[Hold]:
     """Spans of holding: a good call lengthens the owner's span, unless the span was over when it came."""
-    open_: dict[str, Hold] = {}
+    open_holds: dict[str, Hold] = {}
     moments = sorted(
-        [(c.sent.at, c) for c in calls if c.sent.call == RELEASED]
-        + [(c.answered, c) for c in calls if c.sent.call != RELEASED and c.answer],
+        [(c.sent.at, c) for c in calls if c.sent.call == RELEASE]
+        + [(c.answered_at, c) for c in calls if c.sent.call != RELEASE and c.answer],
         key=lambda pair: pair[0],
     )
     for at, call in moments:
         owner = call.sent.owner
-        hold = open_.get(owner)
-        if call.sent.call == RELEASED or not call.good:
-            if hold and (call.sent.call == RELEASED or (call.answer and call.answer.status == 409)):
+        hold = open_holds.get(owner)
+        if call.sent.call == RELEASE or not call.succeeded:
+            if hold and (call.sent.call == RELEASE or (call.answer and call.answer.status == 409)):
                 hold.end = min(hold.end, at)
-                yield open_.pop(owner)
+                yield open_holds.pop(owner)
             continue
         until = call.sent.at + call.sent.hold
         if call.sent.call == "acquire":
             assert call.answer
             if hold:
-                yield open_.pop(owner)
-            open_[owner] = Hold(owner, call.answer.fence, call.sent.at, at, until)
+                yield open_holds.pop(owner)
+            open_holds[owner] = Hold(owner, call.answer.fence, call.sent.at, at, until)
         elif hold and call.sent.fence == hold.fence and at <= hold.end:
             hold.end = max(hold.end, until)
-    yield from open_.values()
+    yield from open_holds.values()
 
 
 # Numbers and revisions
 
 
-def numbers(line: Timeline) -> Iterator[Violation]:
+def numbers(timeline: Timeline) -> Iterator[Violation]:
     """ORDER: numbers of one name are given once, and rise."""
-    for name, calls in _by_name(_calls(line), "number").items():
-        yield from _rising(name, [(c.sent.at, c.answered, c.count) for c in calls if c.good])
+    for name, calls in _by_name(_calls(timeline), "number").items():
+        yield from _check_increasing(
+            name, [(c.sent.at, c.answered_at, c.count) for c in calls if c.succeeded]
+        )
 
 
-def revisions(line: Timeline) -> Iterator[Violation]:
+def revisions(timeline: Timeline) -> Iterator[Violation]:
     """ORDER: revisions of one group are given once, and rise; a put does not pass over a later revision."""
     groups: dict[str, dict[str, list[Call]]] = defaultdict(lambda: defaultdict(list))
-    for key, calls in _by_name(_calls(line), "put").items():
+    for key, calls in _by_name(_calls(timeline), "put").items():
         for call in calls:
             groups[_group(key)][call.sent.value].append(call)
     for group, puts in groups.items():
         given = []
         for value, calls in puts.items():
-            good = [c for c in calls if c.good]
+            good = [c for c in calls if c.succeeded]
             if len({c.count for c in good}) > 1:
-                yield Violation("MIXED", good[-1].answered, f"{group}: {value} has two revisions", value)
+                yield Violation("MIXED", good[-1].answered_at, f"{group}: {value} has two revisions", value)
             if good:
                 # Resent, a put may take effect by any of its calls, and is known from the first answer on.
-                given.append((calls[0].sent.at, min(c.answered for c in good), good[0].count))
-        yield from _rising(group, given)
-    yield from _passed_over(line)
+                given.append((calls[0].sent.at, min(c.answered_at for c in good), good[0].count))
+        yield from _check_increasing(group, given)
+    yield from _check_expected_revisions(timeline)
 
 
-def _rising(name: str, given: list[tuple[float, float, int]]) -> Iterator[Violation]:
+def _check_increasing(name: str, given: list[tuple[float, float, int]]) -> Iterator[Violation]:
     """`given`: when each was asked for, when it was known, and what it is."""
     seen: dict[int, float] = {}
     known = sorted(given, key=lambda one: one[1])
@@ -161,9 +163,9 @@
         seen[count] = at
 
 
-def _passed_over(line: Timeline) -> Iterator[Violation]:
-    for key, calls in _by_name(_calls(line), "put").items():
-        good = [c for c in calls if c.good]
+def _check_expected_revisions(timeline: Timeline) -> Iterator[Violation]:
+    for key, calls in _by_name(_calls(timeline), "put").items():
+        good = [c for c in calls if c.succeeded]
         for call in good:
             expected = call.sent.expected
             if expected is None:
@@ -171,42 +173,42 @@
             between = [c.count for c in good if expected < c.count < call.count]
             if between:
                 text = f"{key}: a put on revision {expected} succeeded over {between[0]}"
-                yield Violation("ORDER", call.answered, text, key)
+                yield Violation("ORDER", call.answered_at, text, key)
 
 
 # Reads and watches
 
 
-def reads(line: Timeline) -> Iterator[Violation]:
+def reads(timeline: Timeline) -> Iterator[Violation]:
     """STALE, MIXED, REFUSED: a read is no older than what was acknowledged, and gives what was put."""
-    calls = _calls(line)
+    calls = _calls(timeline)
     puts, gets = _by_name(calls, "put"), _by_name(calls, "get")
     for key, asked in gets.items():
-        done = [c for c in puts.get(key, []) if c.good]
-        values = _values(puts.get(key, []))
+        acknowledged = [c for c in puts.get(key, []) if c.succeeded]
+        values = _put_outcomes(puts.get(key, []))
         for read in asked:
             if read.answer is None or read.answer.status not in (200, 404):
                 continue
-            newest = max((c.count for c in done if c.answered < read.sent.at), default=0)
-            at = read.count if read.good else 0
+            newest = max((c.count for c in acknowledged if c.answered_at < read.sent.at), default=0)
+            at = read.count if read.succeeded else 0
             if at < newest:
                 text = f"{key}: read at revision {at} after {newest} was acknowledged"
-                yield Violation("STALE", read.answered, text, key)
-            if read.good:
-                yield from _value(key, read.answer.value, at, read.answered, values)
+                yield Violation("STALE", read.answered_at, text, key)
+            if read.succeeded:
+                yield from _check_value(key, read.answer.value, at, read.answered_at, values)
 
 
-def _values(puts: list[Call]) -> dict[str, tuple[int, bool]]:
+def _put_outcomes(puts: list[Call]) -> dict[str, tuple[int, bool]]:
     """By value: its revision, 0 where it is not known, and whether all calls for it were turned away."""
     found: dict[str, tuple[int, bool]] = {}
     for put in puts:
         revision, refused = found.get(put.sent.value, (0, True))
-        turned_away = put.answer is not None and put.answer.status in NOTHING_DONE
-        found[put.sent.value] = (put.count if put.good else revision, refused and turned_away)
+        turned_away = put.answer is not None and put.answer.status in NOT_EXECUTED_STATUSES
+        found[put.sent.value] = (put.count if put.succeeded else revision, refused and turned_away)
     return found
 
 
-def _value(
+def _check_value(
     key: str, value: str, revision: int, at: float, values: dict[str, tuple[int, bool]]
 ) -> Iterator[Violation]:
     known, refused = values.get(value, (-1, False))
@@ -218,42 +220,44 @@
         yield Violation("REFUSED", at, f"{key}: {value} shows up, and its put was turned away", key)
 
 
-def watches(line: Timeline) -> Iterator[Violation]:
+def watches(timeline: Timeline) -> Iterator[Violation]:
     """ORDER: the events of a watch rise, and skip no put inside their span."""
-    calls = _calls(line)
+    calls = _calls(timeline)
     puts = _by_name(calls, "put")
-    values = {key: _values(found) for key, found in puts.items()}
+    values = {key: _put_outcomes(found) for key, found in puts.items()}
     known: dict[str, list[tuple[int, str]]] = defaultdict(list)
     for key, found in puts.items():
-        known[_group(key)] += [(c.count, c.sent.value) for c in found if c.good]
+        known[_group(key)] += [(c.count, c.sent.value) for c in found if c.succeeded]
     for group, asked in _by_name(calls, "watch").items():
         given: dict[int, float] = {}
-        for watch in sorted(asked, key=lambda call: call.answered):
+        for watch in sorted(asked, key=lambda call: call.answered_at):
             if watch.answer is None:
                 continue
-            if watch.answer.status == 410 and _recent(line, watch, given):
+            if watch.answer.status == 410 and _given_recently(timeline, watch, given):
                 text = f"{group}: 410 for revision {watch.sent.after}, which was given not long ago"
-                yield Violation("LOST", watch.answered, text, group)
-            if watch.good:
-                given[watch.count] = watch.answered
-                yield from _events(group, watch, known[group], values)
+                yield Violation("LOST", watch.answered_at, text, group)
+            if watch.succeeded:
+                given[watch.count] = watch.answered_at
+                yield from _check_watch_events(group, watch, known[group], values)
 
 
-def _recent(line: Timeline, watch: Call, given: dict[int, float]) -> bool:
-    return watch.sent.at - given.get(watch.sent.after, float("-inf")) < line.began.retain
+def _given_recently(timeline: Timeline, watch: Call, given: dict[int, float]) -> bool:
+    return watch.sent.at - given.get(watch.sent.after, float("-inf")) < timeline.run.retain
 
 
-def _events(
+def _check_watch_events(
     group: str, watch: Call, known: list[tuple[int, str]], values: dict[str, dict[str, tuple[int, bool]]]
 ) -> Iterator[Violation]:
     assert watch.answer
-    told = [revision for _, _, revision in watch.answer.events]
-    if told != sorted(set(told)):
-        yield Violation("ORDER", watch.answered, f"{group}: the events {told} do not rise", group)
+    event_revisions = [revision for _, _, revision in watch.answer.events]
+    if event_revisions != sorted(set(event_revisions)):
+        yield Violation(
+            "ORDER", watch.answered_at, f"{group}: the events {event_revisions} do not rise", group
+        )
     if watch.sent.after:
         inside = {revision for revision, _ in known if watch.sent.after < revision <= watch.count}
-        if skipped := sorted(inside - set(told)):
+        if skipped := sorted(inside - set(event_revisions)):
             text = f"{group}: a watch from {watch.sent.after} to {watch.count} skips {skipped}"
-            yield Violation("ORDER", watch.answered, text, group)
+            yield Violation("ORDER", watch.answered_at, text, group)
     for key, value, revision in watch.answer.events:
-        yield from _value(key, value, revision, watch.answered, values.get(key, {}))
+        yield from _check_value(key, value, revision, watch.answered_at, values.get(key, {}))
--- a/coralvale/cluster/soak/rules_requests.py
+++ b/coralvale/cluster/soak/rules_requests.py
@@ -7,29 +7,29 @@
 from collections.abc import Iterator
 
 from coralvale.cluster.soak import history as h
-from coralvale.cluster.soak.timeline import MARGIN, Life, Request, Timeline, Violation
+from coralvale.cluster.soak.timeline import MARGIN_S, Life, Request, Timeline, Violation
 
-PROMISES = {408, 421, 429, 503}  # the request has not run and never will
-NEAR = 0.3  # s before its limit from which on a request may be ended for its time
+NOT_EXECUTED_STATUSES = {408, 421, 429, 503}  # the request has not run and never will
+TIMEOUT_MARGIN_S = 0.3  # s before its limit from which on a request may be ended for its time
 
 
-def answered(line: Timeline) -> Iterator[Violation]:
+def answers_match_runs(timeline: Timeline) -> Iterator[Violation]:
     """LOST, REFUSED: a success has run at a host; what was promised not to have run has not."""
-    for id_, request in line.requests.items():
+    for id_, request in timeline.requests.items():
         end = request.end
         if not isinstance(end, h.Answered):
             continue
         if end.status == 200 and not request.ran:
             yield Violation("LOST", end.at, "answered with success, and no host ran it", id_)
-        if end.status in PROMISES and request.ran and not request.sent.repeatable:
+        if end.status in NOT_EXECUTED_STATUSES and request.ran and not request.sent.repeatable:
             yield Violation(
                 "REFUSED", end.at, f"answered {end.status}, and {request.ran[0].host} ran it", id_
             )
 
 
-def runs(line: Timeline) -> Iterator[Violation]:
+def request_runs(timeline: Timeline) -> Iterator[Violation]:
     """TWICE, UNASKED: what may not be repeated runs once; hosts run what clients sent, as they sent it."""
-    for id_, request in line.requests.items():
+    for id_, request in timeline.requests.items():
         if len(request.ran) > 1 and not request.sent.repeatable:
             hosts = ", ".join(ran.host for ran in request.ran)
             yield Violation("TWICE", request.ran[1].at, f"ran at {hosts}", id_)
@@ -38,13 +38,13 @@
                 yield Violation("UNASKED", ran.at, f"{ran.host} was handed another body", id_)
             if ran.tenant != request.sent.tenant:
                 yield Violation("UNASKED", ran.at, f"ran as tenant {ran.tenant!r}", id_)
-    for ran in line.unknown:
+    for ran in timeline.unknown_runs:
         yield Violation("UNASKED", ran.at, f"{ran.host} ran what no client sent", ran.id)
 
 
-def own_answers(line: Timeline) -> Iterator[Violation]:
+def own_answers(timeline: Timeline) -> Iterator[Violation]:
     """MIXED: each answer is its own request's."""
-    for id_, request in line.requests.items():
+    for id_, request in timeline.requests.items():
         end = request.end
         if not isinstance(end, h.Answered):
             continue
@@ -54,25 +54,25 @@
             yield Violation("MIXED", end.at, "got bytes that are not its answer's", id_)
 
 
-def ends(line: Timeline) -> Iterator[Violation]:
+def request_ends(timeline: Timeline) -> Iterator[Violation]:
     """ENDED: what was let in ends with a whole answer or a status, within its time, also around SIGTERM."""
-    for id_, request in line.requests.items():
+    for id_, request in timeline.requests.items():
         if isinstance(request.end, h.Left) or request.end is None:
             continue
-        if why := _bad_end(line, request):
+        if why := _end_fault(timeline, request):
             yield Violation("ENDED", request.end.at, why, id_)
 
 
-def _bad_end(line: Timeline, request: Request) -> str:
-    end, life = request.end, line.life_of(request)
+def _end_fault(timeline: Timeline, request: Request) -> str:
+    end, life = request.end, timeline.life_of(request)
     assert end is not None
     since = request.sent.at
-    took, lost = end.at - since, line.lost_time(life, since, end.at)
+    took, lost = end.at - since, timeline.lost_time(life, since, end.at)
     if isinstance(end, h.Closed):
-        return _bad_close(line, request, end, life)
+        return _close_fault(timeline, request, end, life)
     if isinstance(end, h.Silent) and _was_killed(life, end.at):
         return ""
-    if took - lost > request.sent.limit + MARGIN:
+    if took - lost > request.sent.limit + MARGIN_S:
         what = "without an answer" if isinstance(end, h.Silent) else "until it was answered"
         return (
             f"{took:.2f} s {what}, of which {lost:.2f} s were not the gateway's, for {request.sent.limit} s"
@@ -82,76 +82,78 @@
 
 def _was_killed(life: Life | None, at: float) -> bool:
     """Whether a process had been killed by then; a client may hear of it later than the kill."""
-    return life is None or (life.killed is not None and life.killed <= at)
+    return life is None or (life.killed_at is not None and life.killed_at <= at)
 
 
-def _bad_close(line: Timeline, request: Request, end: h.Closed, life: Life | None) -> str:
+def _close_fault(timeline: Timeline, request: Request, end: h.Closed, life: Life | None) -> str:
     if _was_killed(life, end.at):
         return ""
     took = end.at - request.sent.at
-    if took >= request.sent.limit - NEAR or _host_broke_off(line, request, end.at):
+    if took >= request.sent.limit - TIMEOUT_MARGIN_S or _host_disconnected(timeline, request, end.at):
         return ""
-    told = " after SIGTERM" if life and life.told and life.told <= end.at else ""
+    told = " after SIGTERM" if life and life.terminated_at and life.terminated_at <= end.at else ""
     if request.ran or end.begun:
         return f"closed{told} after it had been passed on, {took:.2f} s after it was sent"
-    if request.written is None:
+    if request.written_at is None:
         return ""
-    late = end.at - request.written
-    lost = line.lost_time(life, request.written, end.at)
-    if late > line.began.loss + lost + MARGIN:
+    late = end.at - request.written_at
+    lost = timeline.lost_time(life, request.written_at, end.at)
+    if late > timeline.run.loss + lost + MARGIN_S:
         return f"closed{told} without an answer {late:.2f} s after its last byte, {lost:.2f} s not its own"
     return ""
 
 
-def _host_broke_off(line: Timeline, request: Request, until: float) -> bool:
+def _host_disconnected(timeline: Timeline, request: Request, until: float) -> bool:
     """Whether a host that ran it crashed or ended, or its relay reset or held connections. That its answer had
     nobody to go to says nothing: a gateway that closes a client's connection closes the host's as well."""
     return any(
-        any(ran.at - MARGIN <= at <= until + MARGIN for at in line.links.get(ran.host, []))
+        any(
+            ran.at - MARGIN_S <= at <= until + MARGIN_S for at in timeline.link_disturbances.get(ran.host, [])
+        )
         for ran in request.ran
     )
 
 
-def drained(line: Timeline) -> Iterator[Violation]:
+def drained_hosts(timeline: Timeline) -> Iterator[Violation]:
     """DRAIN: no host gets a request later than `DrainMs` after its leave was acknowledged."""
     left: dict[str, h.HostState] = {}
-    for state in line.of(h.HostState):
-        if state.what == "acknowledged" and line.in_touch(state.gateway, state.at, state.at):
+    for state in timeline.events_of(h.HostState):
+        if state.what == "acknowledged" and timeline.undisturbed(state.gateway, state.at, state.at):
             left.setdefault(state.host, state)
-    for id_, request in line.requests.items():
+    for id_, request in timeline.requests.items():
         for ran in request.ran:
             state_ = left.get(ran.host)
             if state_ is None:
                 continue
             late = ran.at - state_.at
-            life, gateway = line.life_of(request), request.sent.gateway
-            bound = line.began.drain + line.lost_time(life, state_.at, ran.at)
+            life, gateway = timeline.life_of(request), request.sent.gateway
+            bound = timeline.run.drain + timeline.lost_time(life, state_.at, ran.at)
             if (
                 late > bound
-                and line.in_touch(gateway, request.sent.at, ran.at)
-                and line.link_well(ran.host, request.sent.at, ran.at)
+                and timeline.undisturbed(gateway, request.sent.at, ran.at)
+                and timeline.link_undisturbed(ran.host, request.sent.at, ran.at)
             ):
                 yield Violation("DRAIN", ran.at, f"{ran.host} got it {late:.2f} s after its leave", id_)
 
 
-def quotas(line: Timeline) -> Iterator[Violation]:
+def quotas(timeline: Timeline) -> Iterator[Violation]:
     """QUOTA: in every window no more is sent and run than the tenant's terms bear."""
-    began = line.began
+    run = timeline.run
     by_tenant: dict[str, list[tuple[float, float]]] = defaultdict(list)
-    for request in line.requests.values():
+    for request in timeline.requests.values():
         if request.ran:
             by_tenant[request.sent.tenant].append((request.sent.at, request.ran[0].at))
-    for tenant, (rate, burst) in began.quotas.items():
+    for tenant, (rate, burst) in run.quotas.items():
         if not rate:
             continue
-        most = (rate * began.quota_window + burst) * (1 + began.quota_excess) + began.quota_slack
-        at, count = _fullest(sorted(by_tenant[tenant]), began.quota_window)
-        if count > most:
-            text = f"{count} requests of {tenant} in {began.quota_window:g} s, {most:.0f} at most"
+        allowed = (rate * run.quota_window + burst) * (1 + run.quota_excess) + run.quota_slack
+        at, count = _busiest_window(sorted(by_tenant[tenant]), run.quota_window)
+        if count > allowed:
+            text = f"{count} requests of {tenant} in {run.quota_window:g} s, {allowed:.0f} at most"
             yield Violation("QUOTA", at, text, tenant)
 
 
-def _fullest(spans: list[tuple[float, float]], window: float) -> tuple[float, int]:
+def _busiest_window(spans: list[tuple[float, float]], window: float) -> tuple[float, int]:
     """The window in which the most are both sent and run."""
     starts = [sent for sent, _ in spans]
     best = (0.0, 0)
--- a/coralvale/cluster/soak/schedule.py
+++ b/coralvale/cluster/soak/schedule.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
-FIRST = 1.0  # s of calm before the first act
-CALM = 6.0  # s without acts after a block of series: rules with a bound on time bind in it
-BLOCK = 8.0  # s in which series overlap
-MOST_FROZEN = 3.0  # s
-TOGETHER = 4  # series that overlap in a block of an otherwise quiet run
+FIRST_ACT_S = 1.0  # s of calm before the first act
+CALM_S = 6.0  # s without acts after a block of series: rules with a bound on time bind in it
+BLOCK_S = 8.0  # s in which series overlap
+MAX_FREEZE_S = 3.0  # s
+SERIES_PER_BLOCK = 4  # series that overlap in a block of an otherwise quiet run
 
 
 class Act(msgspec.Struct, frozen=True):
@@ -42,122 +42,120 @@
 def draw(seed: int, gateways: int, seconds: float) -> Schedule:
     """The schedule of a seed. The same arguments lead to the same schedule."""
     disks, budget = (5, 2) if gateways >= 8 else (min(3, gateways), 1)
-    chance = random.Random(f"soak/{seed}/{gateways}")
+    rng = random.Random(f"soak/{seed}/{gateways}")
     acts: list[Act] = []
     series = 0
-    begins = FIRST
-    while begins + BLOCK / 2 < seconds:
-        ends = min(begins + BLOCK, seconds)
-        for _ in range(TOGETHER + gateways // 6):
-            kind = chance.choice(sorted(SERIES))
-            at = chance.uniform(begins, max(begins, ends - BLOCK / 2))
-            acts += SERIES[kind](chance, at, series, gateways)
+    begins = FIRST_ACT_S
+    while begins + BLOCK_S / 2 < seconds:
+        ends = min(begins + BLOCK_S, seconds)
+        for _ in range(SERIES_PER_BLOCK + gateways // 6):
+            kind = rng.choice(sorted(SERIES))
+            at = rng.uniform(begins, max(begins, ends - BLOCK_S / 2))
+            acts += SERIES[kind](rng, at, series, gateways)
             series += 1
-        begins = ends + CALM
+        begins = ends + CALM_S
     acts.sort(key=lambda act: (act.at, act.series))
     return Schedule(seed, gateways, disks, budget, seconds, tuple(a for a in acts if a.at < seconds))
 
 
-def _rolling(chance: random.Random, at: float, series: int, gateways: int) -> list[Act]:
+def _rolling(rng: random.Random, at: float, series: int, gateways: int) -> list[Act]:
     """Restarts in order, one after another before the last is back."""
-    first, count = chance.randrange(gateways), min(gateways, chance.randint(2, 4))
-    gap = chance.uniform(0.3, 1.5)
+    first, count = rng.randrange(gateways), min(gateways, rng.randint(2, 4))
+    gap = rng.uniform(0.3, 1.5)
     return [Act(at + gap * n, "restart", first + n, 0.0, series) for n in range(count)]
 
 
-def _crashes(chance: random.Random, at: float, series: int, gateways: int) -> list[Act]:
-    count = chance.randint(1, 3)
+def _crashes(rng: random.Random, at: float, series: int, gateways: int) -> list[Act]:
+    count = rng.randint(1, 3)
     return [
-        Act(at + chance.uniform(0, 3), "kill", chance.randrange(gateways), chance.uniform(0, 2), series)
+        Act(at + rng.uniform(0, 3), "kill", rng.randrange(gateways), rng.uniform(0, 2), series)
         for _ in range(count)
     ]
 
 
-def _herd(chance: random.Random, at: float, series: int, gateways: int) -> list[Act]:
-    return [Act(at, "herd", 0, chance.uniform(0, 0.8), series)]
+def _herd(rng: random.Random, at: float, series: int, gateways: int) -> list[Act]:
+    return [Act(at, "herd", 0, rng.uniform(0, 0.8), series)]
 
 
-def _leader(chance: random.Random, at: float, series: int, gateways: int) -> list[Act]:
-    kinds = [chance.choice(("restart", "kill", "freeze")) for _ in range(2)]
-    return [Act(at + 3 * n, k, -1, chance.uniform(0.3, MOST_FROZEN), series) for n, k in enumerate(kinds)]
+def _leader(rng: random.Random, at: float, series: int, gateways: int) -> list[Act]:
+    kinds = [rng.choice(("restart", "kill", "freeze")) for _ in range(2)]
+    return [Act(at + 3 * n, k, -1, rng.uniform(0.3, MAX_FREEZE_S), series) for n, k in enumerate(kinds)]
 
 
-def _freezes(chance: random.Random, at: float, series: int, gateways: int) -> list[Act]:
+def _freezes(rng: random.Random, at: float, series: int, gateways: int) -> list[Act]:
     return [
         Act(
-            at + chance.uniform(0, 2),
+            at + rng.uniform(0, 2),
             "freeze",
-            chance.randrange(gateways),
-            chance.uniform(0.2, MOST_FROZEN),
+            rng.randrange(gateways),
+            rng.uniform(0.2, MAX_FREEZE_S),
             series,
         )
-        for _ in range(chance.randint(1, 3))
+        for _ in range(rng.randint(1, 3))
     ]
 
 
-def _freeze_and_end(chance: random.Random, at: float, series: int, gateways: int) -> list[Act]:
+def _freeze_and_end(rng: random.Random, at: float, series: int, gateways: int) -> list[Act]:
     """Told to end while it is frozen."""
-    target = chance.randrange(gateways)
+    target = rng.randrange(gateways)
     return [
-        Act(at, "freeze", target, chance.uniform(0.5, 2), series),
+        Act(at, "freeze", target, rng.uniform(0.5, 2), series),
         Act(at + 0.2, "restart", target, 0, series),
     ]
 
 
-def _settings(chance: random.Random, at: float, series: int, gateways: int) -> list[Act]:
+def _settings(rng: random.Random, at: float, series: int, gateways: int) -> list[Act]:
     return [
-        Act(at + 0.4 * n, chance.choice(("hup", "hup-bad")), chance.randrange(gateways), 0, series)
-        for n in range(chance.randint(2, 5))
+        Act(at + 0.4 * n, rng.choice(("hup", "hup-bad")), rng.randrange(gateways), 0, series)
+        for n in range(rng.randint(2, 5))
     ]
 
 
-def _empty(chance: random.Random, at: float, series: int, gateways: int) -> list[Act]:
-    return [Act(at, "wipe", chance.randrange(gateways), chance.uniform(0, 1), series)]
+def _wipe(rng: random.Random, at: float, series: int, gateways: int) -> list[Act]:
+    return [Act(at, "wipe", rng.randrange(gateways), rng.uniform(0, 1), series)]
 
 
-def _full_disks(chance: random.Random, at: float, series: int, gateways: int) -> list[Act]:
+def _disk_full(rng: random.Random, at: float, series: int, gateways: int) -> list[Act]:
     return [
-        Act(
-            at + chance.uniform(0, 3), "disk-full", chance.randrange(gateways), chance.uniform(0.3, 3), series
-        )
+        Act(at + rng.uniform(0, 3), "disk-full", rng.randrange(gateways), rng.uniform(0.3, 3), series)
         for _ in range(2)
     ]
 
 
-def _move(chance: random.Random, at: float, series: int, gateways: int) -> list[Act]:
-    return [Act(at, "move", chance.randrange(gateways), chance.uniform(0, 1), series)]
+def _move(rng: random.Random, at: float, series: int, gateways: int) -> list[Act]:
+    return [Act(at, "move", rng.randrange(gateways), rng.uniform(0, 1), series)]
 
 
-def _links(chance: random.Random, at: float, series: int, gateways: int) -> list[Act]:
+def _links(rng: random.Random, at: float, series: int, gateways: int) -> list[Act]:
     return [
         Act(
-            at + chance.uniform(0, 3),
-            chance.choice(("reset", "silence")),
-            chance.randrange(99),
-            chance.uniform(0.2, 2),
+            at + rng.uniform(0, 3),
+            rng.choice(("reset", "silence")),
+            rng.randrange(99),
+            rng.uniform(0.2, 2),
             series,
         )
-        for _ in range(chance.randint(2, 4))
+        for _ in range(rng.randint(2, 4))
     ]
 
 
-def _hosts(chance: random.Random, at: float, series: int, gateways: int) -> list[Act]:
+def _hosts(rng: random.Random, at: float, series: int, gateways: int) -> list[Act]:
     kinds = ("host-crash", "host-leave", "host-slow")
     return [
         Act(
-            at + chance.uniform(0, 3),
-            chance.choice(kinds),
-            chance.randrange(99),
-            chance.uniform(0.5, 2),
+            at + rng.uniform(0, 3),
+            rng.choice(kinds),
+            rng.randrange(99),
+            rng.uniform(0.5, 2),
             series,
         )
-        for _ in range(chance.randint(2, 3))
+        for _ in range(rng.randint(2, 3))
     ]
 
 
-def _changes(chance: random.Random, at: float, series: int, gateways: int) -> list[Act]:
+def _changes(rng: random.Random, at: float, series: int, gateways: int) -> list[Act]:
     kinds = ("change-bad", "change-rival", "change-burst")
-    return [Act(at + 0.7 * n, chance.choice(kinds), 0, 0, series) for n in range(3)]
+    return [Act(at + 0.7 * n, rng.choice(kinds), 0, 0, series) for n in range(3)]
 
 
 SERIES = {
@@ -168,8 +166,8 @@
     "freezes": _freezes,
     "freeze-and-end": _freeze_and_end,
     "settings": _settings,
-    "empty": _empty,
-    "full-disks": _full_disks,
+    "empty": _wipe,
+    "full-disks": _disk_full,
     "move": _move,
     "links": _links,
     "hosts": _hosts,
--- a/coralvale/cluster/soak/shrink.py
+++ b/coralvale/cluster/soak/shrink.py
@@ -9,38 +9,38 @@
 from coralvale.cluster.soak.schedule import Act, Schedule
 
 Fails = Callable[[Schedule], Awaitable[bool]]
-MOST = 40  # runs
+MAX_RUNS = 40  # runs
 
 
-async def shrink(schedule: Schedule, fails: Fails, most: int = MOST) -> Schedule:
+async def shrink(schedule: Schedule, fails: Fails, max_runs: int = MAX_RUNS) -> Schedule:
     """A schedule that failed, with as few acts as `most` runs find. A fault that shows only now and then may
     be kept with more acts than it needs, never with fewer."""
-    search = _Search(schedule, fails, most)
+    search = _Search(schedule, fails, max_runs)
     by_series: dict[int, list[Act]] = {}
     for act in schedule.acts:
         by_series.setdefault(act.series, []).append(act)
     kept = await search.reduce(list(by_series.values()))
     acts = await search.reduce([[act] for group in kept for act in group])
-    return search.made_of(acts)
+    return search.schedule_of(acts)
 
 
 class _Search:
     """Delta debugging (Zeller 2002) over groups of acts."""
 
-    def __init__(self, schedule: Schedule, fails: Fails, most: int) -> None:
-        self.schedule, self.fails, self.left = schedule, fails, most
+    def __init__(self, schedule: Schedule, fails: Fails, max_runs: int) -> None:
+        self.schedule, self.fails, self.runs_left = schedule, fails, max_runs
 
-    def made_of(self, groups: list[list[Act]]) -> Schedule:
+    def schedule_of(self, groups: list[list[Act]]) -> Schedule:
         acts = sorted((act for group in groups for act in group), key=lambda act: act.at)
         return msgspec.structs.replace(self.schedule, acts=tuple(acts))
 
     async def reduce(self, groups: list[list[Act]]) -> list[list[Act]]:
         pieces = 2
-        while len(groups) >= 2 and self.left > 0:
+        while len(groups) >= 2 and self.runs_left > 0:
             size = -(-len(groups) // pieces)
             for begin in range(0, len(groups), size):
                 rest = groups[:begin] + groups[begin + size :]
-                if self.left > 0 and await self._fails(rest):
+                if self.runs_left > 0 and await self._fails(rest):
                     groups, pieces = rest, max(2, pieces - 1)
                     break
             else:
@@ -50,5 +50,5 @@
         return groups
 
     async def _fails(self, groups: list[list[Act]]) -> bool:
-        self.left -= 1
-        return await self.fails(self.made_of(groups))
+        self.runs_left -= 1
+        return await self.fails(self.schedule_of(groups))
--- a/coralvale/cluster/soak/terms.py
+++ b/coralvale/cluster/soak/terms.py
@@ -12,7 +12,7 @@
 from coralvale.cluster.soak.history import Began
 from coralvale.cluster.soak.schedule import Schedule
 
-TAKEN = ("Bounds", "Limits", "FaultBudget", "HeartbeatMs", "Guarantees")
+OVERRIDDEN_KEYS = ("Bounds", "Limits", "FaultBudget", "HeartbeatMs", "Guarantees")
 
 
 class Terms:
@@ -31,7 +31,7 @@
             schedule, budget=nodes, disks=disks, gateways=max(schedule.gateways, disks)
         )
 
-    def put_into(self, text: str) -> str:
+    def apply_to(self, text: str) -> str:
         """A gateway's settings with these terms. The size of its disk stays: without one it has none."""
         if not self.fields:
             return text
@@ -43,7 +43,9 @@
         dumped: str = yaml.safe_dump(settings)
         return dumped
 
-    def began(self, at: float, seed: int, gateways: int, quotas: dict[str, tuple[float, float]]) -> Began:
+    def began_event(
+        self, at: float, seed: int, gateways: int, quotas: dict[str, tuple[float, float]]
+    ) -> Began:
         """The first event of a run, with the bounds that its rules hold."""
         if self.bounds is None:
             return Began(at, seed, gateways, quotas)
@@ -74,4 +76,4 @@
         raise SettingsError(f"{path}: {error.strerror}") from None
     parsed = parse(text, str(path))
     raw = yaml.safe_load(text)
-    return Terms({name: raw[name] for name in TAKEN if name in raw}, parsed.Bounds)
+    return Terms({name: raw[name] for name in OVERRIDDEN_KEYS if name in raw}, parsed.Bounds)
--- a/coralvale/cluster/soak/timeline.py
+++ b/coralvale/cluster/soak/timeline.py
@@ -12,8 +12,8 @@
 from coralvale.cluster.soak import history as h
 
 E = TypeVar("E")
-MARGIN = 1.0  # s that a process may take beside what it waited for: its own work in a crowd of requests
-TROUBLES = {"start", "term", "kill", "stop", "cont", "wipe", "exit", "overdue", "disk-full", "disk-well"}
+MARGIN_S = 1.0  # s that a process may take beside what it waited for: its own work in a crowd of requests
+DISTURBANCES = {"start", "term", "kill", "stop", "cont", "wipe", "exit", "overdue", "disk-full", "disk-well"}
 
 
 @frozen
@@ -33,14 +33,14 @@
     gateway: int
     number: int
     core: bool
-    begun: float
-    killed: float | None = None
-    told: float | None = None
-    ended: float | None = None
-    code: int = 0
+    started_at: float
+    killed_at: float | None = None
+    terminated_at: float | None = None
+    exited_at: float | None = None
+    exit_code: int = 0
     overdue: bool = False
-    frozen: list[tuple[float, float]] = field(factory=list)
-    waited: list[tuple[float, float]] = field(factory=list)  # time, s waited for a processor so far
+    stopped_spans: list[tuple[float, float]] = field(factory=list)
+    cpu_waits: list[tuple[float, float]] = field(factory=list)  # time, s waited for a processor so far
 
 
 @define
@@ -48,7 +48,7 @@
     """A client's request and what became of it."""
 
     sent: h.Sent
-    written: float | None = None
+    written_at: float | None = None
     end: h.Answered | h.Closed | h.Left | h.Silent | None = None
     ran: list[h.Ran] = field(factory=list)
 
@@ -58,34 +58,36 @@
 
     def __init__(self, events: Iterable[h.Event]) -> None:
         self.events = sorted(events, key=lambda event: event.at)
-        self.began = next((e for e in self.events if isinstance(e, h.Began)), h.Began(0.0, 0, 0))
-        self.last = self.events[-1].at if self.events else 0.0
+        self.run = next((e for e in self.events if isinstance(e, h.Began)), h.Began(0.0, 0, 0))
+        self.last_at = self.events[-1].at if self.events else 0.0
         self.lives: dict[tuple[int, int], Life] = {}
-        self.troubles: dict[int, list[float]] = defaultdict(list)  # by gateway
-        self.core_troubles: list[float] = []
+        self.disturbances: dict[int, list[float]] = defaultdict(list)  # by gateway
+        self.core_disturbances: list[float] = []
         self.requests: dict[str, Request] = {}
         self.stalls: list[tuple[float, float]] = []
-        self.links: dict[str, list[float]] = defaultdict(list)  # troubles of links and hosts, by host
-        self.unknown: list[h.Ran] = []  # runs of requests that nobody sent
+        self.link_disturbances: dict[str, list[float]] = defaultdict(
+            list
+        )  # troubles of links and hosts, by host
+        self.unknown_runs: list[h.Ran] = []  # runs of requests that nobody sent
         for event in self.events:
-            self._take(event)
+            self._add(event)
 
-    def of(self, kind: type[E]) -> list[E]:
+    def events_of(self, kind: type[E]) -> list[E]:
         return [event for event in self.events if isinstance(event, kind)]
 
-    def _take(self, event: h.Event) -> None:
+    def _add(self, event: h.Event) -> None:
         match event:
             case h.Process():
-                self._take_process(event)
+                self._add_process(event)
             case h.Sample():
                 if life := self.lives.get((event.gateway, event.life)):
-                    life.waited.append((event.at, event.waited))
+                    life.cpu_waits.append((event.at, event.waited))
             case h.Stall():
                 self.stalls.append((event.at, event.seconds))
             case h.Sent():
                 self.requests[event.id] = Request(event)
             case h.Written():
-                self.requests[event.id].written = event.at
+                self.requests[event.id].written_at = event.at
             case h.Answered() | h.Closed() | h.Left() | h.Silent():
                 request = self.requests[event.id]
                 request.end = request.end or event
@@ -93,13 +95,13 @@
                 if request_ := self.requests.get(event.id):
                     request_.ran.append(event)
                 else:
-                    self.unknown.append(event)
+                    self.unknown_runs.append(event)
             case h.Link():
-                self.links[event.host].append(event.at)
+                self.link_disturbances[event.host].append(event.at)
             case h.HostState() if event.what in ("crash", "gone"):
-                self.links[event.host].append(event.at)
+                self.link_disturbances[event.host].append(event.at)
 
-    def _take_process(self, event: h.Process) -> None:
+    def _add_process(self, event: h.Process) -> None:
         key = (event.gateway, event.life)
         if event.what == "start":
             self.lives[key] = Life(event.gateway, event.life, event.core, event.at)
@@ -107,51 +109,52 @@
         if life is None:
             return
         if event.what == "term":
-            life.told = life.told or event.at
+            life.terminated_at = life.terminated_at or event.at
         elif event.what == "kill":
-            life.killed = life.killed or event.at
+            life.killed_at = life.killed_at or event.at
         elif event.what == "overdue":
             life.overdue = True
         elif event.what == "exit":
-            life.ended, life.code = event.at, event.code
+            life.exited_at, life.exit_code = event.at, event.code
         elif event.what == "stop":
-            life.frozen.append((event.at, float("inf")))
-        elif event.what == "cont" and life.frozen:
-            life.frozen[-1] = (life.frozen[-1][0], event.at)
-        if event.what in TROUBLES:
-            self.troubles[event.gateway].append(event.at)
+            life.stopped_spans.append((event.at, float("inf")))
+        elif event.what == "cont" and life.stopped_spans:
+            life.stopped_spans[-1] = (life.stopped_spans[-1][0], event.at)
+        if event.what in DISTURBANCES:
+            self.disturbances[event.gateway].append(event.at)
             if event.core:
-                self.core_troubles.append(event.at)
+                self.core_disturbances.append(event.at)
 
     # Time
 
     def lost_time(self, life: Life | None, since: float, until: float) -> float:
         """Seconds between two moments in which a process could not run, or the player could not see."""
         frozen = sum(
-            max(0.0, min(until, end) - max(since, begin)) for begin, end in (life.frozen if life else [])
+            max(0.0, min(until, end) - max(since, begin))
+            for begin, end in (life.stopped_spans if life else [])
         )
         stalled = sum(s for at, s in self.stalls if since <= at <= until + s)
-        return frozen + stalled + (_waited(life.waited, since, until) if life else 0.0)
+        return frozen + stalled + (_cpu_wait(life.cpu_waits, since, until) if life else 0.0)
 
-    def in_touch(self, gateway: int, since: float, until: float) -> bool:
+    def undisturbed(self, gateway: int, since: float, until: float) -> bool:
         """Whether neither this gateway nor the core had a trouble from `ContactMs` before `since` on."""
-        begin = since - self.began.contact
-        own, core = self.troubles.get(gateway, []), self.core_troubles
-        return not _any(own, begin, until) and not _any(core, begin, until)
+        begin = since - self.run.contact
+        own, core = self.disturbances.get(gateway, []), self.core_disturbances
+        return not _any_between(own, begin, until) and not _any_between(core, begin, until)
 
-    def link_well(self, host: str, since: float, until: float) -> bool:
+    def link_undisturbed(self, host: str, since: float, until: float) -> bool:
         """Whether neither a host nor its link had a trouble from `ContactMs` before `since` on."""
-        return not _any(self.links.get(host, []), since - self.began.contact, until)
+        return not _any_between(self.link_disturbances.get(host, []), since - self.run.contact, until)
 
     def life_of(self, request: Request) -> Life | None:
         return self.lives.get((request.sent.gateway, request.sent.life))
 
 
-def _any(moments: list[float], since: float, until: float) -> bool:
+def _any_between(moments: list[float], since: float, until: float) -> bool:
     return bisect_left(moments, since) < bisect_right(moments, until)
 
 
-def _waited(samples: list[tuple[float, float]], since: float, until: float) -> float:
+def _cpu_wait(samples: list[tuple[float, float]], since: float, until: float) -> float:
     """From the last sample before to the first after; where there is none, the nearest."""
     if len(samples) < 2:
         return 0.0
--- a/coralvale/cluster/soak/wire.py
+++ b/coralvale/cluster/soak/wire.py
@@ -32,7 +32,7 @@
     return first, headers
 
 
-async def read_message(reader: asyncio.StreamReader, pause: float = 0.0, piece: int = 8192) -> Message:
+async def read_message(reader: asyncio.StreamReader, pause: float = 0.0, piece_bytes: int = 8192) -> Message:
     """A whole message; with `pause` seconds between pieces of its body for a slow reader."""
     first, headers = await read_head(reader)
     if headers.get(b"transfer-encoding", b"").lower() == b"chunked":
@@ -42,7 +42,7 @@
         return Message(first, headers, await reader.readexactly(left))
     parts = []
     while left:
-        part = await reader.readexactly(min(piece, left))
+        part = await reader.readexactly(min(piece_bytes, left))
         parts.append(part)
         left -= len(part)
         await asyncio.sleep(pause)
--- a/coralvale/cluster/soak/workload.py
+++ b/coralvale/cluster/soak/workload.py
@@ -6,32 +6,32 @@
 import random
 from collections.abc import Awaitable, Callable
 
-from coralvale.cluster.soak.callers import Caller, Numbers
-from coralvale.cluster.soak.clients import Asked, Client, Manner
+from coralvale.cluster.soak.callers import Caller, CallNumbers
+from coralvale.cluster.soak.clients import Client, RequestSpec, RequestStyle
 from coralvale.cluster.soak.cluster import SoakCluster
 from coralvale.cluster.soak.history import Writer
 from coralvale.cluster.soak.hosts import SoakHost
-from coralvale.cluster.soak.measure import sample, watch_own_loop
-from coralvale.cluster.soak.operator import SERVICES, Operator, key_of
-
-HOSTS = 4  # of each service
-RATE = 120.0  # requests a second of all clients, at most
-PACE = 0.12  # s between a client's requests, at least
-PRESSING = 4  # clients of the tenant that presses
-PRESSING_PACE = 0.08  # s between the requests of each of them
-PROBE_PACE = 0.25  # s between probes of the newest routes
-CHANGE_PACE = 1.5  # s between changes
-READ_PACE = 1.0  # s between reads of the configuration
-
-MANNERS = (
-    (Manner.PLAIN, "read", 6),
-    (Manner.PLAIN, "book", 3),
-    (Manner.BODY, "book", 2),
-    (Manner.CHUNKED, "book", 1),
-    (Manner.PLAIN, "long", 1),
-    (Manner.SLOW, "long", 1),
-    (Manner.LEAVES, "book", 1),
-    (Manner.LEAVES, "read", 1),
+from coralvale.cluster.soak.measure import record_stalls, sample_processes
+from coralvale.cluster.soak.operator import SERVICES, Operator, api_key
+
+HOSTS_PER_SERVICE = 4  # of each service
+MAX_RATE_PER_S = 120.0  # requests a second of all clients, at most
+MIN_INTERVAL_S = 0.12  # s between a client's requests, at least
+HOT_CLIENTS = 4  # clients of the tenant that presses
+HOT_INTERVAL_S = 0.08  # s between the requests of each of them
+PROBE_INTERVAL_S = 0.25  # s between probes of the newest routes
+CHANGE_INTERVAL_S = 1.5  # s between changes
+READ_INTERVAL_S = 1.0  # s between reads of the configuration
+
+REQUEST_MIX = (
+    (RequestStyle.PLAIN, "read", 6),
+    (RequestStyle.PLAIN, "book", 3),
+    (RequestStyle.BODY, "book", 2),
+    (RequestStyle.CHUNKED, "book", 1),
+    (RequestStyle.PLAIN, "long", 1),
+    (RequestStyle.SLOW, "long", 1),
+    (RequestStyle.LEAVES, "book", 1),
+    (RequestStyle.LEAVES, "read", 1),
 )  # manner, path, weight
 
 
@@ -40,7 +40,7 @@
 
     def __init__(self, cluster: SoakCluster, history: Writer, seed: int, coordination: bool = True) -> None:
         self.cluster, self.history, self.coordination = cluster, history, coordination
-        self.chance = random.Random(f"workload/{seed}")
+        self.rng = random.Random(f"workload/{seed}")
         self.operator = Operator(cluster, history, seed)
         self.hosts: list[SoakHost] = []
         self.tasks: set[asyncio.Future[None]] = set()
@@ -50,7 +50,7 @@
 
     async def start_hosts(self) -> None:
         for service in SERVICES:
-            for n in range(HOSTS):
+            for n in range(HOSTS_PER_SERVICE):
                 await self.start_host(service, f"zone-{n % 2}")
 
     async def start_host(self, service: str, zone: str) -> SoakHost:
@@ -58,7 +58,7 @@
         self.hosts.append(await host.start())
         return host
 
-    def leave(self, host: SoakHost) -> None:
+    def retire_host(self, host: SoakHost) -> None:
         """A host leaves in order, and another of its service begins."""
         self.hosts.remove(host)
         task = asyncio.create_task(host.leave())
@@ -67,24 +67,24 @@
 
     def start(self) -> None:
         count = 2 * len(self.cluster.members())
-        pace = max(PACE, count / RATE)
+        interval = max(MIN_INTERVAL_S, count / MAX_RATE_PER_S)
         for number in range(count):
-            self._spawn(self._client(number, pace))
-        for number in range(PRESSING):
-            self._spawn(self._presses(count + number))
-        self._spawn(self._probes(count + PRESSING))
-        self._spawn(self._repeat(self.operator.change, CHANGE_PACE))
-        self._spawn(self._repeat(self.operator.read, READ_PACE))
-        self._spawn(sample(self.cluster, self.history))
-        self._spawn(watch_own_loop(self.history))
+            self._spawn(self._station_client(number, interval))
+        for number in range(HOT_CLIENTS):
+            self._spawn(self._hot_client(count + number))
+        self._spawn(self._probe_client(count + HOT_CLIENTS))
+        self._spawn(self._repeat(self.operator.change, CHANGE_INTERVAL_S))
+        self._spawn(self._repeat(self.operator.read, READ_INTERVAL_S))
+        self._spawn(sample_processes(self.cluster, self.history))
+        self._spawn(record_stalls(self.history))
         if self.coordination:
             self._start_callers()
 
     def _start_callers(self) -> None:
-        numbers = Numbers()
+        numbers = CallNumbers()
         made = [Caller(self.cluster, self.history, numbers, f"app-{n}") for n in range(8)]
         for n, caller in enumerate(made):
-            caller.at = n
+            caller.gateway_index = n
         for caller in made[:4]:
             self._spawn(caller.hold_locks())
         self._spawn(made[4].draw_numbers())
@@ -117,37 +117,39 @@
         for task in list(self.leaving):
             task.cancel()
 
-    async def _client(self, number: int, pace: float) -> None:
-        client = Client(self.cluster, self.history, number, heeds_close=number % 3 != 0)
+    async def _station_client(self, number: int, interval: float) -> None:
+        client = Client(self.cluster, self.history, number, honours_close=number % 3 != 0)
         self.clients.append(client)
-        manners = [(manner, path) for manner, path, _ in MANNERS]
-        weights = [weight for _, _, weight in MANNERS]
+        styles = [(style, path) for style, path, _ in REQUEST_MIX]
+        weights = [weight for _, _, weight in REQUEST_MIX]
         while True:
-            manner, path = self.chance.choices(manners, weights)[0]
-            service = self.chance.choice(SERVICES)
-            asked = Asked(f"/{service}/{path}/1", path != "book", key_of("station"), "station", manner)
-            await client.ask(asked)
-            await asyncio.sleep(self.chance.uniform(0.5, 1.5) * pace)
+            style, path = self.rng.choices(styles, weights)[0]
+            service = self.rng.choice(SERVICES)
+            spec = RequestSpec(f"/{service}/{path}/1", path != "book", api_key("station"), "station", style)
+            await client.send(spec)
+            await asyncio.sleep(self.rng.uniform(0.5, 1.5) * interval)
 
-    async def _presses(self, number: int) -> None:
+    async def _hot_client(self, number: int) -> None:
         client = Client(self.cluster, self.history, number)
         self.clients.append(client)
         while True:
-            await client.ask(Asked("/archive/read/1", True, key_of("hot"), "hot"))
-            await asyncio.sleep(PRESSING_PACE)
+            await client.send(RequestSpec("/archive/read/1", True, api_key("hot"), "hot"))
+            await asyncio.sleep(HOT_INTERVAL_S)
 
-    async def _probes(self, number: int) -> None:
+    async def _probe_client(self, number: int) -> None:
         """Asks on the routes of the newest changes, at one gateway after another."""
         client = Client(self.cluster, self.history, number)
         self.clients.append(client)
         while True:
             members = self.cluster.running()
-            for path in self.operator.probes()[-2:]:
-                if members and await client.connect(self.chance.choice(members)):
-                    await client.ask(Asked(f"{path}1", True, key_of("station"), "station", proper=False))
-            await asyncio.sleep(PROBE_PACE)
-
-    async def _repeat(self, work: Callable[[], Awaitable[object]], pace: float) -> None:
+            for path in self.operator.probe_paths()[-2:]:
+                if members and await client.connect(self.rng.choice(members)):
+                    await client.send(
+                        RequestSpec(f"{path}1", True, api_key("station"), "station", proper=False)
+                    )
+            await asyncio.sleep(PROBE_INTERVAL_S)
+
+    async def _repeat(self, work: Callable[[], Awaitable[object]], interval: float) -> None:
         while True:
             await work()
-            await asyncio.sleep(pace)
+            await asyncio.sleep(interval)
--- a/tests/cluster/test_soak_mutants.py
+++ b/tests/cluster/test_soak_mutants.py
@@ -10,7 +10,7 @@
 import soak_mutants
 from soak_mutants import MUTANTS
 
-from coralvale.cluster.soak.main import net
+from coralvale.cluster.soak.main import loopback_network
 from coralvale.cluster.soak.play import play
 from coralvale.cluster.soak.schedule import Act, Schedule
 
@@ -40,8 +40,8 @@
 ) -> None:
     schedule = Schedule(1, 4, 3, 1, seconds, acts)
     program = (str(Path(soak_mutants.__file__)), name)
-    place = net(os.getpid() + CASES.index((name, rules, seconds, acts)))
-    outcome = asyncio.run(play(schedule, tmp_path, place, program=program, to_the_end=False))
+    place = loopback_network(os.getpid() + CASES.index((name, rules, seconds, acts)))
+    outcome = asyncio.run(play(schedule, tmp_path, place, program=program, orderly_shutdown=False))
     found = {violation.rule for violation in outcome.violations}
     assert found & rules, (found, outcome.violations[:5])
 
--- a/tests/cluster/test_soak_parts.py
+++ b/tests/cluster/test_soak_parts.py
@@ -48,7 +48,7 @@
         runs += 1
         return {4, 22} <= {act.target for act in tried.acts}
 
-    least = asyncio.run(shrink(Schedule(1, acts=acts), fails, most=60))
+    least = asyncio.run(shrink(Schedule(1, acts=acts), fails, max_runs=60))
     assert [act.target for act in least.acts] == [4, 22] and runs <= 60
 
 
@@ -74,10 +74,10 @@
     own = settings(0, ["10.0.0.1"], 1, tmp_path, False).replace("GraceS=6", "GraceS=9")
     file.write_text(own.replace("MemMb: 300", "MemMb: 123"))
     found = terms.read(file)
-    made = parse(found.put_into(settings(4, [f"127.0.0.{n}" for n in range(1, 6)], 3, tmp_path, False)))
+    made = parse(found.apply_to(settings(4, [f"127.0.0.{n}" for n in range(1, 6)], 3, tmp_path, False)))
     assert made.Bounds.GraceS == 9 and made.Limits.MemMb == 123
     assert made.Ip == "127.0.0.5" and not made.holds_state and made.Limits.DiskMb == 0
-    assert found.began(0.0, 1, 5, {}).grace == 9
+    assert found.began_event(0.0, 1, 5, {}).grace == 9
     file.write_text(own.replace("{Nodes: 1", "{Nodes: 3"))
     fitted = terms.read(file).fit(schedule.draw(1, 5, 20.0))
     assert (fitted.gateways, fitted.disks, fitted.budget) == (7, 7, 3)
@@ -101,7 +101,7 @@
     told = capsys.readouterr().out
     assert "BROKEN TWICE: ran at i-1, i-2 (a)" in told and "1 requests" in told
     violations = check(events)
-    assert report.around(events, violations[0])[-1].startswith('{"type":"Act"')
+    assert report.context(events, violations[0])[-1].startswith('{"type":"Act"')
     report.plot(events, tmp_path / "plot.png")
     assert (tmp_path / "plot.png").stat().st_size > 1000
 
@@ -110,4 +110,4 @@
     assert commands.main(["soak", "--gateways", "2"]) == 2
     assert commands.main(["soak", "--replay", "/nowhere.toml"]) == 2
     assert "nowhere.toml" in capsys.readouterr().err
-    assert main.net(0) != main.net(1)
+    assert main.loopback_network(0) != main.loopback_network(1)
