--- a/coralvale/cluster/commands/__init__.py
+++ b/coralvale/cluster/commands/__init__.py
@@ -1,8 +1,9 @@
-"""The command line, by `defopt`: each function in the table below is a command. Imported only when a word is
-given.
+"""The command line, made by `defopt`: each function in the table below is a command.
 
-Exit codes: 0 well, 1 what was looked at is not well, 2 the command was not understood or could not be carried
-out.
+Imported only when the program is started with arguments.
+
+Exit codes: 0: success; 1: the command ran and found a problem; 2: the arguments are wrong or the command
+could not be carried out.
 """
 
 from __future__ import annotations
@@ -23,6 +24,7 @@
 
 
 def main(words: list[str]) -> int:
+    """Runs the command that the arguments name; returns its exit code."""
     try:
         found = defopt.run(
             {
@@ -46,8 +48,8 @@
             cli_options="has_default",
             no_negated_flags=True,
         )
-    except CommandError as fault:
-        print(f"myrtlehatch: {fault}", file=sys.stderr)
+    except CommandError as error:
+        print(f"myrtlehatch: {error}", file=sys.stderr)
         return 2
     except KeyboardInterrupt:
         return 0
--- a/coralvale/cluster/commands/asking.py
+++ b/coralvale/cluster/commands/asking.py
@@ -1,4 +1,4 @@
-"""What commands share: one line for what cannot be carried out, calls of a gateway, files of logs."""
+"""Helpers that the commands share: their error, calls to a gateway, reading of log files."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class CommandError(Exception):
-    """A command cannot be carried out; one line."""
+    """A command cannot be carried out. Its text is one line for the user."""
 
 
 def call_gateway(address: str, name: str) -> Any:  # noqa: ANN401
-    """What a gateway answers to a call without a body. Raises Fault where that is not 200."""
+    """A gateway's decoded JSON answer to a call without a body. Raises CommandError unless it is a 200."""
     from coralvale.cluster.sending import post
 
     try:
@@ -26,15 +26,15 @@
 
 
 def call_for_object(address: str, name: str) -> dict[str, Any]:
-    """The same, of a call that is answered by an object."""
+    """Like `call_gateway`, for a call that is answered by a JSON object."""
     found = call_gateway(address, name)
     if not isinstance(found, dict):
-        raise CommandError(f"{address}: not an answer of a gateway")
+        raise CommandError(f"{address}: the answer is not a JSON object; is this a gateway's Ctl address?")
     return found
 
 
 def read_logs(paths: tuple[Path, ...]) -> Iterator[tuple[Path, list[str]]]:
-    """Files of logs, with those of folders, and their lines."""
+    """Log files and their lines; a folder stands for all files in it. Raises CommandError."""
     for file in [f for path in paths for f in (sorted(path.iterdir()) if path.is_dir() else [path])]:
         try:
             yield file, file.read_text(errors="replace").splitlines()
--- a/coralvale/cluster/commands/configuration.py
+++ b/coralvale/cluster/commands/configuration.py
@@ -1,4 +1,4 @@
-"""Commands about the configuration: send it, compare it, look at its changes."""
+"""Commands for the configuration: send a change, compare two versions, list past changes."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 
 def send(file: Path, *at: str, base: int = -1, patience: float = 30.0, as_json: bool = False) -> int:
-    """Send a configuration, or a change by name, until a gateway takes it or refuses it.
+    """Send a whole configuration, or a change by name, until a gateway accepts or refuses it.
 
-    It is sent unchanged to one gateway after another. Exit code 0: taken; 1: refused, with the reason; 2: no
-    clear answer, and it may or may not be in force: send it again, unchanged, with the same --base.
+    It is sent unchanged to one gateway after another. Exit code 0: accepted; 1: refused, with the reason; 2:
+    no definite answer, so it may or may not be in force: send it again, unchanged, with the same --base.
 
-    :param file: JSON: Ver, Routes, Svcs, Limits, Tenants; or Ver, Upsert, Remove
+    :param file: JSON with Ver, Routes, Svcs, Limits, Tenants, or with Ver, Upsert, Remove
     :param at: Ctl addresses of gateways, ip:port
-    :param base: the version that it builds on; left out, the one that is in force
+    :param base: the version that it builds on; by default the one in force
     :param patience: seconds for which it is sent again
     :param as_json: print one JSON object
     """
     from coralvale.cluster import sending
 
     if not at:
-        raise CommandError("config send: at least one ip:port")
+        raise CommandError("config send: give at least one Ctl address, ip:port")
     try:
         change = json.loads(file.read_bytes())
         sending.call_of(change)
@@ -40,25 +40,25 @@
     elif found.status == 200:
         print(f"version {change['Ver']} on {base} taken by {found.gateway}")
     else:
-        print(f"{file}: {found.status or 'no clear answer'}: {found.reason}", file=sys.stderr)
+        print(f"{file}: {found.status or 'no definite answer'}: {found.reason}", file=sys.stderr)
     return 0 if found.status == 200 else 1 if found.status else 2
 
 
 def _current_version(gateways: tuple[str, ...]) -> int:
-    """The newest version, from the first gateway that tells it."""
-    fault = CommandError("no gateway answers")
+    """The version in force according to the first gateway that answers. Raises CommandError if none does."""
+    last_error = CommandError("no gateway answers")
     for one in gateways:
         try:
             return int(call_for_object(one, "config.read").get("Ver", 0))
         except CommandError as error:
-            fault = error
-    raise fault
+            last_error = error
+    raise last_error
 
 
 def history(at: str, *, as_json: bool = False) -> int:
-    """Show the newest changes of the configuration, and what each did.
+    """List the newest changes of the configuration, with what each added, changed and removed.
 
-    :param at: the Ctl address of a member of the core, ip:port
+    :param at: the Ctl address of a core member, ip:port
     :param as_json: print one JSON list
     """
     steps = call_gateway(at, "gateway.history")
@@ -80,10 +80,10 @@
 
 
 def diff(before: str, after: str, *, as_json: bool = False) -> int:
-    """Tell two configurations apart, by names. The exit code is 1 where they differ.
+    """List what differs between two configurations, by name. The exit code is 1 if they differ.
 
-    :param before: a file, or the Ctl address of a gateway (ip:port), for the one in force there
-    :param after: the same
+    :param before: a file, or the Ctl address of a gateway (ip:port) for the configuration in force there
+    :param after: the other one, likewise
     :param as_json: print one JSON object
     """
     from coralvale.cluster.configuration.model import differences
@@ -97,15 +97,16 @@
 
 
 def _configuration(of: str) -> dict[str, Any]:
+    """The configuration in a file, or the one in force at a gateway."""
     if not Path(of).exists():
         host, _, port = of.rpartition(":")
         if not host or not port.isdigit():
-            raise CommandError(f"{of}: no such file, and no ip:port")
+            raise CommandError(f"{of}: neither an existing file nor an ip:port")
         return call_for_object(of, "config.read")
     try:
         found = json.loads(Path(of).read_bytes())
     except (OSError, ValueError) as error:
         raise CommandError(f"{of}: {error}") from None
     if not isinstance(found, dict):
-        raise CommandError(f"{of}: expected a configuration")
+        raise CommandError(f"{of}: expected a configuration (a JSON object)")
     return found
--- a/coralvale/cluster/commands/coordination.py
+++ b/coralvale/cluster/commands/coordination.py
@@ -1,4 +1,4 @@
-"""Commands about locks, numbers, keys and watches."""
+"""Commands for coordination: locks, numbers, keys and watches."""
 
 from __future__ import annotations
 
@@ -18,43 +18,44 @@
     404,
     409,
     410,
-}  # statuses that say what is the case; after others another gateway is asked
-MAX_ROUNDS = 10  # in which all gateways are asked until one gives a clear answer
-RETRY_DELAY_S = 0.4  # s between rounds
-LONG_POLL_MS = 2000  # for which a gateway keeps a watch waiting
-LONG_POLL_MARGIN_S = 3.0  # s more until its answer is given up
+}  # after any other status the next gateway is asked
+MAX_ROUNDS = 10  # in each of which all gateways are asked until one gives a definite answer
+RETRY_DELAY_S = 0.4  # between rounds, and between looks for a group that does not exist yet
+LONG_POLL_MS = 2000  # for which a gateway holds a watch call open
+LONG_POLL_MARGIN_S = 3.0  # beyond that until the call times out
 
 GatewayCall = Callable[[str], tuple[int, bytes]]
 
 
 def locks(*at: str, prefix: str = "", as_json: bool = False) -> int:
-    """List locks: owner, fence, seconds since the last renewal that this leader answered, seconds left.
+    """List locks: owner, fencing token, hold time, seconds since the last renewal, seconds left.
 
-    A lock with less than 0 s left goes to the next who asks.
+    Only renewals that the present leader answered are counted. A lock with less than 0 s left has expired and
+    is given to the next caller.
 
     :param at: Ctl addresses of gateways, ip:port
-    :param prefix: of the names
-    :param as_json: print one JSON object a line
+    :param prefix: only names that begin with this
+    :param as_json: print one JSON object per line
     """
     return _print_rows(at, "locks", prefix, as_json, _format_lock)
 
 
 def numbers(*at: str, prefix: str = "", as_json: bool = False) -> int:
-    """List numbers: the last that was given under each name.
+    """List numbers: the last one that was issued for each name.
 
     :param at: Ctl addresses of gateways, ip:port
-    :param prefix: of the names
-    :param as_json: print one JSON object a line
+    :param prefix: only names that begin with this
+    :param as_json: print one JSON object per line
     """
     return _print_rows(at, "numbers", prefix, as_json, lambda row: f"{row['Val']:>16} {row['Name']}")
 
 
 def keys(group: str, *at: str, as_json: bool = False) -> int:
-    """List the keys of a group with revision and value. The exit code is 1 where there is none.
+    """List the keys of a group with revision and value.
 
-    :param group: what its keys begin with, with the dot; a longer prefix does as well, "" is all keys
+    :param group: the prefix of its keys, with the dot; a longer prefix works as well, "" lists all keys
     :param at: Ctl addresses of gateways, ip:port
-    :param as_json: print one JSON object a line
+    :param as_json: print one JSON object per line
     """
     return _print_rows(
         at, "keys", group, as_json, lambda row: f"{row['Rev']:>10} {row['Name']:<32} {row['Val']}"
@@ -62,21 +63,22 @@
 
 
 def release(name: str, *at: str, fence: int, reason: str, as_json: bool = False) -> int:
-    """Take a lock from its holder by hand. Each member of the core logs it as E702, with the reason.
+    """Take a lock from its holder by hand. Each core member logs this as E702, with the reason.
 
-    The holder is not told, and may count on the lock until its time is over: stop it first, or be sure that
-    what it writes to checks fences. The exit code is 1 where the lock is not held under this fence.
+    The holder is not notified and may rely on the lock until its hold expires: stop it first, or be sure that
+    the storage it writes to checks fencing tokens. The exit code is 1 if the fence does not hold the lock.
 
-    :param name: the lock's
+    :param name: the lock's name
     :param at: Ctl addresses of gateways, ip:port
-    :param fence: of the hold that is to end, as `locks list` shows it
+    :param fence: fencing token of the hold that is to end, as `locks list` shows it
     :param reason: why, for the log
     :param as_json: print one JSON object
     """
     body = json.dumps({"fence": fence, "Reason": reason}).encode()
     status, answer, unclear = _definite_answer(at, lambda one: _post(one, "locks.expire", name, body))
     taken = status == 200
-    # After a try without a clear answer nobody knows which try it was; that the lock is not held is known.
+    # After an attempt without a definite answer, a 409 may mean that this attempt had already released the
+    # lock. In any case the lock is not held under this fence.
     done = taken or (status == 409 and unclear)
     if as_json:
         print(json.dumps({"name": name, "fence": fence, "released": done, "status": status}))
@@ -90,15 +92,15 @@
 
 
 def watch(group: str, *at: str, after: int = 0, seconds: float = 0.0, as_json: bool = False) -> int:
-    """Print the puts of a group as they come: revision, key, value.
+    """Print the puts of a group as they happen: revision, key, value.
 
-    The exit code is 1 where puts after the revision are not kept any more; `keys` shows what is there.
+    The exit code is 1 if puts after the revision are no longer retained; `keys` shows the current values.
 
     :param group: the group's name, with its dot
     :param at: Ctl addresses of gateways, ip:port
-    :param after: the revision to go on from; 0: the present one
-    :param seconds: for which to watch; 0: until it is interrupted
-    :param as_json: print one JSON object a line
+    :param after: the revision to continue from; 0: the current one
+    :param seconds: how long to watch; 0: until interrupted
+    :param as_json: print one JSON object per line
     """
     ends = time.monotonic() + seconds if seconds else float("inf")
     known = after or _first_revision(at, group, ends)
@@ -108,27 +110,27 @@
             line = f"{event['Rev']:>10} {event['Name']:<32} {event['Val']}"
             print(json.dumps(event) if as_json else line, flush=True)
         if revision < 0:
-            print(f"{group}: puts after revision {known} are not kept any more", file=sys.stderr)
+            print(f"{group}: puts after revision {known} are no longer retained", file=sys.stderr)
             return 1
         known = revision
     return 0
 
 
 def _first_revision(at: tuple[str, ...], group: str, ends: float) -> int:
-    """The group's revision. A group is there from its first put on, and watched from there."""
+    """The group's current revision. A group exists from its first put on: waits for that, up to `ends`."""
     waited = False
     while (revision := _poll_watch(at, group, 0, 0)[1]) == 0 and time.monotonic() < ends:
         waited = True
         time.sleep(RETRY_DELAY_S)
     if waited and revision:
-        print(f"{group}: watched from revision {revision} on; `keys` shows what is there", file=sys.stderr)
+        print(f"{group}: watching from revision {revision} on; `keys` shows current values", file=sys.stderr)
     return revision
 
 
 def _poll_watch(
     at: tuple[str, ...], group: str, after: int, poll_ms: int
 ) -> tuple[list[dict[str, Any]], int]:
-    """Puts above a revision, and the revision up to which they are all; -1: they are not kept."""
+    """Puts after a revision, and the revision up to which they are complete; -1: no longer retained."""
     from coralvale.cluster.sending import get
 
     path = f"/watch/{quote(group, safe='')}?{urlencode({'after': after, 'PollMs': poll_ms})}"
@@ -156,7 +158,7 @@
 
 
 def _rows(at: tuple[str, ...], kind: str, prefix: str) -> Iterator[dict[str, Any]]:
-    """Page by page; each is as new as its call, and not all are of one moment."""
+    """All rows, fetched page by page. Pages are read one after another, so they are not one snapshot."""
     page = _page(at, kind, prefix, "")
     yield from page["Rows"]
     while page["More"]:
@@ -179,10 +181,12 @@
 
 
 def _definite_answer(at: tuple[str, ...], ask: GatewayCall) -> tuple[int, bytes, bool]:
-    """Status and body of the first clear answer, and whether a try before it may have taken effect. Raises
-    Fault where none comes."""
+    """Status and body of the first definite answer, and whether an earlier attempt may have taken effect.
+
+    Raises CommandError if no gateway gives one.
+    """
     if not at:
-        raise CommandError("at least one ip:port")
+        raise CommandError("give at least one Ctl address, ip:port")
     last, unclear = "", False
     for number in range(MAX_ROUNDS):
         time.sleep(RETRY_DELAY_S if number else 0.0)
@@ -205,7 +209,7 @@
     except ValueError:
         found = None
     if not isinstance(found, dict):
-        raise CommandError("not an answer of a gateway")
+        raise CommandError("the answer is not a JSON object; is this a gateway's Ctl address?")
     return found
 
 
--- a/coralvale/cluster/commands/disk.py
+++ b/coralvale/cluster/commands/disk.py
@@ -1,4 +1,4 @@
-"""Commands about a disk whose process is down."""
+"""Commands for the state on a gateway's disk while its process is stopped."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 def show(datadir: Path, *, as_json: bool = False) -> int:
-    """Show what a disk holds, while its process is down.
+    """Show the state on a disk whose process is stopped.
 
     :param datadir: the settings' Datadir
-    :param as_json: print one JSON object, the configuration with it
+    :param as_json: print one JSON object, which includes the configuration
     """
     found = _inspect(datadir)
     if as_json:
@@ -38,7 +38,7 @@
 
 
 def check_state(datadir: Path) -> int:
-    """Say whether a disk's contents can be used.
+    """Check whether the state on a disk is readable and intact.
 
     :param datadir: the settings' Datadir
     """
@@ -48,7 +48,7 @@
 
 
 def export(datadir: Path) -> int:
-    """Print what `restore` takes: the newest configuration that this disk knows to be delivered.
+    """Print the input of `restore`: the newest configuration that this disk knows to be delivered.
 
     :param datadir: the settings' Datadir
     """
@@ -62,19 +62,19 @@
 
 
 def restore(file: Path, datadir: Path, *, hostname: str, ip: str, all_others_are_lost: bool = False) -> int:
-    """Begin a new core from an export, after a loss beyond the fault budget.
+    """Start a new core from an export, after a loss beyond the fault budget.
 
-    :param file: what `export` printed
+    :param file: the output of `export`
     :param datadir: an empty Datadir of the machine that founds the new core
     :param hostname: that machine's Hostname
     :param ip: that machine's Ip
-    :param all_others_are_lost: say so: a member of the old core that is there would go on beside the new
+    :param all_others_are_lost: required: a surviving member of the old core would run beside the new one
     """
     from coralvale.cluster.storage import keeper
 
     if not all_others_are_lost:
         raise CommandError(
-            "refused: say --all-others-are-lost, and empty the disks of all other members first"
+            "refused: empty the disks of all other members first, then give --all-others-are-lost"
         )
     try:
         name = keeper.restore(json.loads(file.read_bytes()), datadir, hostname, ip)
--- a/coralvale/cluster/commands/gateway.py
+++ b/coralvale/cluster/commands/gateway.py
@@ -1,4 +1,4 @@
-"""Commands of one gateway: start it, check its files, look at what it knows."""
+"""Commands for one gateway: start it, check its files, show its status; and the demo."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 def run(*, settings: str = "", metrics: str = "", regions: str = "") -> int:
     """Start one gateway.
 
-    :param settings: the settings file; left out, MYRTLEHATCH_CONFIG names it
-    :param metrics: ip:port on loopback or a network of operators, of a page for Prometheus; none without it
-    :param regions: a file that binds services to regions, beside the configuration
+    :param settings: the settings file; by default the one that MYRTLEHATCH_CONFIG names
+    :param metrics: ip:port on loopback or an operators' network for the Prometheus page; by default none
+    :param regions: a file that binds services to regions, in addition to the configuration
     """
     import os
     from importlib.util import find_spec
@@ -29,17 +29,15 @@
         except ValueError as error:
             raise CommandError(f"--metrics: {error}") from None
         if find_spec("prometheus_client") is None:
-            raise CommandError(
-                "--metrics: needs the extra cluster-metrics (pip install '.[cluster-metrics]')"
-            )
+            raise CommandError("--metrics needs the extra cluster-metrics (pip install '.[cluster-metrics]')")
     return serve_now(settings or os.environ.get("MYRTLEHATCH_CONFIG", ""), metrics, regions)
 
 
 def check(file: Path, *, configuration: bool = False, as_json: bool = False) -> int:
-    """Read a settings file, or an operator's configuration, and say all that is wrong with it.
+    """Check a settings file, or an operator's configuration, and print every mistake in it.
 
     :param file: the file
-    :param configuration: it is a configuration (JSON), not a settings file (YAML)
+    :param configuration: the file is a configuration (JSON), not a settings file (YAML)
     :param as_json: print one JSON object
     """
     from coralvale.cluster.configuration.model import Configuration, parse_configuration
@@ -56,7 +54,7 @@
         except OSError as error:
             raise CommandError(f"{file}: {error.strerror}") from None
         except ValueError as error:
-            mistakes = [f"cannot be read whole: {error}"]
+            mistakes = [f"not valid JSON: {error}"]
     else:
         if not file.exists():
             raise CommandError(f"{file}: no such file")
@@ -78,7 +76,7 @@
 def _format_status(found: dict[str, Any]) -> str:
     from coralvale.cluster.rate_limit.shares import CELLS
 
-    leader = found.get("leader", found.get("holder"))  # a gateway of the version before has the other name
+    leader = found.get("leader", found.get("holder"))  # gateways of the previous version name it "holder"
     lines = [
         f"{found['name']} ({found['zone']}): {'ready' if found['ready'] else 'not ready'}, "
         f"version {found['version']}, {found['open']} requests in hand",
@@ -117,11 +115,11 @@
 
 
 def status(at: str, *, as_json: bool = False, watch: float = 0.0) -> int:
-    """Show what a gateway knows: view, members, version, hosts, quotas.
+    """Show a gateway's status: view, members, version, hosts, quotas. The exit code is 1 if it is not ready.
 
     :param at: the gateway's Ctl address, ip:port
-    :param as_json: print one JSON object (a line each time, with --watch)
-    :param watch: seconds between looks; 0 looks once
+    :param as_json: print one JSON object (one per line with --watch)
+    :param watch: seconds between refreshes; 0: print once
     """
     while True:
         found = call_for_object(at, "gateway.status")
@@ -132,12 +130,12 @@
 
 
 def demo(*, seconds: float = 9.0, as_json: bool = False) -> int:
-    """Start five gateways on loopback, three with disks, with hosts, clients and an operator of ours.
+    """Start five gateways on loopback, three with disks, with simulated hosts, clients and an operator.
 
-    Shows traffic served, a change of the configuration taken, and the founder of the core killed under it.
+    Shows traffic being served, a change of the configuration, and the founder of the core being killed.
 
-    :param seconds: how long traffic is played
-    :param as_json: print the summary alone, as one JSON object
+    :param seconds: how long traffic is generated
+    :param as_json: print only the summary, as one JSON object
     """
     import asyncio
 
--- a/coralvale/cluster/commands/hosts.py
+++ b/coralvale/cluster/commands/hosts.py
@@ -1,4 +1,4 @@
-"""Commands about hosts: what is held against each copy."""
+"""Commands for hosts: health verdicts on each instance of a service."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 
 
 def health(*at: str, as_json: bool = False, watch: float = 0.0) -> int:
-    """Show what is held against each copy, by whom, and the share of its service that each gateway sends it.
+    """Show each instance's health verdict, who reported it, and its share of traffic at each gateway.
 
-    The exit code is 1 where something is held against a copy.
+    The exit code is 1 if any instance is not well.
 
     :param at: Ctl addresses of gateways, ip:port
-    :param as_json: print one JSON object (a line each time, with --watch)
-    :param watch: seconds between looks; 0 looks once
+    :param as_json: print one JSON object (one per line with --watch)
+    :param watch: seconds between refreshes; 0: print once
     """
     if not at:
-        raise CommandError("health: at least one ip:port")
+        raise CommandError("health: give at least one Ctl address, ip:port")
     while True:
         copies: dict[str, dict[str, Any]] = {}
         for one in at:
--- a/coralvale/cluster/commands/logs.py
+++ b/coralvale/cluster/commands/logs.py
@@ -1,4 +1,4 @@
-"""Commands about logs: the catalogue of events, and a request's way."""
+"""Commands for logs: the catalogue of events, and the trace of one request."""
 
 from __future__ import annotations
 
@@ -23,10 +23,12 @@
 
 
 def explain(request_id: str, *logs: Path, as_json: bool = False) -> int:
-    """Tell a request's way from the logs of all gateways, written with MYRTLEHATCH_LOG=DEBUG.
+    """Trace one request through the logs of all gateways, written with MYRTLEHATCH_LOG=DEBUG.
+
+    The exit code is 1 if the logs do not contain it.
 
     :param request_id: its X-Myrtlehatch-Request-Id
-    :param logs: files of logs, or folders of them
+    :param logs: log files, or folders of them
     :param as_json: print one JSON object
     """
     found = []
--- a/coralvale/cluster/commands/regions.py
+++ b/coralvale/cluster/commands/regions.py
@@ -1,4 +1,4 @@
-"""Commands about services that are bound to regions."""
+"""Commands for services that are bound to regions."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 
 
 def show_regions(*at: str, as_json: bool = False) -> int:
-    """Show which services are bound to which region, who is there, and what was refused abroad.
+    """Show the region that each service is bound to, its gateways and hosts, and requests refused elsewhere.
 
-    The exit code is 1 where a bound service has no gateway or no host at home, or a gateway is not sure of a
-    binding.
+    The exit code is 1 if a bound service has no gateway or no host in its region, or a gateway there is not
+    sure of its bindings.
 
     :param at: Ctl addresses of gateways, ip:port
     :param as_json: print one JSON object
     """
     if not at:
-        raise CommandError("regions: at least one ip:port")
+        raise CommandError("regions: give at least one Ctl address, ip:port")
     seen = [call_for_object(one, "gateway.status") for one in at]
     zones = {zone: region for found in seen for zone, region in found["zones"].items()}
     services: dict[str, dict[str, Any]] = {}
@@ -60,9 +60,11 @@
 
 
 def audit(*logs: Path, as_json: bool = False) -> int:
-    """Count answers of bound requests by region from gateways' logs, and name each from outside (exit code 1).
+    """Count answers to requests of bound services by region, from gateways' logs.
 
-    :param logs: files of logs, or folders of them
+    Each answer from outside the bound region is listed, and makes the exit code 1.
+
+    :param logs: log files, or folders of them
     :param as_json: print one JSON object
     """
     import re
--- a/coralvale/cluster/commands/soak.py
+++ b/coralvale/cluster/commands/soak.py
@@ -1,4 +1,4 @@
-"""The command that tries a version and its settings under series of faults."""
+"""The command that tests a version and its settings under injected faults."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
     shrink: bool = False,
     as_json: bool = False,
 ) -> int:
-    """Play a cluster of real processes on loopback through series of signals, restarts and changes under traffic.
+    """Run real gateway processes on loopback under traffic and inject faults: signals, restarts, changes.
 
-    Exit code 0: no rule was broken; 1: some was; 2: a run could not be played.
+    Exit code 0: no rule was broken; 1: a rule was broken; 2: a run could not be carried out.
 
     :param gateways: how many gateways each run starts with
-    :param seconds: how long faults are played; start and end come on top
-    :param seeds: how many seeds are played
+    :param seconds: how long faults are injected; start-up and shutdown take extra time
+    :param seeds: how many seeds are run
     :param first: the first seed
-    :param settings: a settings file of yours: its Bounds, Limits, FaultBudget and HeartbeatMs are tried
-    :param replay: a schedule (TOML) that is played in place of seeds
-    :param check: a history (history.jsonl) that is checked again; nothing is played
-    :param folder: where histories, logs and reports go
-    :param at_once: runs that are played side by side
+    :param settings: a settings file: its Bounds, Limits, FaultBudget, HeartbeatMs and Guarantees are tested
+    :param replay: a schedule (TOML) that is run instead of seeds
+    :param check: a history (history.jsonl) that is checked again; nothing is run
+    :param folder: where histories, logs and reports are written
+    :param at_once: how many runs are carried out in parallel
     :param log: the gateways' log level
-    :param plot: draw served, refused and failed requests over time (needs the extra lab)
-    :param shrink: play what failed again with parts left out, and write the least that still fails
-    :param as_json: print one JSON object for each run
+    :param plot: plot served, refused and failed requests over time (needs the extra lab)
+    :param shrink: re-run a failed schedule with parts left out, and write the smallest one that still fails
+    :param as_json: print one JSON object per run
     """
     from importlib.util import find_spec
 
@@ -52,7 +52,7 @@
         if check:
             return runs.recheck(Path(check), as_json)
         if gateways < 3 or seconds <= 0 or at_once < 1:
-            raise CommandError("soak: at least 3 gateways, some seconds, and one run at once")
+            raise CommandError("soak: --gateways must be at least 3, --seconds above 0, --at-once at least 1")
         for wanted, package in ((shrink, "tomli_w"), (plot, "matplotlib")):
             if wanted and find_spec(package) is None:
                 raise CommandError("soak: --shrink and --plot need the extra lab (pip install '.[lab]')")
--- a/coralvale/cluster/soak/__init__.py
+++ b/coralvale/cluster/soak/__init__.py
@@ -1,1 +1,1 @@
-"""The soak: a cluster of real processes under faults, its history, and rules checked against that history."""
+"""The soak test: runs a cluster of real processes under faults, records a history, and checks rules on it."""
--- a/coralvale/cluster/soak/callers.py
+++ b/coralvale/cluster/soak/callers.py
@@ -1,4 +1,4 @@
-"""Applications in a soak: callers of locks, numbers, keys and watches."""
+"""Applications in a soak that call the coordination API: locks, numbers, keys and watches."""
 
 from __future__ import annotations
 
@@ -11,17 +11,17 @@
 from coralvale.cluster.soak.history import CallAnswer, Called, Writer, now
 from coralvale.standins.cluster import CTL, call
 
-LOCK_HOLD_S = 2.0  # s that a lock is asked for
+LOCK_HOLD_S = 2.0  # hold time that is asked for
 LOCK_COUNT, COUNTER_COUNT, GROUP_COUNT, KEY_COUNT = 2, 2, 2, 3
-WATCH_POLL_MS = 1000  # ms that a watch waits
-CALL_TIMEOUT_S = 1.2  # s without an answer after which a caller turns elsewhere
-PUT_RETRY_S = 6.0  # s for which a put without a clear answer is sent again
-CALL_INTERVAL_S = 0.25  # s between a caller's calls
-NOT_EXECUTED_STATUSES = (429, 503)  # nothing was done
+WATCH_POLL_MS = 1000  # for which a gateway holds a watch call open
+CALL_TIMEOUT_S = 1.2  # after which a caller turns to the next gateway; a watch gets its poll time on top
+PUT_RETRY_S = 6.0  # for which a put without a definite answer is sent again
+CALL_INTERVAL_S = 0.25  # between a caller's calls
+NOT_EXECUTED_STATUSES = (429, 503)  # the call had no effect
 
 
 class CallNumbers:
-    """Numbers of calls, over all callers."""
+    """Issues the numbers of calls, for all callers of a run."""
 
     def __init__(self) -> None:
         self.last = 0
@@ -32,14 +32,14 @@
 
 
 class Caller:
-    """One application: an owner of locks with one name over all its holds."""
+    """One application. It uses its name as lock owner for all its holds."""
 
     def __init__(self, cluster: SoakCluster, history: Writer, numbers: CallNumbers, name: str) -> None:
         self.cluster, self.history, self.numbers, self.name = cluster, history, numbers, name
         self.gateway_index = 0
 
     async def hold_locks(self) -> None:
-        """Takes a lock, keeps it for a while with renewals, and gives it back, or goes without a word."""
+        """Acquires locks, renews them for a while, and releases them or lets them expire."""
         while True:
             name = f"lock-{random.randrange(LOCK_COUNT)}"
             body = {"Owner": self.name, "HoldMs": LOCK_HOLD_S * 1000}
@@ -75,7 +75,7 @@
             await asyncio.sleep(CALL_INTERVAL_S)
 
     async def _put(self, key: str, revision: int) -> None:
-        """The same put until it has a clear answer, for a while."""
+        """Sends the same put until it has a definite answer, for at most `PUT_RETRY_S`."""
         expected = revision if random.random() < 0.5 else None
         value = f"{random.getrandbits(64):016x}"
         body = {"Val": value} if expected is None else {"Val": value, "Duty": expected}
@@ -109,7 +109,10 @@
         expected: int | None = None,
         after: int = 0,
     ) -> tuple[int, dict[str, Any]] | None:
-        """Status and body of a clear answer; None without one."""
+        """Sends and records a call.
+
+        Returns status and body of a definite answer; None without one, or if the call was not executed.
+        """
         addresses = self.cluster.addresses()
         ip = addresses[self.gateway_index % len(addresses)]
         number = self.numbers.next()
--- a/coralvale/cluster/soak/checker.py
+++ b/coralvale/cluster/soak/checker.py
@@ -1,4 +1,4 @@
-"""Whether a history keeps the rules. Knows nothing of how it came to be."""
+"""Checks a recorded history against all rules. It knows only the history, not how it was produced."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 def check(events: Iterable[Event], rules: tuple[Rule, ...] = RULES) -> list[Violation]:
-    """All violations, by time."""
+    """All violations, sorted by time."""
     timeline = Timeline(events)
     return sorted((v for rule in rules for v in rule(timeline)), key=lambda v: v.at)
 
--- a/coralvale/cluster/soak/clients.py
+++ b/coralvale/cluster/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of a soak: each goes on using its connection until it is closed or its gateway's process is gone."""
+"""Clients of a soak. Each keeps its connection until it is closed or its gateway's process has exited."""
 
 from __future__ import annotations
 
@@ -25,14 +25,14 @@
 from coralvale.standins.wire import Message
 
 VHOST = "demo.example"
-TIME_LIMIT_S = 2.5  # s that a request may take; the routes' time-outs are longer
-GIVE_UP_AFTER_S = 15.0  # s beyond its time after which a client gives up
-CONNECT_TIMEOUT_S = 3.0  # s
-MAX_LEAVE_DELAY_S = 0.05  # s, at most, after which a client that leaves does so
+TIME_LIMIT_S = 2.5  # sent with each request; the routes' timeouts are longer
+GIVE_UP_AFTER_S = 15.0  # beyond the limit; then a client stops waiting
+CONNECT_TIMEOUT_S = 3.0
+MAX_LEAVE_DELAY_S = 0.05  # after which a client that abandons its request closes the connection
 
 
 class RequestStyle(Enum):
-    """How a request is made and its answer read."""
+    """How a request is sent and its answer read: with a body, slowly, or abandoned."""
 
     PLAIN = "plain"
     BODY = "body"
@@ -43,7 +43,7 @@
 
 @define
 class RequestSpec:
-    """One request as it is to be sent."""
+    """One request to send. `proper`: every version of the configuration allows it."""
 
     path: str
     repeatable: bool
@@ -54,13 +54,13 @@
 
 
 class Client:
-    """One connection at a time, one request at a time on it."""
+    """A client with one connection at a time and one request at a time on it."""
 
     def __init__(
         self, cluster: SoakCluster, history: Writer, number: int, honours_close: bool = True
     ) -> None:
-        """`heeds_close`: ends its connection after an answer with `Connection: close`; else it goes on using
-        it until the gateway ends it."""
+        """`honours_close`: closes its connection after an answer with `Connection: close`; else it goes on
+        using it until the gateway closes it."""
         self.cluster, self.history, self.number = cluster, history, number
         self.honours_close = honours_close
         self.gateway = self.life = self.connection = -1
@@ -68,7 +68,7 @@
         self.writer: asyncio.StreamWriter | None = None
 
     async def connect(self, gateway: int) -> bool:
-        """Whether a connection to this gateway came up."""
+        """Connects to a gateway. False if that failed."""
         self.close()
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
@@ -97,7 +97,7 @@
         self.reader = self.writer = None
 
     async def send(self, spec: RequestSpec) -> int:
-        """The status of the answer; 0 without a whole one."""
+        """Sends a request; returns the status of its answer, 0 without a complete one."""
         if self.writer is None and not await self.connect_to_any():
             await asyncio.sleep(0.1)
             return 0
@@ -141,7 +141,7 @@
                 await asyncio.sleep(random.uniform(0, MAX_LEAVE_DELAY_S))
                 self._record(Left(now(), id_))
                 self.close()
-                self.gateway = -1  # it comes back like a new client
+                self.gateway = -1  # connects to another gateway next, like a new client
                 return 0
             pause = 0.02 if spec.style is RequestStyle.SLOW else 0.0
             found = await read_message(self.reader, pause, 16384)
--- a/coralvale/cluster/soak/cluster.py
+++ b/coralvale/cluster/soak/cluster.py
@@ -1,4 +1,4 @@
-"""The soak's cluster: gateways as processes whose starts, signals and ends are recorded."""
+"""The soak's cluster: gateways as processes. Their starts, signals and exits are written to the history."""
 
 from __future__ import annotations
 
@@ -13,23 +13,26 @@
 from coralvale.cluster.soak.terms import Terms
 from coralvale.standins.cluster import READY, LocalCluster, call, settings
 
-DEFAULT_GRACE_S = 6.0  # s, unless the terms name another
-START_INTERVAL_S = 0.05  # s between the first starts of two processes
-KILL_AFTER_GRACE_S = 3.0  # s beyond its grace after which a process that was told to end is killed
+DEFAULT_GRACE_S = 6.0  # unless the terms set another
+START_INTERVAL_S = 0.05  # between the first starts of two processes
+KILL_AFTER_GRACE_S = 3.0  # beyond its grace; then a process that got SIGTERM is killed
 
 
 def _limit_file_size(pid: int, size: int) -> bool:
-    """Whether a process' files may now grow to so many bytes at most."""
+    """Limits the size of a process's files, in bytes. False if the process has exited."""
     try:
         _, hard_limit = resource.prlimit(pid, resource.RLIMIT_FSIZE)
         resource.prlimit(pid, resource.RLIMIT_FSIZE, (size, hard_limit))
-    except OSError:  # it has ended
+    except OSError:  # the process has exited
         return False
     return True
 
 
 class SoakCluster(LocalCluster):
-    """Numbers of gateways are never used again; a restarted process is another life of its gateway."""
+    """A local cluster whose processes can be killed, frozen and moved.
+
+    Numbers of gateways are not reused. A restarted process is another life of its gateway.
+    """
 
     def __init__(
         self,
@@ -53,10 +56,10 @@
         self.frozen: set[int] = set()
         self.terminating: set[int] = set()
         self.frozen_at: dict[int, float] = {}
-        self.frozen_s: dict[int, float] = {}  # s of the present life
+        self.frozen_s: dict[int, float] = {}  # s for which the present life was frozen so far
         self.exit_watchers: dict[int, asyncio.Task[None]] = {}
         self.readiness_probes: dict[int, asyncio.Task[None]] = {}
-        self.responsive: dict[int, asyncio.Event] = {}  # the present life has answered a call
+        self.responsive: dict[int, asyncio.Event] = {}  # set once the present life has answered a call
         self.exited: dict[int, asyncio.Event] = {}
 
     def members(self) -> list[int]:
@@ -64,11 +67,11 @@
         return [n for n in range(len(self.ips)) if n not in self.removed]
 
     def running(self) -> list[int]:
-        """Gateways whose process is there."""
+        """Gateways whose process is running."""
         return sorted(self.processes)
 
     def addresses(self) -> list[str]:
-        """Ctl addresses, as the operator's list has them."""
+        """Ctl addresses of all members, as in the operator's list."""
         return [self.ips[n] for n in self.members()]
 
     def number_of(self, ip: str) -> int:
@@ -89,7 +92,8 @@
         )
 
     async def start(self) -> SoakCluster:
-        """The first start of all; one after another in a row, or a hundred interpreters choke the machine."""
+        """Starts all gateways for the first time, at intervals: a hundred interpreters at once overload the
+        machine."""
         for number in range(len(self.ips)):
             await self.begin(number, bootstrap=True)
             await asyncio.sleep(START_INTERVAL_S)
@@ -108,14 +112,14 @@
         )
 
     async def _probe_readiness(self, number: int, responsive: asyncio.Event) -> None:
-        """Until the life that has just begun answers: before, its interpreter has no handlers of signals."""
+        """Polls a started process until it answers. Before that its interpreter has no signal handlers."""
         while not responsive.is_set() and not self.exited[number].is_set():
             if await call(self.ips[number], READY, "GET", "/readyz", patience=0.5):
                 responsive.set()
             await asyncio.sleep(0.1)
 
     async def is_responsive(self, number: int, seconds: float) -> bool:
-        """Whether the present life answers, or has, within so many seconds."""
+        """Whether the present life has answered a call, waiting at most so many seconds for it."""
         deadline = now() + seconds
         while now() < deadline:
             if number in self.processes and self.responsive[number].is_set():
@@ -133,7 +137,8 @@
         self.exited[number].set()
 
     async def kill(self, number: int, how: int = signal.SIGKILL) -> int:
-        """Kills and waits; how is SIGKILL, or SIGTERM with its grace."""
+        """Ends a process and waits for its exit; returns the exit code. `how`: SIGKILL, or SIGTERM with its
+        grace."""
         process = self.processes.get(number)
         if process is None:
             return 0
@@ -146,7 +151,7 @@
         return process.returncode or 0
 
     async def terminate(self, number: int) -> None:
-        """SIGTERM, and SIGKILL long after its grace."""
+        """Sends SIGTERM and waits for the exit; sends SIGKILL `KILL_AFTER_GRACE_S` after the grace."""
         if number not in self.processes or number in self.terminating:
             return
         exited = self.exited[number]
@@ -182,7 +187,7 @@
             self._signal(number, "cont", signal.SIGCONT)
 
     def reload_settings(self, number: int, invalid: bool) -> None:
-        """Writes the settings file anew, or one that can't be read, and sends SIGHUP."""
+        """Rewrites the settings file, or replaces it by one that can't be parsed, and sends SIGHUP."""
         file = self.path / f"settings-{number}.yaml"
         file.write_text("Hostname: [" if invalid else self.settings(number) + f"# {random.random()}\n")
         if number in self.processes:
@@ -195,7 +200,7 @@
             process.send_signal(how)
 
     def fill_disk(self, number: int) -> bool:
-        """From now on its files may not grow: the kernel refuses such writes as a full disk does."""
+        """Forbids a process's files to grow: the kernel refuses such writes as it does on a full disk."""
         process = self.processes.get(number)
         if process is None:
             return False
@@ -210,12 +215,12 @@
             _limit_file_size(process.pid, resource.RLIM_INFINITY)
 
     def wipe(self, number: int) -> None:
-        """The disk of a process that is not there is lost."""
+        """Deletes the disk of a gateway whose process is not running."""
         shutil.rmtree(self.path / f"data-{number}", ignore_errors=True)
         self.record(number, "wipe")
 
     async def move(self, number: int) -> int:
-        """A gateway that ended is removed for good; another begins at a new address, on an empty disk."""
+        """Removes a stopped gateway for good and starts another at a new address, with an empty disk."""
         self.removed.add(number)
         fresh = len(self.ips)
         self.ips.append(f"{self.net}.{fresh + 1}")
@@ -225,7 +230,7 @@
         return fresh
 
     async def stop_with_logs(self, folder: Path) -> None:
-        """Ends all processes and moves their logs to a folder."""
+        """Kills all processes and copies their logs to a folder."""
         for number in list(self.processes):
             await self.kill(number)
         for file in self.path.glob("log-*"):
--- a/coralvale/cluster/soak/history.py
+++ b/coralvale/cluster/soak/history.py
@@ -1,4 +1,7 @@
-"""What happened in a soak: one JSON line an event, written as it happens, in seconds of one steady clock."""
+"""The history of a soak run: one JSON line per event, written as it happens.
+
+Times are in seconds of the machine's monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -10,13 +13,13 @@
 
 
 class Record(msgspec.Struct, frozen=True, omit_defaults=True, tag=True):
-    """An event; `at` in seconds of the machine's steady clock."""
+    """An event. `at`: seconds of the machine's monotonic clock."""
 
     at: float
 
 
 class Began(Record, frozen=True):
-    """The run and the bounds that its gateways were given."""
+    """The start of a run, with the bounds in its gateways' settings."""
 
     seed: int
     gateways: int
@@ -34,10 +37,10 @@
 
 
 class Process(Record, frozen=True):
-    """What happened to a gateway's process.
+    """An event of a gateway's process.
 
-    `what`: start, ready, term, kill, stop, cont, hup, disk-full, disk-well, wipe, exit or overdue; `code` is
-    the exit code.
+    `what`: start, ready, term, kill, stop, cont, hup, disk-full, disk-well, wipe, exit or overdue;
+    `life`: how often the gateway was started so far; `code`: the exit code.
     """
 
     gateway: int
@@ -48,7 +51,7 @@
 
 
 class Act(Record, frozen=True):
-    """The nemesis begins an act."""
+    """The nemesis has begun an act (injected a fault)."""
 
     kind: str
     target: str
@@ -65,8 +68,8 @@
     path: str
     repeatable: bool
     tenant: str
-    limit: float  # s for which it may be held
-    proper: bool = True  # every configuration allows it
+    limit: float  # s within which it must be answered
+    proper: bool = True  # allowed by every version of the configuration
 
 
 class Written(Record, frozen=True):
@@ -76,7 +79,7 @@
 
 
 class Answered(Record, frozen=True):
-    """A whole answer. `echo`: the request id that it names; `own`: its body was made for this request."""
+    """A complete answer. `echo`: the request id in its header; `own`: its body belongs to this request."""
 
     id: str
     status: int
@@ -85,26 +88,26 @@
 
 
 class Closed(Record, frozen=True):
-    """The connection ended without a whole answer; `begun`: a part of one had come."""
+    """The connection was closed without a complete answer. `begun`: a part of one had arrived."""
 
     id: str
     begun: bool = False
 
 
 class Left(Record, frozen=True):
-    """The client closed the connection before an answer."""
+    """The client closed the connection before it got an answer."""
 
     id: str
 
 
 class Silent(Record, frozen=True):
-    """The client got nothing in long over its time and gave up."""
+    """The client got no answer until long after the request's limit and gave up."""
 
     id: str
 
 
 class Ran(Record, frozen=True):
-    """A host has begun to run a request. `whole`: method, path and body are as the client sent them."""
+    """A host has begun to run a request. `whole`: the body is as the client sent it."""
 
     id: str
     host: str
@@ -120,14 +123,14 @@
 
 
 class Broke(Record, frozen=True):
-    """A host ran a request whose answer had nobody to go to: its connection had been closed or reset."""
+    """A host ran a request but could not deliver the answer: its connection had been closed or reset."""
 
     id: str
     host: str
 
 
 class HostState(Record, frozen=True):
-    """`what`: up, draining, acknowledged (its leave, by `gateway`), gone or crash."""
+    """A host's state. `what`: up, draining, acknowledged (`gateway` confirmed its leave), gone or crash."""
 
     host: str
     service: str
@@ -136,33 +139,34 @@
 
 
 class Link(Record, frozen=True):
-    """The relay before a host: reset, silent or well."""
+    """State of the relay in front of a host. `what`: reset, silent or well."""
 
     host: str
     what: str
 
 
 class Change(Record, frozen=True):
-    """An operator begins to send a change. `kind`: good, bad or rival."""
+    """The operator has begun to send a configuration change. `kind`: good, bad (invalid) or rival (one of two
+    concurrent changes)."""
 
     number: int
     version: int
     base: int
     kind: str
     digest: str
-    adds: tuple[str, ...] = ()  # prefixes of paths
+    adds: tuple[str, ...] = ()  # path prefixes
     removes: tuple[str, ...] = ()
 
 
 class ChangeAnswer(Record, frozen=True):
-    """The clear answer to a change, or status 0 when the operator gave up without one."""
+    """The definite answer to a change; status 0: the operator gave up without one."""
 
     number: int
     status: int
 
 
 class ReadBack(Record, frozen=True):
-    """The configuration as read; `sent_at`: when the call was sent."""
+    """A read of the configuration. `sent_at`: when the call was sent, s; `at`: when it was answered."""
 
     sent_at: float
     version: int
@@ -171,7 +175,7 @@
 
 
 class Called(Record, frozen=True):
-    """A coordination call. `call`: acquire, renew, release, number, put, get or watch."""
+    """A coordination call was sent. `call`: acquire, renew, release, number, put, get or watch."""
 
     number: int
     call: str
@@ -185,7 +189,8 @@
 
 
 class CallAnswer(Record, frozen=True):
-    """Status 0: no clear answer. `events`: key, value and revision of a watch's puts."""
+    """The answer to a coordination call. `status`: 0 without a definite answer; `events`: key, value and
+    revision of each put that a watch reported."""
 
     number: int
     status: int
@@ -197,18 +202,18 @@
 
 
 class Sample(Record, frozen=True):
-    """A living process as the kernel counts it; `waited`: seconds it has waited for a processor so far."""
+    """Resources of a running process. `waited`: seconds that it has waited for a CPU so far."""
 
     gateway: int
     life: int
     descriptors: int
     memory: int  # KiB
     waited: float
-    tasks: int = 0  # of its event loop; 0: it did not say
+    tasks: int = 0  # of its event loop; 0: not reported
 
 
 class Stall(Record, frozen=True):
-    """The player's own event loop was late by so many seconds."""
+    """The soak's own event loop was late by so many seconds."""
 
     seconds: float
 
@@ -241,11 +246,11 @@
 
 
 class HistoryError(ValueError):
-    """A history cannot be read; names the file and the line."""
+    """A history cannot be read. The text names the file and the line."""
 
 
 class Writer:
-    """Appends events to a file; each line is handed to the kernel at once."""
+    """Appends events to a file, unbuffered: each line is handed to the kernel at once."""
 
     def __init__(self, path: Path) -> None:
         self.path = path
@@ -266,7 +271,7 @@
 
 
 def read(path: Path) -> list[Event]:
-    """Raises HistoryError."""
+    """All events of a history file. Raises HistoryError."""
     return list(_read(path))
 
 
--- a/coralvale/cluster/soak/hosts.py
+++ b/coralvale/cluster/soak/hosts.py
@@ -1,4 +1,4 @@
-"""Hosts of a soak: run requests, record each run by the request's id, beat, leave and crash."""
+"""Hosts of a soak: they run requests, record each run by its id, send heartbeats, leave and crash."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from coralvale.standins.cluster import BEAT, CTL, call
 from coralvale.standins.wire import Message, answer
 
-LONG_BODY_BYTES = 192 * 1024  # bytes of a long answer
-LEAVE_DELAY_RANGE_S = (5.0, 14.0)  # s for which a host serves on after its leave was acknowledged: from, to
-LEAVE_TIMEOUT_S = 5.0  # s after which a host that leaves goes without an acknowledgement
+LONG_BODY_BYTES = 192 * 1024
+LEAVE_DELAY_RANGE_S = (5.0, 14.0)  # for which a host keeps serving after its leave was acknowledged: from, to
+LEAVE_TIMEOUT_S = 5.0  # after which a draining host ends without an acknowledgement
 
 
 class SoakHost:
-    """One life of a host, behind a relay."""
+    """A simulated host, from start to end, behind a relay."""
 
     def __init__(self, history: Writer, service: str, cluster: SoakCluster, zone: str) -> None:
         self.history, self.service, self.cluster, self.zone = history, service, cluster, zone
@@ -41,11 +41,11 @@
         return self
 
     def crash(self) -> None:
-        """Gone at once, without a word."""
+        """Ends at once, without telling any gateway."""
         self._end("crash")
 
     async def leave(self) -> None:
-        """Says that it drains until that is acknowledged, serves on for a while, deregisters and ends."""
+        """Reports that it drains until a gateway acknowledges it; serves a while longer, deregisters, ends."""
         self.state = "draining"
         self._record("draining")
         deadline = now() + LEAVE_TIMEOUT_S
@@ -80,7 +80,7 @@
             await asyncio.sleep(BEAT)
 
     async def _heartbeat(self) -> int:
-        """The gateway that acknowledged; -1: none did."""
+        """Sends a heartbeat; returns the number of the gateway that acknowledged it, -1 if none did."""
         self.heartbeats_sent += 1
         body = {
             "Svc": self.service,
--- a/coralvale/cluster/soak/main.py
+++ b/coralvale/cluster/soak/main.py
@@ -1,4 +1,4 @@
-"""`myrtlehatch soak`: seeds one after another or some at once, shrinking, replays, and what is printed."""
+"""`myrtlehatch soak`: runs seeds or a schedule, also in parallel, shrinks failed ones, prints results."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 from coralvale.cluster.soak.shrink import shrink
 from coralvale.cluster.soak.terms import Terms
 
-NETWORK_COUNT = 40_000  # address ranges 127.x.y that runs side by side are spread over
+NETWORK_COUNT = 40_000  # address ranges 127.x.y over which parallel runs are spread
 
 
 @frozen
 class Options:
-    """How the runs of a command are played."""
+    """Options for all runs of a command."""
 
     folder: Path
     terms: Terms
@@ -35,24 +35,24 @@
 
 
 def loopback_network(index: int) -> str:
-    """An address range of this process's own, for a run."""
+    """The loopback range (three bytes of its addresses) of a run, from the process's id and the run's index."""
     number = (os.getpid() * 64 + index % 64) % NETWORK_COUNT + 20_000
     return f"127.{number >> 8}.{number & 255}"
 
 
 def play_all(schedules: list[Schedule], options: Options) -> int:
-    """Plays all; the exit code: 0 none broken, 1 some rule was broken, 2 a run could not be played."""
+    """Runs all schedules. Exit code: 0: no rule was broken; 1: one was; 2: a run could not be carried out."""
     try:
         return asyncio.run(_play_all(schedules, options))
     except asyncio.CancelledError:
-        print("ended before all were played", file=sys.stderr)
+        print("terminated before all runs were finished", file=sys.stderr)
         return 2
 
 
 async def _play_all(schedules: list[Schedule], options: Options) -> int:
     main_task = asyncio.current_task()
     assert main_task
-    # Told to end, it ends its gateways too.
+    # On SIGTERM it ends its gateways as well.
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, main_task.cancel)
     slots = asyncio.Semaphore(options.at_once)
 
@@ -101,7 +101,7 @@
 
 
 async def _shrink(index: int, outcome: Outcome, folder: Path, options: Options) -> None:
-    """Writes the least schedule found that breaks one of the same rules."""
+    """Writes the smallest schedule found that breaks one of the same rules."""
     rules = {violation.rule for violation in outcome.violations}
 
     async def fails(schedule: Schedule) -> bool:
@@ -119,7 +119,7 @@
 
 
 def recheck(path: Path, as_json: bool) -> int:
-    """Checks a history that was written before. Raises HistoryError."""
+    """Checks a recorded history again and prints its summary; returns the exit code. Raises HistoryError."""
     events = read(path)
     violations = checker.check(events)
     summary = report.summarise(events, violations)
--- a/coralvale/cluster/soak/measure.py
+++ b/coralvale/cluster/soak/measure.py
@@ -1,4 +1,4 @@
-"""What is read of processes while a soak runs: descriptors, memory, waits for a processor, own stalls."""
+"""Samples a soak's processes (descriptors, memory, waits for a CPU) and records stalls of its event loop."""
 
 from __future__ import annotations
 
@@ -11,14 +11,14 @@
 from coralvale.cluster.soak.history import Sample, Stall, Writer, now
 from coralvale.standins.cluster import CTL, call
 
-SAMPLE_INTERVAL_S = 0.5  # s between samples of a process
-STALL_CHECK_INTERVAL_S = 0.05  # s between looks at the own event loop
-MIN_STALL_S = 0.05  # s of lateness that is recorded
-PAGE_KIB = os.sysconf("SC_PAGE_SIZE") // 1024  # KiB
+SAMPLE_INTERVAL_S = 0.5  # between samples of a process
+STALL_CHECK_INTERVAL_S = 0.05  # between checks of the soak's own event loop
+MIN_STALL_S = 0.05  # shorter delays are not recorded
+PAGE_KIB = os.sysconf("SC_PAGE_SIZE") // 1024
 
 
 async def sample_processes(cluster: SoakCluster, history: Writer) -> None:
-    """Samples all processes for as long as it is let."""
+    """Samples all processes that are not frozen, until it is cancelled."""
     while True:
         for number, process in list(cluster.processes.items()):
             if number not in cluster.frozen:
@@ -50,7 +50,7 @@
 
 
 async def record_stalls(history: Writer) -> None:
-    """Records by how much this process is late: its clients' times are late by as much."""
+    """Records delays of this process's event loop: its clients' times are late by as much."""
     while True:
         begun = now()
         await asyncio.sleep(STALL_CHECK_INTERVAL_S)
--- a/coralvale/cluster/soak/nemesis.py
+++ b/coralvale/cluster/soak/nemesis.py
@@ -1,4 +1,4 @@
-"""Carries a schedule's acts out. What would lose more than the fault budget tolerates waits for its turn."""
+"""Injects a schedule's faults. An act that would exceed the fault budget waits until the budget allows it."""
 
 from __future__ import annotations
 
@@ -16,21 +16,19 @@
 from coralvale.cluster.soak.workload import Workload
 from coralvale.standins.cluster import CTL, call
 
-VOTER_TIMEOUT_S = (
-    30.0  # s for which a voter that comes back is waited for before it counts as back all the same
-)
-SYNC_GRACE_S = 4.0  # s for which it still counts as lost after its return, as the settings have it
-BUDGET_TIMEOUT_S = 20.0  # s for which an act waits for its turn; then it is left out
-MASS_KILL_PAUSE_S = 0.9  # s within which all are back that were killed at one moment
+VOTER_TIMEOUT_S = 30.0  # for a restarted gateway to be a voter again; then it counts as back anyway
+SYNC_GRACE_S = 4.0  # for which it still counts as lost after that, as the settings require
+BUDGET_TIMEOUT_S = 20.0  # for which an act waits for the fault budget; then it is left out
+MASS_KILL_PAUSE_S = 0.9  # upper bound of the time until gateways that were killed at once start again
 
 
 class Nemesis:
-    """Each act is a task of its own: acts overlap where the budget lets them."""
+    """Plays a schedule. Each act is a task of its own, so acts overlap where the fault budget allows it."""
 
     def __init__(self, cluster: SoakCluster, workload: Workload, history: Writer, schedule: Schedule) -> None:
         self.cluster, self.workload, self.history, self.schedule = cluster, workload, history, schedule
-        self.lost_voters: Counter[int] = Counter()  # acts by which a voter counts as lost
-        self.busy: set[int] = set()  # gateways that an act of process or disk holds
+        self.lost_voters: Counter[int] = Counter()  # by voter: acts in progress that count it as lost
+        self.busy: set[int] = set()  # gateways with an act on their process or disk in progress
         self.mass_kill = False
         self.left_out = 0
         self.acts: dict[str, Callable[[Act], Awaitable[object]]] = {
@@ -54,7 +52,7 @@
         }
 
     async def play(self) -> None:
-        """All acts at their times, and until the last is over."""
+        """Starts all acts at their times and waits until the last is over."""
         started_at = now()
         tasks = []
         for act in self.schedule.acts:
@@ -71,7 +69,7 @@
     def _record(self, act: Act, target: object) -> None:
         self.history.write(h.Act(now(), act.kind, str(target), act.series))
 
-    # Whose turn it is
+    # Targets and the fault budget
 
     async def _target(self, act: Act) -> int | None:
         members = self.cluster.members()
@@ -90,7 +88,10 @@
         return None
 
     async def _acquire_budget(self, number: int, with_disk: bool = False) -> bool:
-        """Waits until the gateway may be lost; `whole`: with its disk, so that no other may be lost."""
+        """Waits until the fault budget allows the loss of a gateway and counts it as lost.
+
+        `with_disk`: its disk is lost too; then no other gateway may be lost. False after a timeout.
+        """
         deadline = now() + BUDGET_TIMEOUT_S
         while not self._within_budget(number, with_disk):
             if now() > deadline:
@@ -118,7 +119,7 @@
         self.lost_voters = +self.lost_voters
 
     async def _wait_until_recovered(self, number: int) -> None:
-        """A voter that returned counts as lost until it has its seat again, and for some time."""
+        """Counts a restarted voter as lost until it is a voter again, and for `SYNC_GRACE_S` after that."""
         if number not in self.cluster.disk_gateways:
             return
         deadline = now() + VOTER_TIMEOUT_S
@@ -159,7 +160,7 @@
         await self._wait_until_recovered(number)
 
     async def _kill_all(self, act: Act) -> None:
-        """All processes are killed at one moment, and come back within a second."""
+        """Kills all processes at once and starts them again within a second."""
         deadline = now() + BUDGET_TIMEOUT_S
         while self.busy or self.lost_voters or self.mass_kill:
             if now() > deadline:
@@ -204,7 +205,7 @@
                 self.cluster.reload_settings(number, invalid=False)
 
     async def _wipe(self, act: Act) -> None:
-        """A process is killed and its disk lost; it comes back at its address on an empty one."""
+        """Kills a process and deletes its disk; it starts again at the same address with an empty one."""
         number = await self._target(act)
         if number is None or number in self.busy:
             return
@@ -222,7 +223,7 @@
         await self._wait_until_recovered(number)
 
     async def _fill_disk(self, act: Act) -> None:
-        """A voter's disk takes no more for a while."""
+        """Makes a voter's disk refuse writes for a while."""
         voters = [n for n in self.cluster.members() if n in self.cluster.disk_gateways]
         number = voters[act.target % len(voters)]
         if number in self.busy or not await self._acquire_budget(number):
@@ -234,7 +235,7 @@
         await self._wait_until_recovered(number)
 
     async def _replace(self, act: Act) -> None:
-        """A gateway is told to end and does not come back; another begins at a new address."""
+        """Ends a gateway for good, by SIGTERM or SIGKILL, and starts another at a new address."""
         number = await self._target(act)
         if number is None or number in self.busy:
             return
--- a/coralvale/cluster/soak/operator.py
+++ b/coralvale/cluster/soak/operator.py
@@ -1,4 +1,4 @@
-"""The soak's operator: changes and repeats one after another, bad ones, and two under one number."""
+"""The soak's operator: sends configuration changes, repeated ones, invalid ones, and two with one version."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 
 SERVICES = ("schedule", "archive")
 QUOTAS = {"station": (0.0, 0.0), "hot": (4.0, 4.0)}  # by tenant: requests a second, burst
-RETRY_S = 20.0  # s for which a change is sent again
-MAX_PROBE_ROUTES = 3  # routes of the newest changes that are kept
+RETRY_S = 20.0  # for which a change is sent again
+MAX_PROBE_ROUTES = 3  # that changes have added; a change above this removes the oldest
 
 
 def api_key(tenant: str) -> str:
@@ -23,7 +23,7 @@
 
 
 def first_configuration() -> dict[str, Any]:
-    """Version 1: two services, their routes, a tenant without a limit and one that presses."""
+    """Version 1: two services, their routes, a tenant without a quota and one that exceeds its quota."""
     whole = configuration(1, list(SERVICES))
     for route in whole["Routes"].values():
         route["TimeoutMs"] = 5000
@@ -40,21 +40,21 @@
 
 
 def digest(content: dict[str, Any]) -> str:
-    """Of what a configuration has in force: the names of its routes and the services that they lead to."""
+    """Digest of a configuration's version and routes: name, path prefix and service of each."""
     routes = {name: (r["PathPrefix"], r.get("Svc")) for name, r in content["Routes"].items()}
     text = json.dumps([content["Ver"], routes], sort_keys=True)
     return hashlib.sha256(text.encode()).hexdigest()[:16]
 
 
 class Operator:
-    """Knows the configuration that should be in force, and sends what follows it."""
+    """Keeps the configuration that should be in force, and sends changes of it."""
 
     def __init__(self, cluster: SoakCluster, history: Writer, seed: int) -> None:
         self.cluster, self.history = cluster, history
         self.rng = random.Random(f"operator/{seed}")
         self.current: dict[str, Any] = {"Ver": 0, "Routes": {}}
         self.number = 0
-        self.base = 0  # of the newest change that was sent
+        self.base = 0  # base version of the newest change that was sent
         self.change_lock = asyncio.Lock()
 
     @property
@@ -62,17 +62,17 @@
         return int(self.current["Ver"])
 
     def probe_paths(self) -> list[str]:
-        """Paths of the routes that changes have added and that are in force."""
+        """Path prefixes of the routes in force that changes have added."""
         return [r["PathPrefix"] for n, r in self.current["Routes"].items() if n.startswith("probe-")]
 
     async def install_first(self) -> bool:
-        """The first configuration, sent until it is taken."""
+        """Sends the first configuration. Whether it was accepted."""
         whole = first_configuration()
         status = await self._send("config.replace", whole, 0, whole, "good", (), ())
         return status == 200
 
     async def change(self) -> None:
-        """One proper change, and now and then the same again."""
+        """Sends one valid change, and sometimes the same again."""
         async with self.change_lock:
             call_, body, after, adds, removes = self._next_change()
             status = await self._send(call_, body, self.version, after, "good", adds, removes)
@@ -82,7 +82,7 @@
                 await self._post(call_, body, self.base, 3.0)
 
     async def send_invalid(self) -> None:
-        """One that names an unknown service: refused."""
+        """Sends a change that names an unknown service; it has to be refused."""
         async with self.change_lock:
             call_, body, after, adds, removes = self._next_change()
             for route in body["Upsert"]["Routes"].values():
@@ -90,7 +90,7 @@
             await self._send(call_, body, self.version, after, "bad", adds, removes)
 
     async def send_rivals(self) -> None:
-        """Two operators at once, under one number and on top of the same version: one may win."""
+        """Sends two changes at once with the same version and base, like two operators; one may win."""
         async with self.change_lock:
             first = self._next_change()
             second = self._next_change("rival", int(first[1]["Ver"]))
@@ -104,7 +104,7 @@
             await self._refresh()
 
     async def read(self) -> dict[str, Any] | None:
-        """The configuration as some gateway gives it."""
+        """The configuration as a random gateway returns it; None without an answer."""
         sent = now()
         ip = random.choice(self.cluster.addresses())
         found = await call(ip, CTL, "POST", "/rpc?call=config.read", patience=1.5)
@@ -116,7 +116,7 @@
         return whole
 
     async def _refresh(self) -> None:
-        """After a change whose outcome is not known: what is in force."""
+        """Reads what is in force, after a change whose outcome is not known."""
         for _ in range(60):
             if whole := await self.read():
                 if whole["Ver"] >= self.version:
@@ -127,7 +127,10 @@
     def _next_change(
         self, suffix: str = "", version: int = 0
     ) -> tuple[str, dict[str, Any], dict[str, Any], tuple[str, ...], tuple[str, ...]]:
-        """A change that adds a route and removes the oldest that changes added: call, body, what follows."""
+        """A change that adds a route and removes the oldest added ones.
+
+        Returns the call, its body, the resulting configuration, and the prefixes that it adds and removes.
+        """
         version = version or self.version + self.rng.randint(1, 3)
         name = f"probe-{version:06d}{suffix}"
         route = {
@@ -166,7 +169,7 @@
         return status
 
     async def _post(self, call_: str, body: dict[str, Any], base: int, retry_s: float) -> int:
-        """Sent unchanged to one gateway after another until there is a clear answer; 0: there was none."""
+        """Sends a change unchanged to random gateways until one gives a definite answer; 0: none did."""
         deadline = now() + retry_s
         text = json.dumps(body).encode()
         while now() < deadline:
--- a/coralvale/cluster/soak/play.py
+++ b/coralvale/cluster/soak/play.py
@@ -1,4 +1,4 @@
-"""One run of the soak: a cluster, its workload, a schedule of faults, an end in order, and the verdict."""
+"""One run of the soak: starts a cluster and its load, injects faults, shuts down, and checks the rules."""
 
 from __future__ import annotations
 
@@ -18,25 +18,25 @@
 from coralvale.cluster.soak.terms import Terms
 from coralvale.cluster.soak.workload import Workload
 
-START_TIMEOUT_S = 60.0  # s for all gateways to be ready at first
-RECOVERY_TIMEOUT_S = 30.0  # s for all to be ready after the last act
-CALM_S = 3.5  # s of traffic after that, and until all gateways are in touch
-LEAVE_TRAFFIC_S = 5.0  # s of traffic after hosts have said that they leave: past the end of DrainMs
-LAST_READ_TIMEOUT_S = 30.0  # s for the last read of the configuration
+START_TIMEOUT_S = 60.0  # for each gateway to be ready after the first start
+RECOVERY_TIMEOUT_S = 30.0  # for each to be ready after the last act
+CALM_S = 3.5  # of traffic after that, enough for all gateways to be in contact
+LEAVE_TRAFFIC_S = 5.0  # of traffic after hosts began to leave, longer than DrainMs
+LAST_READ_TIMEOUT_S = 30.0  # for the last read of the configuration
 
 
 class SoakError(Exception):
-    """The run could not be played: nothing is said of the gateways."""
+    """The run could not be carried out. It says nothing about the gateways."""
 
 
 @frozen
 class Outcome:
-    """What a run led to."""
+    """The result of a run."""
 
     schedule: Schedule
     events: list[Event]
     violations: list[Violation]
-    left_out: int  # acts whose turn did not come
+    left_out: int  # acts that the fault budget did not allow in time
 
 
 async def play(
@@ -50,10 +50,12 @@
     terms: Terms | None = None,
     orderly_shutdown: bool = True,
 ) -> Outcome:
-    """Plays a schedule; `folder` keeps its history and its gateways' logs. Raises SoakError.
+    """Runs a schedule. Raises SoakError.
 
-    `program`: what Python starts for a gateway; `to_the_end`: with the calm after the last act, and the end in
-    order.
+    `folder`: where its history and its gateways' logs are written; `net`: the first three bytes of its
+    loopback addresses; `program`: the arguments with which Python starts a gateway; `orderly_shutdown`: after
+    the last act wait for calm, let hosts leave and end the gateways by SIGTERM, instead of killing them at
+    once.
     """
     folder.mkdir(parents=True, exist_ok=True)
     with contextlib.suppress(ImportError):
@@ -88,11 +90,11 @@
         await cluster.start()
         await workload.start_hosts()
         if not await workload.operator.install_first():
-            raise SoakError("the first configuration was not taken")
+            raise SoakError("the first configuration was not accepted")
         for number in cluster.members():
             await _wait_until_ready(cluster, number, START_TIMEOUT_S)
     except TimeoutError:
-        raise SoakError("the gateways did not come up") from None
+        raise SoakError("the gateways did not become ready") from None
 
 
 async def _wait_until_ready(cluster: SoakCluster, number: int, seconds: float) -> None:
@@ -101,7 +103,8 @@
 
 
 async def _shut_down(cluster: SoakCluster, workload: Workload) -> None:
-    """All come back, some calm, hosts that leave in it, a last read, and the end of all under traffic."""
+    """Waits until all gateways are back, lets hosts leave, reads the configuration a last time, and ends all
+    gateways under traffic."""
     for number in cluster.members():
         with contextlib.suppress(TimeoutError):
             await _wait_until_ready(cluster, number, RECOVERY_TIMEOUT_S)
--- a/coralvale/cluster/soak/relay.py
+++ b/coralvale/cluster/soak/relay.py
@@ -1,15 +1,15 @@
-"""A relay on loopback before a host: passes bytes on, and can reset connections or hold all bytes back."""
+"""A TCP relay on loopback in front of a host: it forwards bytes, and can reset connections or stall them."""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
 
-READ_BYTES = 1 << 16  # bytes read at once
+READ_BYTES = 1 << 16  # at once
 
 
 class Relay:
-    """Listens on a port of its own and passes on to `port` of the same address."""
+    """Listens on a port of its own and forwards to another port of the same address."""
 
     def __init__(self, ip: str) -> None:
         self.ip = ip
@@ -19,7 +19,7 @@
         self.writers: set[asyncio.StreamWriter] = set()
 
     async def start(self, target_port: int) -> int:
-        """Begins to pass on to port `to`; the port that it listens on."""
+        """Begins to forward to `target_port`; returns the port that it listens on."""
         self.target_port = target_port
         self.server = await asyncio.start_server(self._serve, self.ip, 0)
         port: int = self.server.sockets[0].getsockname()[1]
@@ -31,7 +31,7 @@
             writer.transport.abort()
 
     async def silence(self, seconds: float) -> None:
-        """Passes nothing on for a while; nothing is lost."""
+        """Forwards nothing for a while; no bytes are lost."""
         self.forwarding.clear()
         await asyncio.sleep(seconds)
         self.forwarding.set()
--- a/coralvale/cluster/soak/report.py
+++ b/coralvale/cluster/soak/report.py
@@ -1,4 +1,4 @@
-"""What a run was, for people: counts, delays, what broke with the history around it, and a plot."""
+"""Reports of a run for people: counts, delays, violations with the history around them, and a plot."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from coralvale.cluster.soak import history as h
 from coralvale.cluster.soak.timeline import Timeline, Violation
 
-CONTEXT_S = 1.0  # s of history before and after a violation that are told
-MAX_CONTEXT_LINES = 40  # of history for each violation
-MAX_DELAY_MS = 60_000  # ms that the histogram takes
+CONTEXT_S = 1.0  # of history printed before and after a violation
+MAX_CONTEXT_LINES = 40  # of each kind, for each violation
+MAX_DELAY_MS = 60_000  # greater delays count as this in the histogram
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 class Summary(msgspec.Struct, frozen=True):
-    """Figures of one run."""
+    """Figures of one run; its fields are the keys of the JSON report."""
 
     seed: int
     gateways: int
@@ -28,14 +28,14 @@
     answers: dict[str, int]  # by status; closed, left, silent
     acts: dict[str, int]
     changes: dict[str, int]  # by status of the answer
-    calls: dict[str, int]  # of applications, by kind and status
+    calls: dict[str, int]  # coordination calls, by kind and status
     lives: int
-    descriptors: int  # the most of one process
-    memory_mb: float  # the most of all processes together
+    descriptors: int  # maximum of one process
+    memory_mb: float  # maximum of all processes together
     delay_ms: dict[str, float]  # of answers with success, by quantile
-    longest_stall: float  # s, of the player
+    longest_stall: float  # s, of the soak's own event loop
     violations: list[str]
-    left_out: int = 0
+    left_out: int = 0  # acts that the fault budget did not allow in time
 
     @property
     def passed(self) -> bool:
@@ -76,7 +76,7 @@
 
 
 def _peak_memory_kib(samples: list[h.Sample]) -> int:
-    """KiB of all processes together, by their last samples."""
+    """Maximum memory of all processes together in KiB, each by its latest sample."""
     now: dict[int, int] = {}
     peak = 0
     for sample in samples:
@@ -102,7 +102,7 @@
 
 
 def _exact_quantiles(durations: list[float]) -> dict[str, float]:
-    """Without the histogram's package."""
+    """Quantiles in ms, computed without the `hdrh` package."""
     ranked = sorted(durations)
     if not ranked:
         return {}
@@ -111,7 +111,7 @@
 
 
 def context(events: Iterable[h.Event], violation: Violation) -> list[str]:
-    """Lines of the history that name what a violation is about, or stand around it."""
+    """History lines that name a violation's subject, and events of processes, hosts and changes around it."""
     encode = msgspec.json.Encoder().encode
     about, near = [], []
     for event in events:
@@ -126,7 +126,7 @@
 
 
 def text(summary: Summary) -> str:
-    """The summary as lines."""
+    """The summary as lines of text."""
 
     def row(name: str, counts: dict[str, Any]) -> str:
         return f"  {name:<10} " + ", ".join(f"{key} {value}" for key, value in counts.items())
@@ -146,7 +146,7 @@
 
 
 def plot(events: list[h.Event], path: Path) -> None:
-    """Served, refused and failed requests over time, with the nemesis's acts. Needs matplotlib."""
+    """Plots served, refused and failed requests over time, with the acts of the nemesis. Needs matplotlib."""
     import matplotlib
 
     matplotlib.use("Agg")
--- a/coralvale/cluster/soak/rules_coordination.py
+++ b/coralvale/cluster/soak/rules_coordination.py
@@ -1,4 +1,4 @@
-"""Rules on locks, numbers, keys and watches, as callers see them."""
+"""Rules for locks, numbers, keys and watches, checked on what their callers observed."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from coralvale.cluster.soak import history as h
 from coralvale.cluster.soak.timeline import Timeline, Violation
 
-NOT_EXECUTED_STATUSES = {412, 429, 503}
-RELEASE = "release"
+NOT_EXECUTED_STATUSES = {412, 429, 503}  # the call had no effect
+RELEASE = "release"  # the name of the call in the history
 
 
 @define
 class Call:
-    """A call and its answer."""
+    """A coordination call and its answer."""
 
     sent: h.Called
     answer: h.CallAnswer | None = None
@@ -36,7 +36,7 @@
 
 @define
 class Hold:
-    """A span in which a caller regards itself as holder."""
+    """A span in which a caller regards itself as a lock's holder. `sent`: when it asked for the lock, s."""
 
     owner: str
     fence: int
@@ -69,7 +69,7 @@
 
 
 def locks(timeline: Timeline) -> Iterator[Violation]:
-    """ONE: one holder at a time, and fences that rise from holder to holder."""
+    """ONE: a lock has one holder at a time, and fencing tokens increase from holder to holder."""
     for name, calls in _by_name(_calls(timeline), "acquire", "renew", RELEASE).items():
         holds = sorted(_holds(calls), key=lambda hold: hold.begin)
         for place, hold in enumerate(holds):
@@ -81,17 +81,21 @@
     if hold.owner == other.owner:
         return
     if other.begin < hold.end:
-        text = f"{name}: {hold.owner} and {other.owner} hold it at the same moment"
+        text = f"{name}: {hold.owner} and {other.owner} hold it at the same time"
         yield Violation("ONE", other.begin, text, name)
     if hold.begin < other.sent and other.fence <= hold.fence:
-        text = f"{name}: fence {other.fence} of {other.owner} came after {hold.fence} of {hold.owner}"
+        text = f"{name}: fence {other.fence} of {other.owner} was issued after {hold.fence} of {hold.owner}"
         yield Violation("ONE", other.begin, text, name)
     elif hold.fence == other.fence:
-        yield Violation("ONE", other.begin, f"{name}: fence {hold.fence} was given to two", name)
+        yield Violation("ONE", other.begin, f"{name}: fence {hold.fence} was issued to two owners", name)
 
 
 def _holds(calls: list[Call]) -> Iterator[Hold]:
-    """Spans of holding: a good call lengthens the owner's span, unless the span was over when it came."""
+    """The spans in which callers hold a lock.
+
+    An acquire opens a span. A successful renewal extends it, unless the span was over when the answer came.
+    It ends early when a release is sent or a call is answered with 409.
+    """
     open_holds: dict[str, Hold] = {}
     moments = sorted(
         [(c.sent.at, c) for c in calls if c.sent.call == RELEASE]
@@ -121,7 +125,7 @@
 
 
 def numbers(timeline: Timeline) -> Iterator[Violation]:
-    """ORDER: numbers of one name are given once, and rise."""
+    """ORDER: numbers of one name are unique and increase."""
     for name, calls in _by_name(_calls(timeline), "number").items():
         yield from _check_increasing(
             name, [(c.sent.at, c.answered_at, c.count) for c in calls if c.succeeded]
@@ -129,7 +133,10 @@
 
 
 def revisions(timeline: Timeline) -> Iterator[Violation]:
-    """ORDER: revisions of one group are given once, and rise; a put does not pass over a later revision."""
+    """ORDER, MIXED: revisions of one group are unique and increase; each put has one revision.
+
+    ORDER also covers a put with an expected revision: it does not succeed over a later one.
+    """
     groups: dict[str, dict[str, list[Call]]] = defaultdict(lambda: defaultdict(list))
     for key, calls in _by_name(_calls(timeline), "put").items():
         for call in calls:
@@ -141,14 +148,19 @@
             if len({c.count for c in good}) > 1:
                 yield Violation("MIXED", good[-1].answered_at, f"{group}: {value} has two revisions", value)
             if good:
-                # Resent, a put may take effect by any of its calls, and is known from the first answer on.
+                # A put that was resent may take effect by any of its calls. Its revision is known from the
+                # first answer on.
                 given.append((calls[0].sent.at, min(c.answered_at for c in good), good[0].count))
         yield from _check_increasing(group, given)
     yield from _check_expected_revisions(timeline)
 
 
 def _check_increasing(name: str, given: list[tuple[float, float, int]]) -> Iterator[Violation]:
-    """`given`: when each was asked for, when it was known, and what it is."""
+    """ORDER violations of values that must be unique and increase.
+
+    `given`: for each when it was asked for, when it was known, and the value. A value asked for after another
+    was known must be the greater one.
+    """
     seen: dict[int, float] = {}
     known = sorted(given, key=lambda one: one[1])
     newest, place = 0, 0
@@ -157,9 +169,9 @@
             newest = max(newest, known[place][2])
             place += 1
         if count in seen:
-            yield Violation("ORDER", at, f"{name}: {count} was given twice", name)
+            yield Violation("ORDER", at, f"{name}: {count} was issued twice", name)
         elif count <= newest:
-            yield Violation("ORDER", at, f"{name}: {count} was given after {newest}", name)
+            yield Violation("ORDER", at, f"{name}: {count} was issued after {newest}", name)
         seen[count] = at
 
 
@@ -172,7 +184,7 @@
                 continue
             between = [c.count for c in good if expected < c.count < call.count]
             if between:
-                text = f"{key}: a put on revision {expected} succeeded over {between[0]}"
+                text = f"{key}: a put that expected revision {expected} overwrote {between[0]}"
                 yield Violation("ORDER", call.answered_at, text, key)
 
 
@@ -180,7 +192,7 @@
 
 
 def reads(timeline: Timeline) -> Iterator[Violation]:
-    """STALE, MIXED, REFUSED: a read is no older than what was acknowledged, and gives what was put."""
+    """STALE, MIXED, REFUSED: a read is no older than puts acknowledged before it, and gives what was put."""
     calls = _calls(timeline)
     puts, gets = _by_name(calls, "put"), _by_name(calls, "get")
     for key, asked in gets.items():
@@ -199,7 +211,7 @@
 
 
 def _put_outcomes(puts: list[Call]) -> dict[str, tuple[int, bool]]:
-    """By value: its revision, 0 where it is not known, and whether all calls for it were turned away."""
+    """By value: its revision (0 if not known), and whether all puts of it were answered as not executed."""
     found: dict[str, tuple[int, bool]] = {}
     for put in puts:
         revision, refused = found.get(put.sent.value, (0, True))
@@ -213,15 +225,22 @@
 ) -> Iterator[Violation]:
     known, refused = values.get(value, (-1, False))
     if known < 0:
-        yield Violation("MIXED", at, f"{key}: {value!r} shows up, and nobody put it", key)
+        yield Violation("MIXED", at, f"{key}: {value!r} was read, but nobody put it", key)
     elif known and known != revision:
-        yield Violation("MIXED", at, f"{key}: {value} is at {known} and shows up at {revision}", key)
+        yield Violation(
+            "MIXED", at, f"{key}: {value} was put at revision {known} and read at {revision}", key
+        )
     elif refused:
-        yield Violation("REFUSED", at, f"{key}: {value} shows up, and its put was turned away", key)
+        yield Violation(
+            "REFUSED", at, f"{key}: {value} was read, but its put was answered as not executed", key
+        )
 
 
 def watches(timeline: Timeline) -> Iterator[Violation]:
-    """ORDER: the events of a watch rise, and skip no put inside their span."""
+    """ORDER, MIXED, REFUSED: events of a watch increase in revision, skip no put in its span and match puts.
+
+    LOST: a watch from a revision given less than `RetainS` ago is not answered with 410.
+    """
     calls = _calls(timeline)
     puts = _by_name(calls, "put")
     values = {key: _put_outcomes(found) for key, found in puts.items()}
@@ -234,7 +253,7 @@
             if watch.answer is None:
                 continue
             if watch.answer.status == 410 and _given_recently(timeline, watch, given):
-                text = f"{group}: 410 for revision {watch.sent.after}, which was given not long ago"
+                text = f"{group}: 410 for revision {watch.sent.after}, which is within the retention time"
                 yield Violation("LOST", watch.answered_at, text, group)
             if watch.succeeded:
                 given[watch.count] = watch.answered_at
@@ -252,7 +271,10 @@
     event_revisions = [revision for _, _, revision in watch.answer.events]
     if event_revisions != sorted(set(event_revisions)):
         yield Violation(
-            "ORDER", watch.answered_at, f"{group}: the events {event_revisions} do not rise", group
+            "ORDER",
+            watch.answered_at,
+            f"{group}: the event revisions {event_revisions} do not increase",
+            group,
         )
     if watch.sent.after:
         inside = {revision for revision, _ in known if watch.sent.after < revision <= watch.count}
--- a/coralvale/cluster/soak/rules_processes.py
+++ b/coralvale/cluster/soak/rules_processes.py
@@ -1,4 +1,4 @@
-"""Rules on processes: ends in order, and nothing that grows."""
+"""Rules for processes: they exit only on a signal and within their grace, and their resources don't grow."""
 
 from __future__ import annotations
 
@@ -8,22 +8,24 @@
 from coralvale.cluster.soak import history as h
 from coralvale.cluster.soak.timeline import MARGIN_S, Timeline, Violation
 
-WARM_UP_S = 5.0  # s from a process's first word of itself that are not looked at
-MIN_SPAN_S = 10.0  # s of a life after that, at least: its first and last fifths are compared
+WARM_UP_S = 5.0  # after a process first reports its tasks; samples in it are ignored
+MIN_SPAN_S = 10.0  # of samples after the warm-up; a life with fewer is not checked
 GROWTH_LIMITS: tuple[tuple[str, Callable[[h.Sample], int], int], ...] = (
     ("descriptors", lambda sample: sample.descriptors, 40),
     ("tasks", lambda sample: sample.tasks, 60),
     ("KiB of memory", lambda sample: sample.memory, 40_000),
-)  # what is looked at, and by how much it may grow
+)  # name, value, and by how much it may grow
 
 
 def process_ends(timeline: Timeline) -> Iterator[Violation]:
-    """END: a process that is told to end is gone within its grace with exit code 0; none ends by itself."""
+    """END: after SIGTERM a process exits within its grace with code 0; none exits without a signal."""
     for life in timeline.lives.values():
         name = f"gateway {life.gateway}, life {life.number}"
         at = life.exited_at if life.exited_at is not None else timeline.last_at
         if life.exited_at is not None and life.terminated_at is None and life.killed_at is None:
-            yield Violation("END", at, f"{name} ended by itself with exit code {life.exit_code}", name)
+            yield Violation(
+                "END", at, f"{name} exited without a signal, with exit code {life.exit_code}", name
+            )
         if life.terminated_at is None:
             continue
         took = at - life.terminated_at
@@ -32,18 +34,21 @@
         if killed_early:
             continue
         if life.overdue or took - lost > timeline.run.grace + MARGIN_S:
-            text = f"{name} ended {took:.2f} s after SIGTERM, of which it could not run for {lost:.2f} s"
+            text = f"{name} exited {took:.2f} s after SIGTERM, of which it could not run for {lost:.2f} s"
             yield Violation("END", at, text, name)
         elif life.exited_at is not None and life.exit_code != 0:
-            yield Violation("END", at, f"{name} ended with exit code {life.exit_code} after SIGTERM", name)
+            yield Violation("END", at, f"{name} exited with code {life.exit_code} after SIGTERM", name)
 
 
 def growth(timeline: Timeline) -> Iterator[Violation]:
-    """GROWTH: what a long life holds in its last fifth is no more than in its first, but for a margin."""
+    """GROWTH: resources of a long life in its last fifth exceed those in its first by no more than a margin.
+
+    The minimum of the last fifth is compared with the maximum of the first.
+    """
     by_life: dict[tuple[int, int], list[h.Sample]] = defaultdict(list)
     began: dict[
         tuple[int, int], float
-    ] = {}  # when a life first told of its tasks: on a busy machine it starts slowly
+    ] = {}  # when a life first reported its tasks: on a busy machine a process starts slowly
     for sample in timeline.events_of(h.Sample):
         name = (sample.gateway, sample.life)
         life = timeline.lives.get(name)
--- a/coralvale/cluster/soak/rules_requests.py
+++ b/coralvale/cluster/soak/rules_requests.py
@@ -1,4 +1,4 @@
-"""Rules on requests: answers, runs, ends of connections, hosts that leave, quotas."""
+"""Rules for requests: answers, runs at hosts, closed connections, draining hosts, quotas."""
 
 from __future__ import annotations
 
@@ -10,40 +10,43 @@
 from coralvale.cluster.soak.timeline import MARGIN_S, Life, Request, Timeline, Violation
 
 NOT_EXECUTED_STATUSES = {408, 421, 429, 503}  # the request has not run and never will
-TIMEOUT_MARGIN_S = 0.3  # s before its limit from which on a request may be ended for its time
+TIMEOUT_MARGIN_S = 0.3  # before a request's limit; from then on its connection may be closed as timed out
 
 
 def answers_match_runs(timeline: Timeline) -> Iterator[Violation]:
-    """LOST, REFUSED: a success has run at a host; what was promised not to have run has not."""
+    """LOST, REFUSED: a request answered with success has run; one answered as not executed has not.
+
+    A repeatable request may have run all the same.
+    """
     for id_, request in timeline.requests.items():
         end = request.end
         if not isinstance(end, h.Answered):
             continue
         if end.status == 200 and not request.ran:
-            yield Violation("LOST", end.at, "answered with success, and no host ran it", id_)
+            yield Violation("LOST", end.at, "answered with success, but no host ran it", id_)
         if end.status in NOT_EXECUTED_STATUSES and request.ran and not request.sent.repeatable:
             yield Violation(
-                "REFUSED", end.at, f"answered {end.status}, and {request.ran[0].host} ran it", id_
+                "REFUSED", end.at, f"answered {end.status}, but {request.ran[0].host} ran it", id_
             )
 
 
 def request_runs(timeline: Timeline) -> Iterator[Violation]:
-    """TWICE, UNASKED: what may not be repeated runs once; hosts run what clients sent, as they sent it."""
+    """TWICE, UNASKED: a non-repeatable request runs once at most; hosts run only what clients sent, as is."""
     for id_, request in timeline.requests.items():
         if len(request.ran) > 1 and not request.sent.repeatable:
             hosts = ", ".join(ran.host for ran in request.ran)
             yield Violation("TWICE", request.ran[1].at, f"ran at {hosts}", id_)
         for ran in request.ran:
             if not ran.whole:
-                yield Violation("UNASKED", ran.at, f"{ran.host} was handed another body", id_)
+                yield Violation("UNASKED", ran.at, f"{ran.host} received another body", id_)
             if ran.tenant != request.sent.tenant:
                 yield Violation("UNASKED", ran.at, f"ran as tenant {ran.tenant!r}", id_)
     for ran in timeline.unknown_runs:
-        yield Violation("UNASKED", ran.at, f"{ran.host} ran what no client sent", ran.id)
+        yield Violation("UNASKED", ran.at, f"{ran.host} ran a request that no client sent", ran.id)
 
 
 def own_answers(timeline: Timeline) -> Iterator[Violation]:
-    """MIXED: each answer is its own request's."""
+    """MIXED: each answer belongs to its request."""
     for id_, request in timeline.requests.items():
         end = request.end
         if not isinstance(end, h.Answered):
@@ -51,11 +54,11 @@
         if end.echo and end.echo != id_:
             yield Violation("MIXED", end.at, f"got the answer to {end.echo}", id_)
         elif not end.own:
-            yield Violation("MIXED", end.at, "got bytes that are not its answer's", id_)
+            yield Violation("MIXED", end.at, "got a body that does not belong to it", id_)
 
 
 def request_ends(timeline: Timeline) -> Iterator[Violation]:
-    """ENDED: what was let in ends with a whole answer or a status, within its time, also around SIGTERM."""
+    """ENDED: an admitted request gets a complete answer within its limit, also around SIGTERM."""
     for id_, request in timeline.requests.items():
         if isinstance(request.end, h.Left) or request.end is None:
             continue
@@ -74,14 +77,12 @@
         return ""
     if took - lost > request.sent.limit + MARGIN_S:
         what = "without an answer" if isinstance(end, h.Silent) else "until it was answered"
-        return (
-            f"{took:.2f} s {what}, of which {lost:.2f} s were not the gateway's, for {request.sent.limit} s"
-        )
+        return f"{took:.2f} s {what} ({lost:.2f} s lost); the limit is {request.sent.limit} s"
     return ""
 
 
 def _was_killed(life: Life | None, at: float) -> bool:
-    """Whether a process had been killed by then; a client may hear of it later than the kill."""
+    """Whether a process had been killed by then. A client may notice later than the kill."""
     return life is None or (life.killed_at is not None and life.killed_at <= at)
 
 
@@ -93,19 +94,21 @@
         return ""
     told = " after SIGTERM" if life and life.terminated_at and life.terminated_at <= end.at else ""
     if request.ran or end.begun:
-        return f"closed{told} after it had been passed on, {took:.2f} s after it was sent"
+        return f"closed{told} after it had been forwarded, {took:.2f} s after it was sent"
     if request.written_at is None:
         return ""
     late = end.at - request.written_at
     lost = timeline.lost_time(life, request.written_at, end.at)
     if late > timeline.run.loss + lost + MARGIN_S:
-        return f"closed{told} without an answer {late:.2f} s after its last byte, {lost:.2f} s not its own"
+        return f"closed{told} without an answer {late:.2f} s after its last byte ({lost:.2f} s lost)"
     return ""
 
 
 def _host_disconnected(timeline: Timeline, request: Request, until: float) -> bool:
-    """Whether a host that ran it crashed or ended, or its relay reset or held connections. That its answer had
-    nobody to go to says nothing: a gateway that closes a client's connection closes the host's as well."""
+    """Whether a host that ran it crashed or left, or its relay reset or stalled connections.
+
+    `Broke` events prove nothing: a gateway that closes a client's connection also closes the host's.
+    """
     return any(
         any(
             ran.at - MARGIN_S <= at <= until + MARGIN_S for at in timeline.link_disturbances.get(ran.host, [])
@@ -115,7 +118,10 @@
 
 
 def drained_hosts(timeline: Timeline) -> Iterator[Violation]:
-    """DRAIN: no host gets a request later than `DrainMs` after its leave was acknowledged."""
+    """DRAIN: a host gets no request later than `DrainMs` after its leave was acknowledged.
+
+    Only requests of undisturbed gateways over undisturbed links count.
+    """
     left: dict[str, h.HostState] = {}
     for state in timeline.events_of(h.HostState):
         if state.what == "acknowledged" and timeline.undisturbed(state.gateway, state.at, state.at):
@@ -133,11 +139,13 @@
                 and timeline.undisturbed(gateway, request.sent.at, ran.at)
                 and timeline.link_undisturbed(ran.host, request.sent.at, ran.at)
             ):
-                yield Violation("DRAIN", ran.at, f"{ran.host} got it {late:.2f} s after its leave", id_)
+                yield Violation(
+                    "DRAIN", ran.at, f"{ran.host} got it {late:.2f} s after its leave was acknowledged", id_
+                )
 
 
 def quotas(timeline: Timeline) -> Iterator[Violation]:
-    """QUOTA: in every window no more is sent and run than the tenant's terms bear."""
+    """QUOTA: in no window are more requests of a tenant sent and run than rate, burst and tolerance allow."""
     run = timeline.run
     by_tenant: dict[str, list[tuple[float, float]]] = defaultdict(list)
     for request in timeline.requests.values():
@@ -154,7 +162,7 @@
 
 
 def _busiest_window(spans: list[tuple[float, float]], window: float) -> tuple[float, int]:
-    """The window in which the most are both sent and run."""
+    """Start and count of the window in which the most requests are both sent and run."""
     starts = [sent for sent, _ in spans]
     best = (0.0, 0)
     for first, begin in enumerate(starts):
--- a/coralvale/cluster/soak/schedule.py
+++ b/coralvale/cluster/soak/schedule.py
@@ -1,4 +1,4 @@
-"""What the nemesis will do, as data: drawn from a seed, written to TOML and read back."""
+"""Schedules of faults: drawn from a seed, written to TOML and read back."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 import msgspec
 
-FIRST_ACT_S = 1.0  # s of calm before the first act
-CALM_S = 6.0  # s without acts after a block of series: rules with a bound on time bind in it
-BLOCK_S = 8.0  # s in which series overlap
-MAX_FREEZE_S = 3.0  # s
-SERIES_PER_BLOCK = 4  # series that overlap in a block of an otherwise quiet run
+FIRST_ACT_S = 1.0  # without faults before the first act
+CALM_S = 6.0  # without acts after each block, so that the rules with time bounds apply
+BLOCK_S = 8.0  # in which series of acts overlap
+MAX_FREEZE_S = 3.0
+SERIES_PER_BLOCK = 4  # plus one for every six gateways
 
 
 class Act(msgspec.Struct, frozen=True):
-    """One fault. `target`: a number that is reduced to those that are there; -1 is the leader."""
+    """One fault. `target`: a number, taken modulo the present gateways or hosts; -1 is the leader."""
 
     at: float  # s since the workload began
     kind: str
@@ -25,7 +25,7 @@
 
 
 class Schedule(msgspec.Struct, frozen=True):
-    """A run: its cluster, its length and its acts."""
+    """A run: the size of its cluster, its length in s and its acts."""
 
     seed: int
     gateways: int = 5
@@ -40,7 +40,7 @@
 
 
 def draw(seed: int, gateways: int, seconds: float) -> Schedule:
-    """The schedule of a seed. The same arguments lead to the same schedule."""
+    """The schedule of a seed. The same arguments give the same schedule."""
     disks, budget = (5, 2) if gateways >= 8 else (min(3, gateways), 1)
     rng = random.Random(f"soak/{seed}/{gateways}")
     acts: list[Act] = []
@@ -59,7 +59,7 @@
 
 
 def _rolling(rng: random.Random, at: float, series: int, gateways: int) -> list[Act]:
-    """Restarts in order, one after another before the last is back."""
+    """Restarts of consecutive gateways; each begins before the one before it is back."""
     first, count = rng.randrange(gateways), min(gateways, rng.randint(2, 4))
     gap = rng.uniform(0.3, 1.5)
     return [Act(at + gap * n, "restart", first + n, 0.0, series) for n in range(count)]
@@ -96,7 +96,7 @@
 
 
 def _freeze_and_end(rng: random.Random, at: float, series: int, gateways: int) -> list[Act]:
-    """Told to end while it is frozen."""
+    """A gateway gets SIGTERM while it is frozen."""
     target = rng.randrange(gateways)
     return [
         Act(at, "freeze", target, rng.uniform(0.5, 2), series),
@@ -181,7 +181,7 @@
 
 
 def load(path: Path) -> Schedule:
-    """Raises ScheduleError."""
+    """The schedule in a TOML file. Raises ScheduleError."""
     try:
         return msgspec.toml.decode(path.read_bytes(), type=Schedule)
     except (OSError, msgspec.DecodeError) as error:
--- a/coralvale/cluster/soak/shrink.py
+++ b/coralvale/cluster/soak/shrink.py
@@ -1,4 +1,4 @@
-"""The least of a schedule that still breaks a rule: whole series are left out first, then single acts."""
+"""Shrinks a schedule that breaks a rule: whole series are left out first, then single acts."""
 
 from __future__ import annotations
 
@@ -9,12 +9,14 @@
 from coralvale.cluster.soak.schedule import Act, Schedule
 
 Fails = Callable[[Schedule], Awaitable[bool]]
-MAX_RUNS = 40  # runs
+MAX_RUNS = 40
 
 
 async def shrink(schedule: Schedule, fails: Fails, max_runs: int = MAX_RUNS) -> Schedule:
-    """A schedule that failed, with as few acts as `most` runs find. A fault that shows only now and then may
-    be kept with more acts than it needs, never with fewer."""
+    """A failed schedule, with as few of its acts as `max_runs` runs find necessary.
+
+    A fault that does not show in every run may keep more acts than it needs, never fewer.
+    """
     search = _Search(schedule, fails, max_runs)
     by_series: dict[int, list[Act]] = {}
     for act in schedule.acts:
--- a/coralvale/cluster/soak/terms.py
+++ b/coralvale/cluster/soak/terms.py
@@ -1,4 +1,4 @@
-"""What a soak takes from an operator's settings file: bounds, limits, the fault budget."""
+"""The parts of an operator's settings file that a soak run uses: bounds, limits, the fault budget."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 class Terms:
-    """Fields that stand in the settings of all gateways of a soak in place of its own."""
+    """Settings that replace the soak's own in the settings files of all its gateways."""
 
     def __init__(self, fields: dict[str, Any] | None = None, bounds: Bounds | None = None) -> None:
         self.fields, self.bounds = fields or {}, bounds
 
     def fit(self, schedule: Schedule) -> Schedule:
-        """A schedule with as many disks as the fault budget needs, and no more lost at once than it tolerates."""
+        """The schedule with as many disks as the fault budget needs, and with it as the most lost at once."""
         if "FaultBudget" not in self.fields:
             return schedule
         nodes = int(self.fields["FaultBudget"].get("Nodes", 0))
@@ -32,7 +32,7 @@
         )
 
     def apply_to(self, text: str) -> str:
-        """A gateway's settings with these terms. The size of its disk stays: without one it has none."""
+        """A gateway's settings with these terms. A gateway without a disk (DiskMb 0) stays without one."""
         if not self.fields:
             return text
         settings = yaml.safe_load(text)
@@ -46,7 +46,7 @@
     def began_event(
         self, at: float, seed: int, gateways: int, quotas: dict[str, tuple[float, float]]
     ) -> Began:
-        """The first event of a run, with the bounds that its rules hold."""
+        """The first event of a run, with the bounds that its rules check."""
         if self.bounds is None:
             return Began(at, seed, gateways, quotas)
         b = self.bounds
@@ -69,7 +69,7 @@
 
 
 def read(path: Path) -> Terms:
-    """Raises SettingsError."""
+    """The terms of a settings file. Raises SettingsError."""
     try:
         text = path.read_text()
     except OSError as error:
--- a/coralvale/cluster/soak/timeline.py
+++ b/coralvale/cluster/soak/timeline.py
@@ -1,4 +1,4 @@
-"""Looks into a history that several rules share: lives of processes, troubles, and time that a machine lost."""
+"""A history indexed for the rules: requests, lives of processes, disturbances, time lost by the machine."""
 
 from __future__ import annotations
 
@@ -12,23 +12,23 @@
 from coralvale.cluster.soak import history as h
 
 E = TypeVar("E")
-MARGIN_S = 1.0  # s that a process may take beside what it waited for: its own work in a crowd of requests
+MARGIN_S = 1.0  # beyond a bound, for a process's own work while many requests are in flight
 DISTURBANCES = {"start", "term", "kill", "stop", "cont", "wipe", "exit", "overdue", "disk-full", "disk-well"}
 
 
 @frozen
 class Violation:
-    """A broken rule, with the moment around which to read."""
+    """A broken rule. `at`: the moment in the history, s."""
 
     rule: str
     at: float
     text: str
-    subject: str = ""  # the id, number or name that it is about
+    subject: str = ""  # the request id, lock, key or process that it is about
 
 
 @define
 class Life:
-    """One life of a gateway's process."""
+    """One life of a gateway: its process from start to exit. Times in s; None: that did not happen."""
 
     gateway: int
     number: int
@@ -38,14 +38,14 @@
     terminated_at: float | None = None
     exited_at: float | None = None
     exit_code: int = 0
-    overdue: bool = False
-    stopped_spans: list[tuple[float, float]] = field(factory=list)
-    cpu_waits: list[tuple[float, float]] = field(factory=list)  # time, s waited for a processor so far
+    overdue: bool = False  # still running long after its grace, and killed for that
+    stopped_spans: list[tuple[float, float]] = field(factory=list)  # from SIGSTOP to SIGCONT
+    cpu_waits: list[tuple[float, float]] = field(factory=list)  # time, s waited for a CPU so far
 
 
 @define
 class Request:
-    """A client's request and what became of it."""
+    """A client's request, its runs at hosts and its outcome."""
 
     sent: h.Sent
     written_at: float | None = None
@@ -54,7 +54,7 @@
 
 
 class Timeline:
-    """A history, sorted out."""
+    """A history sorted by time, with indexes by request, process, gateway and host."""
 
     def __init__(self, events: Iterable[h.Event]) -> None:
         self.events = sorted(events, key=lambda event: event.at)
@@ -65,10 +65,8 @@
         self.core_disturbances: list[float] = []
         self.requests: dict[str, Request] = {}
         self.stalls: list[tuple[float, float]] = []
-        self.link_disturbances: dict[str, list[float]] = defaultdict(
-            list
-        )  # troubles of links and hosts, by host
-        self.unknown_runs: list[h.Ran] = []  # runs of requests that nobody sent
+        self.link_disturbances: dict[str, list[float]] = defaultdict(list)  # of links and hosts, by host
+        self.unknown_runs: list[h.Ran] = []  # runs of requests that no client sent
         for event in self.events:
             self._add(event)
 
@@ -128,7 +126,7 @@
     # Time
 
     def lost_time(self, life: Life | None, since: float, until: float) -> float:
-        """Seconds between two moments in which a process could not run, or the player could not see."""
+        """Seconds between two moments in which a process could not run or the soak's event loop stalled."""
         frozen = sum(
             max(0.0, min(until, end) - max(since, begin))
             for begin, end in (life.stopped_spans if life else [])
@@ -137,13 +135,13 @@
         return frozen + stalled + (_cpu_wait(life.cpu_waits, since, until) if life else 0.0)
 
     def undisturbed(self, gateway: int, since: float, until: float) -> bool:
-        """Whether neither this gateway nor the core had a trouble from `ContactMs` before `since` on."""
+        """Whether neither this gateway nor the core was disturbed from `ContactMs` before `since` on."""
         begin = since - self.run.contact
         own, core = self.disturbances.get(gateway, []), self.core_disturbances
         return not _any_between(own, begin, until) and not _any_between(core, begin, until)
 
     def link_undisturbed(self, host: str, since: float, until: float) -> bool:
-        """Whether neither a host nor its link had a trouble from `ContactMs` before `since` on."""
+        """Whether neither a host nor its link was disturbed from `ContactMs` before `since` on."""
         return not _any_between(self.link_disturbances.get(host, []), since - self.run.contact, until)
 
     def life_of(self, request: Request) -> Life | None:
@@ -155,7 +153,10 @@
 
 
 def _cpu_wait(samples: list[tuple[float, float]], since: float, until: float) -> float:
-    """From the last sample before to the first after; where there is none, the nearest."""
+    """Seconds waited for a CPU from the last sample before `since` to the first after `until`.
+
+    Where there is no such sample, the nearest one counts.
+    """
     if len(samples) < 2:
         return 0.0
     times = [at for at, _ in samples]
--- a/coralvale/cluster/soak/wire.py
+++ b/coralvale/cluster/soak/wire.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 as the soak's clients and hosts speak it, and bodies that are made from a request's id."""
+"""HTTP/1.1 of the soak's clients and hosts, and bodies derived from a request's id."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def body_of(id_: str, size: int) -> bytes:
-    """Bytes that belong to this request alone."""
+    """A body of `size` bytes that is unique to this request."""
     word = hashlib.sha256(id_.encode()).hexdigest().encode()
     return (word * (size // len(word) + 1))[:size]
 
@@ -22,7 +22,7 @@
 
 
 async def read_head(reader: asyncio.StreamReader) -> tuple[bytes, dict[bytes, bytes]]:
-    """The first line and the headers, their names in lower case."""
+    """The first line and the headers, with names in lower case."""
     head = await reader.readuntil(b"\r\n\r\n")
     first, *lines = head[:-4].split(b"\r\n")
     headers = {}
@@ -33,7 +33,7 @@
 
 
 async def read_message(reader: asyncio.StreamReader, pause: float = 0.0, piece_bytes: int = 8192) -> Message:
-    """A whole message; with `pause` seconds between pieces of its body for a slow reader."""
+    """A complete message. `pause`: seconds between pieces of the body, for a slow reader."""
     first, headers = await read_head(reader)
     if headers.get(b"transfer-encoding", b"").lower() == b"chunked":
         return Message(first, headers, await _read_chunks(reader))
--- a/coralvale/cluster/soak/workload.py
+++ b/coralvale/cluster/soak/workload.py
@@ -1,4 +1,4 @@
-"""What goes on in a soak beside its faults: clients, hosts, an operator, callers."""
+"""The load of a soak run: clients, hosts, an operator, and callers of coordination."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 from coralvale.cluster.soak.measure import record_stalls, sample_processes
 from coralvale.cluster.soak.operator import SERVICES, Operator, api_key
 
-HOSTS_PER_SERVICE = 4  # of each service
-MAX_RATE_PER_S = 120.0  # requests a second of all clients, at most
-MIN_INTERVAL_S = 0.12  # s between a client's requests, at least
-HOT_CLIENTS = 4  # clients of the tenant that presses
-HOT_INTERVAL_S = 0.08  # s between the requests of each of them
-PROBE_INTERVAL_S = 0.25  # s between probes of the newest routes
-CHANGE_INTERVAL_S = 1.5  # s between changes
-READ_INTERVAL_S = 1.0  # s between reads of the configuration
+HOSTS_PER_SERVICE = 4
+MAX_RATE_PER_S = 120.0  # requests of all clients without a quota
+MIN_INTERVAL_S = 0.12  # between a client's requests
+HOT_CLIENTS = 4  # clients of the tenant that exceeds its quota
+HOT_INTERVAL_S = 0.08  # between the requests of each of them
+PROBE_INTERVAL_S = 0.25  # between probes of the newest routes
+CHANGE_INTERVAL_S = 1.5  # between configuration changes
+READ_INTERVAL_S = 1.0  # between reads of the configuration
 
 REQUEST_MIX = (
     (RequestStyle.PLAIN, "read", 6),
@@ -32,11 +32,11 @@
     (RequestStyle.SLOW, "long", 1),
     (RequestStyle.LEAVES, "book", 1),
     (RequestStyle.LEAVES, "read", 1),
-)  # manner, path, weight
+)  # style, path, weight
 
 
 class Workload:
-    """All that calls the cluster, as tasks."""
+    """Runs all callers of the cluster as tasks. `coordination`: with callers of locks, numbers and keys."""
 
     def __init__(self, cluster: SoakCluster, history: Writer, seed: int, coordination: bool = True) -> None:
         self.cluster, self.history, self.coordination = cluster, history, coordination
@@ -44,7 +44,7 @@
         self.operator = Operator(cluster, history, seed)
         self.hosts: list[SoakHost] = []
         self.tasks: set[asyncio.Future[None]] = set()
-        self.failures: list[str] = []  # errors of the workload's own
+        self.failures: list[str] = []  # exceptions of the workload's own tasks
         self.clients: list[Client] = []
         self.leaving: set[asyncio.Task[None]] = set()
 
@@ -59,7 +59,7 @@
         return host
 
     def retire_host(self, host: SoakHost) -> None:
-        """A host leaves in order, and another of its service begins."""
+        """Lets a host leave in order, in a task of its own."""
         self.hosts.remove(host)
         task = asyncio.create_task(host.leave())
         self.leaving.add(task)
@@ -105,7 +105,7 @@
             self.failures.append(repr(error))
 
     async def stop(self) -> None:
-        """Clients end where they are; what was asked and not answered counts as left."""
+        """Cancels all tasks. Requests without an answer are recorded as `Left`."""
         tasks = list(self.tasks)
         for task in tasks:
             task.cancel()
@@ -137,7 +137,7 @@
             await asyncio.sleep(HOT_INTERVAL_S)
 
     async def _probe_client(self, number: int) -> None:
-        """Asks on the routes of the newest changes, at one gateway after another."""
+        """Sends requests on the routes of the newest changes, to a randomly chosen gateway each."""
         client = Client(self.cluster, self.history, number)
         self.clients.append(client)
         while True:
