--- a/coralvale/cluster/commands/configuration.py
+++ b/coralvale/cluster/commands/configuration.py
@@ -38,7 +38,7 @@
     if as_json:
         print(json.dumps({"version": change["Ver"], "base": base, **row}))
     elif found.status == 200:
-        print(f"version {change['Ver']} on {base} taken by {found.gateway}")
+        print(f"version {change['Ver']} on {base} accepted by {found.gateway}")
     else:
         print(f"{file}: {found.status or 'no definite answer'}: {found.reason}", file=sys.stderr)
     return 0 if found.status == 200 else 1 if found.status else 2
--- a/coralvale/cluster/commands/coordination.py
+++ b/coralvale/cluster/commands/coordination.py
@@ -83,7 +83,7 @@
     if as_json:
         print(json.dumps({"name": name, "fence": fence, "released": done, "status": status}))
     elif done:
-        print(f"{name}: fence {fence} holds it no more")
+        print(f"{name}: released; fence {fence} no longer holds it")
     elif status == 409:
         print(f"{name}: not held under fence {fence}", file=sys.stderr)
     else:
--- a/coralvale/cluster/commands/gateway.py
+++ b/coralvale/cluster/commands/gateway.py
@@ -54,7 +54,7 @@
         except OSError as error:
             raise CommandError(f"{file}: {error.strerror}") from None
         except ValueError as error:
-            mistakes = [f"not valid JSON: {error}"]
+            mistakes = [f"cannot be parsed: {error}"]
     else:
         if not file.exists():
             raise CommandError(f"{file}: no such file")
--- a/coralvale/cluster/commands/hosts.py
+++ b/coralvale/cluster/commands/hosts.py
@@ -22,27 +22,27 @@
     if not at:
         raise CommandError("health: give at least one Ctl address, ip:port")
     while True:
-        copies: dict[str, dict[str, Any]] = {}
-        for one in at:
-            found = call_for_object(one, "gateway.status")
+        instances: dict[str, dict[str, Any]] = {}
+        for address in at:
+            found = call_for_object(address, "gateway.status")
             for row in found["hosts"]:
-                copy = copies.setdefault(
+                instance = instances.setdefault(
                     row["id"], {"service": row["service"], "state": row["state"], "at": {}}
                 )
-                told = {name: row[name] for name in ("health", "for", "ill", "by", "share")}
-                copy["at"][found["name"]] = told
+                view = {name: row[name] for name in ("health", "for", "ill", "by", "share")}
+                instance["at"][found["name"]] = view
         if as_json:
-            print(json.dumps(copies), flush=True)
+            print(json.dumps(instances), flush=True)
         else:
             head = f"{'copy':<16} {'service':<12} {'gateway':<24} {'verdict':<10} {'for s':>6}"
             print(f"{head} {'ill':>5} {'share':>6} told by")
-            for name, copy in sorted(copies.items(), key=lambda c: (c[1]["service"], c[0])):
-                for gateway, told in copy["at"].items():
+            for name, instance in sorted(instances.items(), key=lambda c: (c[1]["service"], c[0])):
+                for gateway, view in instance["at"].items():
                     print(
-                        f"{name:<16} {copy['service']:<12} {gateway:<24} {told['health']:<10}"
-                        f" {told['for']:>6.1f} {told['ill']:>5.2f} {told['share']:>6.3f} {', '.join(told['by'])}"
+                        f"{name:<16} {instance['service']:<12} {gateway:<24} {view['health']:<10}"
+                        f" {view['for']:>6.1f} {view['ill']:>5.2f} {view['share']:>6.3f} {', '.join(view['by'])}"
                     )
             sys.stdout.flush()
         if not watch:
-            return int(any(t["health"] != "well" for c in copies.values() for t in c["at"].values()))
+            return int(any(t["health"] != "well" for c in instances.values() for t in c["at"].values()))
         time.sleep(watch)
--- a/coralvale/cluster/commands/logs.py
+++ b/coralvale/cluster/commands/logs.py
@@ -31,7 +31,7 @@
     :param logs: log files, or folders of them
     :param as_json: print one JSON object
     """
-    found = []
+    trace = []
     for file, lines in read_logs(logs):
         for line in lines:
             words = line.split(" ", 5)
@@ -41,15 +41,15 @@
                 and words[3] == "request"
                 and words[4].rstrip(":") == request_id
             ):
-                found.append(
+                trace.append(
                     {"gateway": file.name, "at": words[0], "event": words[2], "text": " ".join(words[3:])}
                 )
-    found.sort(key=lambda row: row["at"])
+    trace.sort(key=lambda row: row["at"])
     if as_json:
-        print(json.dumps(found))
+        print(json.dumps(trace))
     else:
         print(
-            "\n".join(f"{r['at']} {r['gateway']} {r['event']} {r['text']}" for r in found)
+            "\n".join(f"{r['at']} {r['gateway']} {r['event']} {r['text']}" for r in trace)
             or "not in these logs"
         )
-    return 0 if found else 1
+    return 0 if trace else 1
--- a/coralvale/cluster/commands/regions.py
+++ b/coralvale/cluster/commands/regions.py
@@ -20,10 +20,10 @@
     """
     if not at:
         raise CommandError("regions: give at least one Ctl address, ip:port")
-    seen = [call_for_object(one, "gateway.status") for one in at]
-    zones = {zone: region for found in seen for zone, region in found["zones"].items()}
+    statuses = [call_for_object(one, "gateway.status") for one in at]
+    zones = {zone: region for found in statuses for zone, region in found["zones"].items()}
     services: dict[str, dict[str, Any]] = {}
-    for found in seen:
+    for found in statuses:
         for name, region in found["bindings"].items():
             row = services.setdefault(name, {"region": region, "gateways": [], "unsure": [], "hosts": {}})
             if found["region"] == region:
@@ -37,14 +37,14 @@
         name: {**row, "hosts": {r: list(row["hosts"].values()).count(r) for r in set(row["hosts"].values())}}
         for name, row in services.items()
     }
-    abroad = {
+    refused_elsewhere = {
         f["name"]: {"refused": f["refused_abroad"], "for": f["refused_for"]}
-        for f in seen
+        for f in statuses
         if f["refused_abroad"]
     }
     well = all(r["gateways"] and not r["unsure"] and r["hosts"].get(r["region"]) for r in rows.values())
     if as_json:
-        print(json.dumps({"well": well, "services": rows, "refused_abroad": abroad}))
+        print(json.dumps({"well": well, "services": rows, "refused_abroad": refused_elsewhere}))
         return 0 if well else 1
     print(f"{'service':<16} {'bound to':<16} {'hosts by region':<32} gateways there")
     for name, row in sorted(rows.items()):
@@ -53,9 +53,9 @@
         )
         there = ", ".join(g + (" (unsure)" if g in row["unsure"] else "") for g in row["gateways"])
         print(f"{name:<16} {row['region']:<16} {hosts or 'none':<32} {there or 'none'}")
-    for name, told in abroad.items():
-        counts = ", ".join(f"{count} of {region}" for region, count in told["refused"].items())
-        print(f"{name}: refused abroad in {told['for']:.0f} s: {counts}")
+    for name, refusals in refused_elsewhere.items():
+        counts = ", ".join(f"{count} of {region}" for region, count in refusals["refused"].items())
+        print(f"{name}: refused abroad in {refusals['for']:.0f} s: {counts}")
     return 0 if well else 1
 
 
@@ -85,8 +85,8 @@
         print(json.dumps({"answers": answers, "outside": outside}))
     else:
         for service, counts in sorted(answers.items()):
-            told = ", ".join(f"{count} in {region or 'no region'}" for region, count in counts.items())
-            print(f"{service}: {told}")
+            counts_text = ", ".join(f"{count} in {region or 'no region'}" for region, count in counts.items())
+            print(f"{service}: {counts_text}")
         for row in outside:
             print(
                 f"OUTSIDE {row['at']} {row['gateway']} {row['request']} of {row['service']} in {row['region']}"
--- a/coralvale/cluster/soak/rules_processes.py
+++ b/coralvale/cluster/soak/rules_processes.py
@@ -18,7 +18,7 @@
 
 
 def process_ends(timeline: Timeline) -> Iterator[Violation]:
-    """END: after SIGTERM a process exits within its grace with code 0; none exits without a recorded signal."""
+    """END: after SIGTERM a process exits within its grace with code 0; none exits without a signal."""
     for life in timeline.lives.values():
         name = f"gateway {life.gateway}, life {life.number}"
         at = life.exited_at if life.exited_at is not None else timeline.last_at
--- a/tests/cluster/test_soak_checker.py
+++ b/tests/cluster/test_soak_checker.py
@@ -157,7 +157,7 @@
         {"MIXED"},
     ),
     ("answered in time", [sent("a", 1), h.Answered(4.0, "a", 504)], set()),
-    ("answered late", [sent("a", 1), h.Answered(6.0, "a", 504)], {"ENDED"}),
+    ("late", [sent("a", 1), h.Answered(6.0, "a", 504)], {"ENDED"}),
     (
         "answered late because its gateway was frozen",
         [
@@ -210,7 +210,7 @@
         [*closed_request("a", 10, 10.3, "i-1"), h.Broke(10.3, "a", "i-1")],
         {"ENDED"},
     ),
-    ("abandoned by its client", [sent("a", 1), h.Left(1.1, "a"), h.Ran(1.2, "a", "i-1", "station")], set()),
+    ("left", [sent("a", 1), h.Left(1.1, "a"), h.Ran(1.2, "a", "i-1", "station")], set()),
     ("sent to a host within DrainMs", [*ACKNOWLEDGED, *request("a", 12.0, "i-1")], set()),
     ("sent to a host after DrainMs", [*ACKNOWLEDGED, *request("a", 13.0, "i-1")], {"DRAIN"}),
     (
