--- a/coralvale/cluster/commands/gateway.py
+++ b/coralvale/cluster/commands/gateway.py
@@ -29,7 +29,9 @@
         except ValueError as error:
             raise CommandError(f"--metrics: {error}") from None
         if find_spec("prometheus_client") is None:
-            raise CommandError("--metrics: needs the extra cluster-metrics (pip install '.[cluster-metrics]')")
+            raise CommandError(
+                "--metrics: needs the extra cluster-metrics (pip install '.[cluster-metrics]')"
+            )
     return serve_now(settings or os.environ.get("MYRTLEHATCH_CONFIG", ""), metrics, regions)
 
 
