--- a/coralvale/cluster/commands/gateway.py
+++ b/coralvale/cluster/commands/gateway.py
@@ -1,4 +1,4 @@
-"""Commands of one gateway: start it, check its files, look at what it knows."""
+"""Commands for one gateway: start it, check its files, show its status; and the demo."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 from pathlib import Path
 from typing import Any
 
-from coralvale.cluster.commands.asking import Fault, call
+from coralvale.cluster.commands.asking import CommandError, call_for_object
 
 
 def run(*, settings: str = "", metrics: str = "", regions: str = "") -> int:
     """Start one gateway.
 
-    :param settings: the settings file; left out, MYRTLEHATCH_CONFIG names it
-    :param metrics: ip:port on loopback or a network of operators, of a page for Prometheus; none without it
-    :param regions: a file that binds services to regions, beside the configuration
+    :param settings: the settings file; by default the one that MYRTLEHATCH_CONFIG names
+    :param metrics: ip:port on loopback or an operators' network for the Prometheus page; by default none
+    :param regions: a file that binds services to regions, in addition to the configuration
     """
     import os
     from importlib.util import find_spec
@@ -27,17 +27,19 @@
         try:
             parse_address(metrics)
         except ValueError as error:
-            raise Fault(f"--metrics: {error}") from None
+            raise CommandError(f"--metrics: {error}") from None
         if find_spec("prometheus_client") is None:
-            raise Fault("--metrics: needs the extra cluster-metrics (pip install '.[cluster-metrics]')")
+            raise CommandError(
+                "--metrics: needs the extra cluster-metrics (pip install '.[cluster-metrics]')"
+            )
     return run_gateway(settings or os.environ.get("MYRTLEHATCH_CONFIG", ""), metrics, regions)
 
 
 def check(file: Path, *, configuration: bool = False, as_json: bool = False) -> int:
-    """Read a settings file, or an operator's configuration, and say all that is wrong with it.
+    """Check a settings file, or an operator's configuration, and print every mistake in it.
 
     :param file: the file
-    :param configuration: it is a configuration (JSON), not a settings file (YAML)
+    :param configuration: the file is a configuration (JSON), not a settings file (YAML)
     :param as_json: print one JSON object
     """
     from coralvale.cluster.configuration.model import Configuration, parse_configuration
@@ -45,38 +47,38 @@
     from coralvale.cluster.settings import SettingsError, read, remarks
 
     mistakes: list[str] = []
-    remarked: list[str] = []
+    remark_lines: list[str] = []
     if configuration:
         try:
             found = parse_configuration(json.loads(file.read_bytes()), Configuration())
             if isinstance(found, Problem):
                 mistakes = found.reason.split("; ")
         except OSError as error:
-            raise Fault(f"{file}: {error.strerror}") from None
+            raise CommandError(f"{file}: {error.strerror}") from None
         except ValueError as error:
-            mistakes = [f"cannot be read whole: {error}"]
+            mistakes = [f"cannot be parsed: {error}"]
     else:
         if not file.exists():
-            raise Fault(f"{file}: no such file")
+            raise CommandError(f"{file}: no such file")
         try:
             read(str(file))
-            remarked = remarks(file.read_text())
+            remark_lines = remarks(file.read_text())
         except SettingsError as error:
             mistakes = str(error).split("\n")
     if as_json:
-        row = {"file": str(file), "well": not mistakes, "mistakes": mistakes, "remarks": remarked}
+        row = {"file": str(file), "well": not mistakes, "mistakes": mistakes, "remarks": remark_lines}
         print(json.dumps(row))
     else:
-        for line in remarked:
+        for line in remark_lines:
             print(f"{file}: remark: {line}")
         print("\n".join(mistakes) if mistakes else f"{file}: well")
     return 1 if mistakes else 0
 
 
-def _table(found: dict[str, Any]) -> str:
+def _format_status(found: dict[str, Any]) -> str:
     from coralvale.cluster.rate_limit.shares import CELLS
 
-    leader = found.get("leader", found.get("holder"))  # a gateway of the version before has the other name
+    leader = found.get("leader", found.get("holder"))  # gateways of the previous version name it "holder"
     lines = [
         f"{found['name']} ({found['zone']}): {'ready' if found['ready'] else 'not ready'}, "
         f"version {found['version']}, {found['open']} requests in hand",
@@ -84,7 +86,7 @@
         f"quotas: {found['shares']['cells']} of {CELLS} cells by table {found['shares']['version']}",
     ]
     if coordination := found.get("coordination"):
-        lines.append(_coordination_line(coordination))
+        lines.append(_format_coordination(coordination))
     lines.append(f"{'gateway':<28} {'state':<9} {'heard s':>8}")
     lines += [f"{g['name']:<28} {g['state']:<9} {g['heard']:>8.1f}" for g in found["gateways"]]
     lines.append(
@@ -107,7 +109,7 @@
     return "\n".join(lines)
 
 
-def _coordination_line(told: dict[str, Any]) -> str:
+def _format_coordination(told: dict[str, Any]) -> str:
     held = ", ".join(f"{told[name]} {name}" for name in ("locks", "numbers", "keys", "watches"))
     pace = f"{told['turns_per_s']:.1f} turns/s, {told['calls_per_s']:.1f} calls/s"
     delay = f"p50 {told['delay_ms']['p50']:.0f} ms, p99 {told['delay_ms']['p99']:.0f} ms as the leader"
@@ -115,27 +117,27 @@
 
 
 def status(at: str, *, as_json: bool = False, watch: float = 0.0) -> int:
-    """Show what a gateway knows: view, members, version, hosts, quotas.
+    """Show a gateway's status: view, members, version, hosts, quotas. The exit code is 1 if it is not ready.
 
     :param at: the gateway's Ctl address, ip:port
-    :param as_json: print one JSON object (a line each time, with --watch)
-    :param watch: seconds between looks; 0 looks once
+    :param as_json: print one JSON object (one per line with --watch)
+    :param watch: seconds between refreshes; 0: print once
     """
     while True:
-        found = call(at, "gateway.status")
-        print(json.dumps(found) if as_json else _table(found), flush=True)
+        found = call_for_object(at, "gateway.status")
+        print(json.dumps(found) if as_json else _format_status(found), flush=True)
         if not watch:
             return 0 if found["ready"] else 1
         time.sleep(watch)
 
 
 def demo(*, seconds: float = 9.0, as_json: bool = False) -> int:
-    """Start five gateways on loopback, three with disks, with hosts, clients and an operator of ours.
+    """Start five gateways on loopback, three with disks, with simulated hosts, clients and an operator.
 
-    Shows traffic served, a change of the configuration taken, and the founder of the core killed under it.
+    Shows traffic being served, a change of the configuration, and the founder of the core being killed.
 
-    :param seconds: how long traffic is played
-    :param as_json: print the summary alone, as one JSON object
+    :param seconds: how long traffic is generated
+    :param as_json: print only the summary, as one JSON object
     """
     import asyncio
 
--- a/coralvale/cluster/commands/logs.py
+++ b/coralvale/cluster/commands/logs.py
@@ -1,4 +1,4 @@
-"""Commands about logs: the catalogue of events, and a request's way."""
+"""Commands for logs: the catalogue of events, and the trace of one request."""
 
 from __future__ import annotations
 
@@ -23,13 +23,15 @@
 
 
 def explain(request_id: str, *logs: Path, as_json: bool = False) -> int:
-    """Tell a request's way from the logs of all gateways, written with MYRTLEHATCH_LOG=DEBUG.
+    """Trace one request through the logs of all gateways, written with MYRTLEHATCH_LOG=DEBUG.
+
+    The exit code is 1 if the logs do not contain it.
 
     :param request_id: its X-Myrtlehatch-Request-Id
-    :param logs: files of logs, or folders of them
+    :param logs: log files, or folders of them
     :param as_json: print one JSON object
     """
-    found = []
+    trace = []
     for file, lines in read_logs(logs):
         for line in lines:
             words = line.split(" ", 5)
@@ -39,15 +41,15 @@
                 and words[3] == "request"
                 and words[4].rstrip(":") == request_id
             ):
-                found.append(
+                trace.append(
                     {"gateway": file.name, "at": words[0], "event": words[2], "text": " ".join(words[3:])}
                 )
-    found.sort(key=lambda row: row["at"])
+    trace.sort(key=lambda row: row["at"])
     if as_json:
-        print(json.dumps(found))
+        print(json.dumps(trace))
     else:
         print(
-            "\n".join(f"{r['at']} {r['gateway']} {r['event']} {r['text']}" for r in found)
+            "\n".join(f"{r['at']} {r['gateway']} {r['event']} {r['text']}" for r in trace)
             or "not in these logs"
         )
-    return 0 if found else 1
+    return 0 if trace else 1
--- a/coralvale/cluster/soak/terms.py
+++ b/coralvale/cluster/soak/terms.py
@@ -1,4 +1,4 @@
-"""What a soak takes from an operator's settings file: bounds, limits, the fault budget."""
+"""The parts of an operator's settings file that a soak run uses: bounds, limits, the fault budget."""
 
 from __future__ import annotations
 
@@ -12,17 +12,17 @@
 from coralvale.cluster.soak.history import Began
 from coralvale.cluster.soak.schedule import Schedule
 
-TAKEN = ("Bounds", "Limits", "FaultBudget", "HeartbeatMs", "Guarantees")
+OVERRIDDEN_KEYS = ("Bounds", "Limits", "FaultBudget", "HeartbeatMs", "Guarantees")
 
 
 class Terms:
-    """Fields that stand in the settings of all gateways of a soak in place of its own."""
+    """Settings that replace the soak's own in the settings files of all its gateways."""
 
     def __init__(self, fields: dict[str, Any] | None = None, bounds: Bounds | None = None) -> None:
         self.fields, self.bounds = fields or {}, bounds
 
     def fit(self, schedule: Schedule) -> Schedule:
-        """A schedule with as many disks as the fault budget needs, and no more lost at once than it tolerates."""
+        """The schedule with as many disks as the fault budget needs, and with it as the most lost at once."""
         if "FaultBudget" not in self.fields:
             return schedule
         nodes = int(self.fields["FaultBudget"].get("Nodes", 0))
@@ -31,8 +31,8 @@
             schedule, budget=nodes, disks=disks, gateways=max(schedule.gateways, disks)
         )
 
-    def put_into(self, text: str) -> str:
-        """A gateway's settings with these terms. The size of its disk stays: without one it has none."""
+    def apply_to(self, text: str) -> str:
+        """A gateway's settings with these terms. A gateway without a disk (DiskMb 0) stays without one."""
         if not self.fields:
             return text
         settings = yaml.safe_load(text)
@@ -43,8 +43,10 @@
         dumped: str = yaml.safe_dump(settings)
         return dumped
 
-    def began(self, at: float, seed: int, gateways: int, quotas: dict[str, tuple[float, float]]) -> Began:
-        """The first event of a run, with the bounds that its rules hold."""
+    def began_event(
+        self, at: float, seed: int, gateways: int, quotas: dict[str, tuple[float, float]]
+    ) -> Began:
+        """The first event of a run, with the bounds that its rules check."""
         if self.bounds is None:
             return Began(at, seed, gateways, quotas)
         b = self.bounds
@@ -67,11 +69,11 @@
 
 
 def read(path: Path) -> Terms:
-    """Raises SettingsError."""
+    """The terms of a settings file. Raises SettingsError."""
     try:
         text = path.read_text()
     except OSError as error:
         raise SettingsError(f"{path}: {error.strerror}") from None
     parsed = parse(text, str(path))
     raw = yaml.safe_load(text)
-    return Terms({name: raw[name] for name in TAKEN if name in raw}, parsed.Bounds)
+    return Terms({name: raw[name] for name in OVERRIDDEN_KEYS if name in raw}, parsed.Bounds)
