--- a/benchmarks/syslog.py
+++ b/benchmarks/syslog.py
@@ -87,8 +87,8 @@
     from coralvale.interface import Outcome
 
     arrival: Any = SimpleNamespace(
-        id=f"{n:016x}", customer=n % 200, plan=0, plan_name="provincial", cls=n % 2, units=1.0, entries=2,
-        time_out=4.0,
+        id=f"{n:016x}", customer=n % 200, plan=0, plan_name="provincial", cls=n % 2, units=1.0, entry_gateways=2,
+        timeout=4.0,
     )  # fmt: skip
     tried = (("s-5be2a07c", 0, Outcome.OK, 0.01),)
     return Final(arrival, {}, b"/api", now, 200, "", 0.012, 3.9, tried)
--- a/coralvale/attempts/service.py
+++ b/coralvale/attempts/service.py
@@ -16,7 +16,7 @@
 from coralvale.attempts.model import Answered, Ended, Intent, JournalError, Record
 from coralvale.attempts.store import Folder
 from coralvale.net.clock import Clock
-from coralvale.net.server import Arrival, Exchange
+from coralvale.net.server import Exchange, ParsedRequest
 from coralvale.operator.model import Attempts
 
 log = logging.getLogger(__name__)
@@ -78,7 +78,12 @@
         return cls in self.classes and self.late and self.table.unrecorded == "refuse"
 
     def intend(
-        self, arrival: Arrival, exchange: Exchange, attempt: int, node: str, told: Callable[[bool], None]
+        self,
+        arrival: ParsedRequest,
+        exchange: Exchange,
+        attempt: int,
+        node: str,
+        told: Callable[[bool], None],
     ) -> None:
         """Records that an attempt is about to be sent; `told` is called once, later, with whether it may be."""
         intent = Intent(
--- a/coralvale/authorisation/answering.py
+++ b/coralvale/authorisation/answering.py
@@ -14,7 +14,7 @@
 from coralvale.authorisation.answers import Answers, Mistaken, Out, Refused
 from coralvale.authorisation.asked import read_check, read_end, write_answer
 from coralvale.net.clock import Clock
-from coralvale.net.server import BadRequest, Names
+from coralvale.net.server import BadRequest, NameIndex
 
 log = logging.getLogger(__name__)
 ROOM = 0.01  # s before a caller's deadline in which its answer is written
@@ -27,7 +27,7 @@
 
     def __init__(self, answers: Answers, clock: Clock, count: Callable[[api.Count], None]) -> None:
         self.answers, self.clock, self.count = answers, clock, count
-        self.names = Names(answers.settings)
+        self.names = NameIndex(answers.settings)
         self.waiting: dict[str, asyncio.Future[Out]] = {}
         self.unread = 0  # log entries that name no request, or cannot be read
 
@@ -51,10 +51,10 @@
     async def _decide(self, message: Any, remaining: float | None) -> Out:  # noqa: ANN401
         arrival, now = read_check(message, self.names), self.clock.now()
         settings = self.answers.settings
-        patience = min(arrival.time_out, settings.classes[arrival.cls].give_up)
+        patience = min(arrival.timeout, settings.classes[arrival.cls].give_up)
         told = api.Request(
-            arrival.id, arrival.cls, arrival.plan, arrival.customer, arrival.entries, now + patience,
-            arrival.units, arrival.first,
+            arrival.id, arrival.cls, arrival.plan, arrival.customer, arrival.entry_gateways, now + patience,
+            arrival.units, arrival.first_gateway,
         )  # fmt: skip
         if remaining is not None and remaining <= ROOM:
             return Refused(arrival.id, settings.max_advice)
--- a/coralvale/authorisation/asked.py
+++ b/coralvale/authorisation/asked.py
@@ -11,14 +11,14 @@
 
 from coralvale.authorisation.answers import Allowed, Mistaken, Out, Refused
 from coralvale.interface import Outcome
-from coralvale.net.server import Arrival, Exchange, Names
+from coralvale.net.server import Exchange, NameIndex, ParsedRequest
 from coralvale.net.upstream import read_usage
 
 LONGEST = 3600.0  # s that an end may say that a request took
 
 
 class Told:
-    """What `Arrival` reads of an exchange, from a check."""
+    """What `ParsedRequest` reads of an exchange, from a check."""
 
     def __init__(self, http: Any) -> None:  # noqa: ANN401
         self.method = http.method.encode("latin-1", "replace")
@@ -30,10 +30,10 @@
             self.fields[b"x-request-id"] = http.id.encode("latin-1", "replace")
 
 
-def read_check(message: Any, names: Names) -> Arrival:  # noqa: ANN401
+def read_check(message: Any, names: NameIndex) -> ParsedRequest:  # noqa: ANN401
     """The request that a proxy asks about. Raises BadRequest, whose text says what is wrong with it."""
     exchange: Exchange = Told(message.attributes.request.http)  # type: ignore[assignment]
-    return Arrival(names, exchange)
+    return ParsedRequest(names, exchange)
 
 
 def header(name: str, value: str) -> Any:  # noqa: ANN401
--- a/coralvale/authorisation/service.py
+++ b/coralvale/authorisation/service.py
@@ -18,7 +18,7 @@
 from coralvale.authorisation.wire import check_request, ruling
 from coralvale.net.clock import Clock
 from coralvale.net.node import Ruling
-from coralvale.net.server import Arrival, Exchange
+from coralvale.net.server import Exchange, ParsedRequest
 from coralvale.operator.model import Authoriser, OperatorError
 
 log = logging.getLogger(__name__)
@@ -133,16 +133,18 @@
         self.closing.add(task)
         task.add_done_callback(self.closing.discard)
 
-    def needs(self, arrival: Arrival) -> bool:
+    def needs(self, arrival: ParsedRequest) -> bool:
         return self._line(arrival) is not None
 
-    def _line(self, arrival: Arrival) -> Line | None:
+    def _line(self, arrival: ParsedRequest) -> Line | None:
         for line in self.lines:
             if line.checks.rule.matches(arrival.plan, arrival.customer, arrival.cls):
                 return line
         return None
 
-    def ask(self, arrival: Arrival, exchange: Exchange, left: float, done: Callable[[Ruling], None]) -> None:
+    def ask(
+        self, arrival: ParsedRequest, exchange: Exchange, left: float, done: Callable[[Ruling], None]
+    ) -> None:
         loop, line, now = asyncio.get_running_loop(), self._line(arrival), self.clock.now()
         if line is None:  # a reload has taken its authoriser away while it waited for its quota
             loop.call_soon(done, Ruling(api.Verdict.NO_ANSWER, "no authoriser is named for it any more"))
@@ -159,7 +161,7 @@
         self.tasks[arrival.id] = task, line
 
     @staticmethod
-    def _key(line: Line, arrival: Arrival, exchange: Exchange) -> Key | None:
+    def _key(line: Line, arrival: ParsedRequest, exchange: Exchange) -> Key | None:
         listener = exchange.fields.get(line.table.listener_header.lower().encode())
         if not line.table.cache_entries or listener is None:
             return None
@@ -168,7 +170,7 @@
     async def _ask(
         self,
         line: Line,
-        arrival: Arrival,
+        arrival: ParsedRequest,
         exchange: Exchange,
         key: Key | None,
         time_out: float,
@@ -197,7 +199,7 @@
         self._ended(arrival, lambda now: checks.answered(now, arrival.id, key, told))
         done(told)
 
-    def _ended(self, arrival: Arrival, tell: Callable[[float], None]) -> None:
+    def _ended(self, arrival: ParsedRequest, tell: Callable[[float], None]) -> None:
         known = self.tasks.get(arrival.id)
         if (
             known is None or known[0] is not asyncio.current_task()
@@ -211,7 +213,7 @@
         line.checks.lines.clear()
 
     @staticmethod
-    def _without(line: Line, arrival: Arrival, why: str) -> Ruling:
+    def _without(line: Line, arrival: ParsedRequest, why: str) -> Ruling:
         return Ruling(line.checks.without(arrival.cls), why)
 
     def leave(self, request: str) -> None:
--- a/coralvale/authorisation/wire.py
+++ b/coralvale/authorisation/wire.py
@@ -10,7 +10,7 @@
 
 from coralvale.interface import Verdict
 from coralvale.net.node import Ruling
-from coralvale.net.server import Arrival, Exchange
+from coralvale.net.server import Exchange, ParsedRequest
 
 NAME = re.compile(rb"[!#$%&'*+.^_`|~0-9A-Za-z-]{1,256}")  # RFC 9110, section 5.1
 VALUE = re.compile(rb"[\t\x20-\x7e\x80-\xff]{0,8192}")  # RFC 9110, section 5.5: no line break, no nought
@@ -27,7 +27,7 @@
 )  # fmt: skip
 
 
-def check_request(arrival: Arrival, exchange: Exchange, station: str, plan: str, cls: str) -> Any:  # noqa: ANN401
+def check_request(arrival: ParsedRequest, exchange: Exchange, station: str, plan: str, cls: str) -> Any:  # noqa: ANN401
     """AttributeContext of the request, without its body; station, plan and class as context extensions."""
     message = external_auth_pb2.CheckRequest()
     http = message.attributes.request.http
--- a/coralvale/cluster/server/changes.py
+++ b/coralvale/cluster/server/changes.py
@@ -19,7 +19,7 @@
 from coralvale.cluster.server.messages import Ask, Call, Reply, Told
 from coralvale.cluster.server.peers import Frames
 from coralvale.cluster.server.runtime import Runtime
-from coralvale.net.server import Bounds as ClientBounds
+from coralvale.net.server import ClientLimits
 
 ASK_FOR = 1.0  # s for which a question for news is kept when there is none
 LOST_AFTER = 0.25  # s between looks at whether the one that is asked is cut off itself
@@ -30,7 +30,7 @@
 
 class Changes:
     def __init__(
-        self, runtime: Runtime, router: Router, bound_clients: Callable[[ClientBounds], None]
+        self, runtime: Runtime, router: Router, bound_clients: Callable[[ClientLimits], None]
     ) -> None:
         """`bound_clients`: with the limits of a configuration that comes into force."""
         self.runtime, self.router, self.bound_clients = runtime, router, bound_clients
@@ -48,7 +48,7 @@
         self.tenants = {crc32(name.encode()): name for name in configuration.tenants()}
         limits = configuration.limits
         self.bound_clients(
-            ClientBounds(
+            ClientLimits(
                 limits.HeaderBytes, limits.BodyBytes, limits.HdrReadMs / 1000, limits.IdleMs / 1000, 431
             )
         )
--- a/coralvale/cluster/server/ctl.py
+++ b/coralvale/cluster/server/ctl.py
@@ -18,7 +18,7 @@
 from coralvale.cluster.settings import address
 from coralvale.net.clock import Clock
 from coralvale.net.config import Address
-from coralvale.net.server import Bounds, Exchange, Server
+from coralvale.net.server import ClientLimits, Exchange, Server
 
 BASE = b"x-myrtlehatch-base-version"
 STATES = {"up": State.UP, "draining": State.DRAINING}
@@ -106,12 +106,12 @@
     def ready(self) -> bool:
         return self.desk.is_ready()
 
-    def take(self, exchange: Exchange, fields: Any) -> None:  # noqa: ANN401
+    def handle(self, exchange: Exchange, fields: Any) -> None:  # noqa: ANN401
         raise AssertionError("the platform's own requests do not come here")
 
-    def turned_away(self, exchange: Exchange, status: int, why: str) -> None: ...
+    def rejected(self, exchange: Exchange, status: int, why: str) -> None: ...
 
-    def client_left(self, exchange: Exchange) -> None: ...
+    def client_disconnected(self, exchange: Exchange) -> None: ...
 
     def call(self, exchange: Exchange) -> None:
         path, _, query = exchange.target.decode("latin-1").partition("?")
@@ -185,12 +185,12 @@
 
 
 class ControlServer(Server):
-    once = {BASE, b"content-length", b"transfer-encoding"}
+    single_value_headers = {BASE, b"content-length", b"transfer-encoding"}
 
     def __init__(self, at: Address, control: Control, clock: Clock, most: int = MOST) -> None:
-        super().__init__(at, None, control, most, 64, most_bodies=2 * MOST_BODY, clock=clock)
+        super().__init__(at, None, control, most, 64, max_total_body_bytes=2 * MOST_BODY, clock=clock)
         self.control = control
-        self.bounds = Bounds(body=MOST_BODY, partial=5.0, idle=30.0)
+        self.limits = ClientLimits(max_body_bytes=MOST_BODY, head_timeout=5.0, idle_timeout=30.0)
 
-    def request(self, exchange: Exchange) -> None:
+    def handle_request(self, exchange: Exchange) -> None:
         self.control.call(exchange)
--- a/coralvale/cluster/server/edge.py
+++ b/coralvale/cluster/server/edge.py
@@ -17,12 +17,12 @@
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
 from coralvale.net.config import Address
-from coralvale.net.server import NOT_PASSED_ON, Exchange, Server, nominated
+from coralvale.net.server import NOT_FORWARDED_HEADERS, Exchange, Server, connection_options
 from coralvale.net.transport import Answer, Attempt, Outgoing, Source
 
 ID, LEFT = b"x-myrtlehatch-request-id", b"x-myrtlehatch-time-left"
 TENANT, WANT, AUTH = b"x-myrtlehatch-tenant", b"x-myrtlehatch-want-instance", b"authorization"
-STRIPPED = NOT_PASSED_ON | {LEFT, TENANT, WANT, AUTH}
+STRIPPED = NOT_FORWARDED_HEADERS | {LEFT, TENANT, WANT, AUTH}
 NEVER = {ID, LEFT, TENANT, WANT, AUTH, b"host", b"content-length", b"transfer-encoding"}
 BEARER = re.compile(rb"(?i)bearer +(\S+)")
 WORD = re.compile(rb"[!-~]{1,128}")
@@ -59,13 +59,13 @@
 
 
 class EdgeServer(Server):
-    once = {ID, LEFT, AUTH, b"host", b"content-length", b"transfer-encoding"}
+    single_value_headers = {ID, LEFT, AUTH, b"host", b"content-length", b"transfer-encoding"}
 
     def __init__(self, address: Address, edge: Edge, most: int, bodies: int, clock: Clock) -> None:
-        super().__init__(address, None, edge, most, 32, most_bodies=bodies, clock=clock)
+        super().__init__(address, None, edge, most, 32, max_total_body_bytes=bodies, clock=clock)
         self.edge = edge
 
-    def turned_away_by_head(self, exchange: Exchange) -> int:
+    def early_rejection_status(self, exchange: Exchange) -> int:
         router = self.edge.router
         if not router.home.routes:
             return 0
@@ -74,8 +74,8 @@
         problem = router.check_head(self.edge.clock.monotonic(), host, path)
         return problem.status if problem else 0
 
-    def request(self, exchange: Exchange) -> None:
-        if exchange.connection.surplus:
+    def handle_request(self, exchange: Exchange) -> None:
+        if exchange.connection.over_limit:
             exchange.close = True
             exchange.reply(503, retry_after=0.2)
             return
@@ -104,14 +104,14 @@
 
     # The protocol of the server
 
-    def take(self, exchange: Exchange, fields: Any) -> None:  # noqa: ANN401
+    def handle(self, exchange: Exchange, fields: Any) -> None:  # noqa: ANN401
         raise AssertionError("the platform's own requests do not come here")
 
-    def turned_away(self, exchange: Exchange, status: int, why: str) -> None:
+    def rejected(self, exchange: Exchange, status: int, why: str) -> None:
         self.answers[status] = self.answers.get(status, 0) + 1
 
-    def client_left(self, exchange: Exchange) -> None:
-        request: Request | None = exchange.held
+    def client_disconnected(self, exchange: Exchange) -> None:
+        request: Request | None = exchange.handler_state
         if request is None:
             return
         request.left = True
@@ -132,7 +132,7 @@
         left = fields.get(LEFT, b"")
         host = fields.get(b"host", b"")
         if not WORD.fullmatch(id_) or not host or (left and not NUMBER.fullmatch(left)):
-            return exchange.refuse(400, b"a request id, a host and the time left are needed\n")
+            return exchange.reply_and_close(400, b"a request id, a host and the time left are needed\n")
         key = BEARER.fullmatch(fields.get(AUTH, b""))
         path = exchange.target.partition(b"?")[0].decode("latin-1")
         job = self.router.admit(
@@ -148,13 +148,15 @@
                 why = f": {job.kind.value}"
                 tell(Event.ANSWERED, id=id_.decode(), status=job.status, ms=0.0, why=why)
             return self._say(exchange, job)
-        drop = STRIPPED | (nominated(fields[b"connection"]) - NEVER if b"connection" in fields else set())
+        drop = STRIPPED | (
+            connection_options(fields[b"connection"]) - NEVER if b"connection" in fields else set()
+        )
         headers = [(n, v) for n, v in exchange.headers if n.lower() not in drop]
         if job.tenant:
             headers.append((b"X-Myrtlehatch-Tenant", job.tenant.encode()))
         if Told.requests:
             tell(Event.TAKEN, id=id_.decode(), route=job.route_name, tenant=job.tenant or "nobody")
-        request = exchange.held = Request(exchange, job, headers)
+        request = exchange.handler_state = Request(exchange, job, headers)
         self.open.add(request)
         request.timer = self.loop.call_later(job.deadline - now, self._time_up, request)
         if job.waits_for_token:
@@ -308,7 +310,7 @@
                 max(0.0, request.job.deadline - self.clock.monotonic()), self._cut, request
             )
         self._record(request.job, answer.status)
-        request.exchange.begin(answer.headers, length, source)
+        request.exchange.start_stream(answer.headers, length, source)
         return request.exchange
 
     def _record(self, job: Job, status: int) -> None:
--- a/coralvale/cluster/server/figures.py
+++ b/coralvale/cluster/server/figures.py
@@ -18,7 +18,7 @@
 from coralvale.cluster.server.coordination_figures import DELAYS_MS, CoordinationFigures, held
 from coralvale.net.clock import Clock
 from coralvale.net.config import Address
-from coralvale.net.server import Bounds, Exchange, Server
+from coralvale.net.server import ClientLimits, Exchange, Server
 
 if TYPE_CHECKING:
     from coralvale.cluster.server.node import GatewayNode
@@ -140,23 +140,23 @@
     def __init__(self, figures: Figures) -> None:
         self.figures = figures
 
-    def take(self, exchange: Exchange, fields: Any) -> None:  # noqa: ANN401
+    def handle(self, exchange: Exchange, fields: Any) -> None:  # noqa: ANN401
         raise AssertionError("the platform's own requests do not come here")
 
-    def turned_away(self, exchange: Exchange, status: int, why: str) -> None: ...
+    def rejected(self, exchange: Exchange, status: int, why: str) -> None: ...
 
-    def client_left(self, exchange: Exchange) -> None: ...
+    def client_disconnected(self, exchange: Exchange) -> None: ...
 
 
 class FiguresServer(Server):
-    once = {b"content-length", b"transfer-encoding"}
+    single_value_headers = {b"content-length", b"transfer-encoding"}
 
     def __init__(self, at: Address, figures: Figures, clock: Clock) -> None:
         super().__init__(at, None, _Page(figures), MOST, 16, clock=clock)
         self.figures = figures
-        self.bounds = Bounds(body=0, partial=2.0, idle=10.0)
+        self.limits = ClientLimits(max_body_bytes=0, head_timeout=2.0, idle_timeout=10.0)
 
-    def request(self, exchange: Exchange) -> None:
+    def handle_request(self, exchange: Exchange) -> None:
         if exchange.method != b"GET" or exchange.target.partition(b"?")[0] != b"/metrics":
             exchange.reply(404)
             return
--- a/coralvale/cluster/server/node.py
+++ b/coralvale/cluster/server/node.py
@@ -50,8 +50,7 @@
 from coralvale.members import wire as swim_wire
 from coralvale.members.model import MembersError
 from coralvale.net.clock import Clock
-from coralvale.net.server import Bounds as ClientBounds
-from coralvale.net.server import Server
+from coralvale.net.server import ClientLimits, Server
 
 CONNECT_TIMEOUT = 0.4  # s
 HOST_IDLE = 8.0  # s that a connection to a host is kept idle, unless it says less
@@ -369,8 +368,8 @@
                         tell(Event.HOST_ABROAD, id=name, service=service, bound=bound, zone=life.row.az)
         self.hosts_abroad = here
 
-    def _bound_clients(self, bounds: ClientBounds) -> None:
-        self.front.bounds = bounds
+    def _bound_clients(self, bounds: ClientLimits) -> None:
+        self.front.limits = bounds
 
     def _retire(self, row: Row) -> None:
         self.hosts.retire((row.id, 0.0, (row.ip, row.port)))
--- a/coralvale/control/service.py
+++ b/coralvale/control/service.py
@@ -38,8 +38,8 @@
 from coralvale.control.stream import PATIENCE, Stream
 from coralvale.control.wire import Encoder, read_asked, read_bucket, read_delta, write_actions
 from coralvale.net.clock import Clock
-from coralvale.net.config import Config, Place
-from coralvale.net.counter import Counter
+from coralvale.net.config import Config, HostInstance
+from coralvale.net.counter import CounterClient
 from coralvale.net.discovery import Discovery
 from coralvale.operator.model import Control
 
@@ -102,7 +102,7 @@
         quotas = control.quotas
         born = self.clock.now()
         self.leases: Leases | None = None
-        self.counter: Counter | None = None
+        self.counter: CounterClient | None = None
         if quotas.services > 1:
             free_at = born + quotas.assignment_ttl_s + quotas.margin_s
             self.leases = Leases(quotas.services, quotas.place, born, free_at)
@@ -116,7 +116,7 @@
             self.leases,
         )
         self.answering: Answering | None = None
-        self.asked: Counter | None = None  # for checks, whose callers wait
+        self.asked: CounterClient | None = None  # for checks, whose callers wait
         if table := control.authorisation:
             answers = Answers(config.settings, config.seed, None, table.most_held, table.repeats)
             self.answering = Answering(answers, self.clock, self._count)
@@ -164,7 +164,7 @@
             names += SERVICES
             if self.config.counter:
                 waits, within = self.settings.counter_timeout, self.config.connect_timeout
-                self.asked = Counter(self.config.counter, waits, within, self.answering.counted)
+                self.asked = CounterClient(self.config.counter, waits, within, self.answering.counted)
         reflection.enable_server_reflection(names, self.server)
         await self.health.set("", health_pb2.HealthCheckResponse.NOT_SERVING)
         try:
@@ -183,7 +183,9 @@
         loop = asyncio.get_running_loop()
         if self.leases and self.config.counter:
             timeout = self.config.connect_timeout
-            self.counter = Counter(self.config.counter, PATIENT, timeout, self._counted, stuck=PATIENT)
+            self.counter = CounterClient(
+                self.config.counter, PATIENT, timeout, self._counted, stall_timeout=PATIENT
+            )
         self._refresh()
         await self._be_healthy()
         await self.server.start()
@@ -238,11 +240,11 @@
         """SIGHUP: moves to discovery's new address; nothing else is taken while streams are open."""
         if config.discovery != self.discovery.address:
             log.info("discovery is now at %s", config.discovery)
-            self.discovery.move(config.discovery)
+            self.discovery.change_address(config.discovery)
 
     # The roster
 
-    def _listed(self, kind: api.ListKind, servers: tuple[api.Server, ...], stale: list[Place]) -> None:
+    def _listed(self, kind: api.ListKind, servers: tuple[api.Server, ...], stale: list[HostInstance]) -> None:
         hosts = [
             Host(
                 server.id,
--- a/coralvale/http2/service.py
+++ b/coralvale/http2/service.py
@@ -26,7 +26,7 @@
     Sent,
 )
 from coralvale.interface import Outcome
-from coralvale.net.config import Place
+from coralvale.net.config import HostInstance
 from coralvale.net.transport import Attempt
 from coralvale.net.upstream import HOLD, STALL, WHOLE, Upstreams, make_answer, outcome_of
 from coralvale.operator.model import Http2 as Table
@@ -68,7 +68,7 @@
 class Link(asyncio.Protocol):
     """One connection's socket."""
 
-    def __init__(self, owner: Transport, place: Place) -> None:
+    def __init__(self, owner: Transport, place: HostInstance) -> None:
         self.owner, self.place = owner, place
         self.machine = Connection(owner.limits, b"https" if owner.tls else b"http")
         self.calls: dict[int, Call] = {}
@@ -291,8 +291,8 @@
         self.wait, self.report_fields = table.wait_ms / 1000, plain.report_fields
         self.tls = context(table)
         self.loop = asyncio.get_running_loop()
-        self.links: dict[Place, list[Link]] = {}
-        self.old: set[Place] = set()  # hosts that do not speak HTTP/2
+        self.links: dict[HostInstance, list[Link]] = {}
+        self.old: set[HostInstance] = set()  # hosts that do not speak HTTP/2
         self.tasks: set[asyncio.Task[None]] = set()
         self.sent = self.not_run = self.unknown = 0
         self.timer = self.loop.call_later(TICK, self._tick)
@@ -380,7 +380,7 @@
         if isinstance(attempt.connection, Call):
             attempt.connection.link.give_up(attempt.connection, Outcome.CANCELLED)
 
-    def retire(self, place: Place) -> None:
+    def retire(self, place: HostInstance) -> None:
         self.old.discard(place)
         for link in list(self.links.get(place, [])):
             link.machine.retire("the host is leaving")
--- a/coralvale/ledger/service.py
+++ b/coralvale/ledger/service.py
@@ -25,7 +25,7 @@
 from coralvale.ledger.model import MILLION, Account, LedgerError, Record
 from coralvale.net.clock import Clock
 from coralvale.net.config import Config
-from coralvale.net.server import Arrival
+from coralvale.net.server import ParsedRequest
 from coralvale.operator.model import Ledger, LedgerTls
 
 log = logging.getLogger(__name__)
@@ -81,7 +81,7 @@
         """Whether requests are to be refused at once, since they could not be recorded."""
         return self.bad and self.table.unrecorded == "refuse"
 
-    def opened(self, arrival: Arrival) -> bool:
+    def opened(self, arrival: ParsedRequest) -> bool:
         """A try's first attempt is about to be made; whether it may be."""
         account = self.account(arrival.customer, arrival.plan_name, arrival.cls)
         units = round(arrival.units * MILLION)
--- a/coralvale/net/config.py
+++ b/coralvale/net/config.py
@@ -12,7 +12,7 @@
 from coralvale.adapter import Fields, read_settings, read_value, whole
 
 Address = tuple[str, int]
-Place = tuple[str, float, Address]  # a host: its id, when it started, where it listens
+HostInstance = tuple[str, float, Address]  # a host: its id, when it started, where it listens
 
 
 class ConfigError(ValueError):
--- a/coralvale/net/counter.py
+++ b/coralvale/net/counter.py
@@ -15,11 +15,11 @@
 from coralvale.interface import CounterReply
 from coralvale.net.config import Address
 
-LINES = 2  # connections; a name keeps to one, so that its answers come in the order of its calls
-IDLE = 4.0  # s after which an idle one is closed here, well before the counter does at up to 10 s
-MAX_BODY = 64  # bytes of a total
-MAX_ANSWER = 4096  # bytes without a whole answer: a head that does not end would fill the memory
-STUCK = 0.5  # s without the answer to the oldest call after which a connection is given up
+CONNECTIONS = 2  # connections; a name keeps to one, so that its answers come in the order of its calls
+IDLE_TIMEOUT_S = 4.0  # s after which an idle one is closed here, well before the counter does at up to 10 s
+MAX_BODY_BYTES = 64  # bytes of a total
+MAX_RESPONSE_BYTES = 4096  # bytes without a whole answer: a head that does not end would fill the memory
+STALL_TIMEOUT_S = 0.5  # s without the answer to the oldest call after which a connection is given up
 
 
 NUMBER = re.compile(rb"\s*-?\d{1,15}(\.\d{0,15})?([eE][-+]?\d{1,2})?\s*")  # float() takes 1_0 and inf as well
@@ -34,21 +34,21 @@
     done: bool = False
 
 
-class Counter:
+class CounterClient:
     """`on_reply` gets exactly one reply for each call, in time or as maybe added."""
 
     def __init__(
         self,
         address: Address,
-        time_out: float,
+        timeout: float,
         connect_timeout: float,
         on_reply: Callable[[CounterReply], None],
-        stuck: float = STUCK,
+        stall_timeout: float = STALL_TIMEOUT_S,
     ) -> None:
-        self.address, self.time_out, self.connect_timeout = address, time_out, connect_timeout
-        self.on_reply, self.stuck = on_reply, stuck
+        self.address, self.timeout, self.connect_timeout = address, timeout, connect_timeout
+        self.on_reply, self.stall_timeout = on_reply, stall_timeout
         self.loop = asyncio.get_running_loop()
-        self.lines: list[Line | None] = [None] * LINES
+        self.connections: list[CounterConnection | None] = [None] * CONNECTIONS
         self.tasks: set[asyncio.Task[None]] = set()
 
     def add(self, name: int | str, amount: float, lifetime: float) -> None:
@@ -56,45 +56,49 @@
         host, port = self.address
         text = f"POST /tally/{name}?n={amount:.6f}&keep_ms={keep} HTTP/1.1\r\nHost: {host}:{port}\r\n"
         call = Call(name, f"{text}Content-Length: 0\r\n\r\n".encode())
-        number = name % LINES if isinstance(name, int) else zlib.crc32(name.encode()) % LINES
-        line = self.lines[number]
-        if line is None or line.closed:
-            line = self.lines[number] = Line(self)
-            task = self.loop.create_task(self._connect(line))
+        number = name % CONNECTIONS if isinstance(name, int) else zlib.crc32(name.encode()) % CONNECTIONS
+        connection = self.connections[number]
+        if connection is None or connection.closed:
+            connection = self.connections[number] = CounterConnection(self)
+            task = self.loop.create_task(self._connect(connection))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
-        call.timer = self.loop.call_later(self.time_out, self._late, line, call)
-        line.add(call)
+        call.timer = self.loop.call_later(self.timeout, self._on_timeout, connection, call)
+        connection.add(call)
 
     def close(self) -> None:
         for task in self.tasks:
             task.cancel()
-        for line in self.lines:
-            if line:
-                line.close()
+        for connection in self.connections:
+            if connection:
+                connection.close()
 
-    def retire(self) -> None:
+    def drain(self) -> None:
         """Takes no more calls; those in hand end as ever, each with its one reply; then it closes."""
-        for line in self.lines:
-            if line:
-                line.last = True
-                line.rest()
-        self.loop.call_later(max(self.stuck, self.time_out), self.close)
+        for connection in self.connections:
+            if connection:
+                connection.draining = True
+                connection.update_idle()
+        self.loop.call_later(max(self.stall_timeout, self.timeout), self.close)
 
-    async def _connect(self, line: Line) -> None:
+    async def _connect(self, connection: CounterConnection) -> None:
         try:
             async with asyncio.timeout(self.connect_timeout):
-                await self.loop.create_connection(lambda: line, *self.address)
+                await self.loop.create_connection(lambda: connection, *self.address)
         except (OSError, TimeoutError):
-            line.close()
-            line.connection_lost(None)
+            connection.close()
+            connection.connection_lost(None)
 
-    def _late(self, line: Line, call: Call) -> None:
+    def _on_timeout(self, connection: CounterConnection, call: Call) -> None:
         """No answer in time: it may have been added, unless the call was never written."""
         self.reply(call, CounterReply(call.name, False, 0.0, maybe_added=call.written_at is not None))
-        first = line.calls[0] if line.calls else None
-        if first and first.written_at is not None and self.loop.time() - first.written_at > self.stuck:
-            line.close()
+        first = connection.calls[0] if connection.calls else None
+        if (
+            first
+            and first.written_at is not None
+            and self.loop.time() - first.written_at > self.stall_timeout
+        ):
+            connection.close()
 
     def reply(self, call: Call, reply: CounterReply) -> None:
         if not call.done:
@@ -104,16 +108,16 @@
             self.on_reply(reply)
 
 
-class Line(asyncio.Protocol):
+class CounterConnection(asyncio.Protocol):
     """One connection. A call that has run out of time keeps its place, so that its late answer finds it."""
 
-    def __init__(self, owner: Counter) -> None:
+    def __init__(self, owner: CounterClient) -> None:
         self.owner, self.closed, self.body = owner, False, b""
         self.calls: deque[Call] = deque()
         self.transport: asyncio.Transport | None = None
-        self.idle: asyncio.TimerHandle | None = None
+        self.idle_timer: asyncio.TimerHandle | None = None
         self.size = 0
-        self.last = False  # closed as soon as its calls are answered
+        self.draining = False  # closed as soon as its calls are answered
 
     def add(self, call: Call) -> None:
         self.calls.append(call)
@@ -122,9 +126,9 @@
 
     def _write(self, call: Call) -> None:
         assert self.transport is not None
-        if self.idle:
-            self.idle.cancel()
-            self.idle = None
+        if self.idle_timer:
+            self.idle_timer.cancel()
+            self.idle_timer = None
         call.written_at = self.owner.loop.time()
         self.transport.write(call.text)
 
@@ -134,31 +138,31 @@
         self.calls = deque(call for call in self.calls if not call.done)  # the others are not made any more
         for call in self.calls:
             self._write(call)
-        self.rest()
+        self.update_idle()
 
-    def rest(self) -> None:
-        if self.last and not self.calls and self.transport:
+    def update_idle(self) -> None:
+        if self.draining and not self.calls and self.transport:
             self.close()
-        elif not self.calls and not self.idle:
-            self.idle = self.owner.loop.call_later(IDLE, self.close)
+        elif not self.calls and not self.idle_timer:
+            self.idle_timer = self.owner.loop.call_later(IDLE_TIMEOUT_S, self.close)
 
     def data_received(self, data: bytes) -> None:
         if not self.calls:  # nothing was asked
             self.close()
             return
         self.size += len(data)
-        if self.size > MAX_ANSWER:
+        if self.size > MAX_RESPONSE_BYTES:
             self.close()
             return
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             self.close()
-        self.rest()
+        self.update_idle()
 
     def on_body(self, body: bytes) -> None:
         self.body += body
-        if len(self.body) > MAX_BODY:
+        if len(self.body) > MAX_BODY_BYTES:
             raise ValueError("a total without end")
 
     def on_message_begin(self) -> None:
@@ -188,8 +192,8 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
-        if self.idle:
-            self.idle.cancel()
+        if self.idle_timer:
+            self.idle_timer.cancel()
         while self.calls:
             call = self.calls.popleft()
             maybe = call.written_at is not None
--- a/coralvale/net/door.py
+++ b/coralvale/net/door.py
@@ -1,4 +1,4 @@
-"""The operators' door: a listener of its own that answers one call to a connection, whatever the load.
+"""The operators' server: a listener of its own that answers one call to a connection, whatever the load.
 
     GET /healthcheck        200 once this process can serve, else 503
     GET /stats              the figures, `key=value` a line
@@ -6,8 +6,9 @@
     POST /hosts/ID/maint    take a host out
     POST /hosts/ID/ready    use it again
 
-A caller that keeps a connection without a whole call holds one of `MOST` places until `PARTIAL` is over, or
-until somebody else needs it: the oldest such connection gives way, so a crowd of them keeps nobody out.
+At most `MAX_CONNECTIONS` connections are open. One without a complete request is closed after
+`REQUEST_TIMEOUT_S`, or earlier if a new connection needs the slot: the oldest such connection is evicted,
+so that many idle connections cannot lock out a caller.
 """
 
 from __future__ import annotations
@@ -27,11 +28,11 @@
 
 log = logging.getLogger(__name__)
 
-MOST = 24  # connections at once
-MAX_CALL = 8 * 1024  # bytes of a call, its head and what body it may have
-PARTIAL = 6.0  # s that a call may take to arrive
-LINGER = 1.0  # s for an answer to leave
-PAUSE = 0.05  # s without accepting after an accept has failed
+MAX_CONNECTIONS = 24  # connections at once
+MAX_REQUEST_BYTES = 8 * 1024  # bytes of a call, its head and what body it may have
+REQUEST_TIMEOUT_S = 6.0  # s that a call may take to arrive
+LINGER_S = 1.0  # s for an answer to leave
+ACCEPT_PAUSE_S = 0.05  # s without accepting after an accept has failed
 REASONS = {
     200: "OK",
     400: "Bad Request",
@@ -42,10 +43,10 @@
 }
 
 
-class Operated(Protocol):
+class ManagedNode(Protocol):
     """What the door speaks for: the node."""
 
-    def serves(self) -> bool:
+    def can_serve(self) -> bool:
         """Whether this process can serve."""
 
     def stats(self) -> str:
@@ -55,14 +56,14 @@
     def pages(self) -> Mapping[bytes, Callable[[], str]]:
         """Subsystems' pages by name."""
 
-    def maintain(self, host: str, out: bool) -> tuple[int, str]:
+    def set_maintenance(self, host: str, out: bool) -> tuple[int, str]:
         """Takes a host out or gives it back; status and text of the answer."""
 
 
-def decide(operated: Operated, method: bytes, target: bytes) -> tuple[int, str]:
+def decide(node: ManagedNode, method: bytes, target: bytes) -> tuple[int, str]:
     """The answer to one call: status and text."""
     parts = target.partition(b"?")[0].split(b"/")[1:]
-    page = operated.pages.get(parts[0]) if len(parts) == 1 else None
+    page = node.pages.get(parts[0]) if len(parts) == 1 else None
     if page is not None or parts in ([b"healthcheck"], [b"stats"]):
         wanted = b"GET"
     elif len(parts) == 3 and parts[0] == b"hosts" and parts[2] in (b"maint", b"ready"):
@@ -74,34 +75,34 @@
     if page is not None:
         return 200, page()
     if parts[0] == b"healthcheck":
-        return (200, "yes\n") if operated.serves() else (503, "not yet\n")
+        return (200, "yes\n") if node.can_serve() else (503, "not yet\n")
     if parts[0] == b"stats":
-        return 200, operated.stats()
+        return 200, node.stats()
     try:
         host = unquote_to_bytes(parts[1]).decode()
     except UnicodeDecodeError:
         return 404, "no such host\n"
-    return operated.maintain(host, parts[2] == b"maint")
+    return node.set_maintenance(host, parts[2] == b"maint")
 
 
-class Call(asyncio.Protocol):
+class ManagementConnection(asyncio.Protocol):
     """One connection: one call, one answer, the end."""
 
-    def __init__(self, door: Door) -> None:
-        self.door, self.target, self.size = door, b"", 0
+    def __init__(self, server: ManagementServer) -> None:
+        self.server, self.target, self.size = server, b"", 0
         self.transport: asyncio.Transport | None = None
         self.answered = False
 
     def connection_made(self, transport: Any) -> None:  # noqa: ANN401
         self.transport = transport
         self.parser = httptools.HttpRequestParser(self)
-        self.door.open[self] = self.door.loop.call_later(PARTIAL, transport.abort)
+        self.server.connections[self] = self.server.loop.call_later(REQUEST_TIMEOUT_S, transport.abort)
 
     def data_received(self, data: bytes) -> None:
         if self.answered:
             return
         self.size += len(data)
-        if self.size > MAX_CALL:
+        if self.size > MAX_REQUEST_BYTES:
             self.answer(400, "too long\n")
             return
         try:
@@ -114,7 +115,7 @@
 
     def on_message_complete(self) -> None:
         try:
-            status, text = decide(self.door.operated, self.parser.get_method(), self.target)
+            status, text = decide(self.server.node, self.parser.get_method(), self.target)
         except Exception:
             log.exception("an operator's call failed")
             status, text = 500, "failed\n"
@@ -129,24 +130,24 @@
         head += f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
         self.transport.write(head.encode() + (body if self.parser.get_method() != b"HEAD" else b""))
         self.transport.write_eof()
-        self.door.open.pop(self).cancel()
-        self.door.open[self] = self.door.loop.call_later(LINGER, self.transport.abort)
+        self.server.connections.pop(self).cancel()
+        self.server.connections[self] = self.server.loop.call_later(LINGER_S, self.transport.abort)
 
     def eof_received(self) -> bool:
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        if timer := self.door.open.pop(self, None):
+        if timer := self.server.connections.pop(self, None):
             timer.cancel()
 
 
-class Door:
+class ManagementServer:
     """The listener; `address` may name port 0. Raises OSError if it cannot be had."""
 
-    def __init__(self, address: Address, operated: Operated) -> None:
-        self.operated = operated
+    def __init__(self, address: Address, node: ManagedNode) -> None:
+        self.node = node
         self.loop = asyncio.get_running_loop()
-        self.open: OrderedDict[Call, asyncio.TimerHandle] = OrderedDict()
+        self.connections: OrderedDict[ManagementConnection, asyncio.TimerHandle] = OrderedDict()
         self.tasks: set[asyncio.Task[Any]] = set()
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         self.socket = socket.socket(family, socket.SOCK_STREAM)
@@ -179,10 +180,10 @@
                     continue
                 self._make_room()
                 self.loop.remove_reader(self.socket.fileno())
-                self.loop.call_later(PAUSE, self._resume)
+                self.loop.call_later(ACCEPT_PAUSE_S, self._resume)
                 return
             accepted.setblocking(False)
-            if len(self.open) + len(self.tasks) >= MOST:
+            if len(self.connections) + len(self.tasks) >= MAX_CONNECTIONS:
                 self._make_room()
             task = self.loop.create_task(self._attach(accepted))
             self.tasks.add(task)
@@ -190,15 +191,15 @@
 
     async def _attach(self, accepted: socket.socket) -> None:
         try:
-            await self.loop.connect_accepted_socket(lambda: Call(self), accepted)
+            await self.loop.connect_accepted_socket(lambda: ManagementConnection(self), accepted)
         except OSError:
             accepted.close()
 
     def _make_room(self) -> None:
         """The oldest connection without a whole call gives way, or the oldest of all."""
-        oldest = next((c for c in self.open if not c.answered), next(iter(self.open), None))
+        oldest = next((c for c in self.connections if not c.answered), next(iter(self.connections), None))
         if oldest is not None and oldest.transport:
-            self.open.pop(oldest).cancel()
+            self.connections.pop(oldest).cancel()
             oldest.transport.abort()
 
     def close(self) -> None:
@@ -206,6 +207,6 @@
         if self.socket.fileno() >= 0:
             self.loop.remove_reader(self.socket.fileno())
             self.socket.close()
-        for call in list(self.open):
-            if call.transport:
-                call.transport.abort()
+        for connection in list(self.connections):
+            if connection.transport:
+                connection.transport.abort()
--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -20,14 +20,14 @@
 from coralvale import interface as api
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
-from coralvale.net.config import Address, Config, Place
-from coralvale.net.counter import Counter
+from coralvale.net.config import Address, Config, HostInstance
+from coralvale.net.counter import CounterClient
 from coralvale.net.discovery import Discovery, Endpoint
-from coralvale.net.door import MOST as CALLERS
-from coralvale.net.door import Door
+from coralvale.net.door import MAX_CONNECTIONS as CALLERS
+from coralvale.net.door import ManagementServer
 from coralvale.net.figures import Figures
 from coralvale.net.marks import Marks
-from coralvale.net.server import NOT_PASSED_ON, Arrival, Exchange, Server, nominated
+from coralvale.net.server import NOT_FORWARDED_HEADERS, Exchange, ParsedRequest, Server, connection_options
 from coralvale.net.sockets import Sockets
 from coralvale.net.takeover import Offer, Successor
 from coralvale.net.transport import Answer, Attempt, Outgoing, Source, Transport
@@ -79,10 +79,12 @@
 class Gate(Protocol):
     """Authorisers beside the node: it is asked before a request that needs it is sent."""
 
-    def needs(self, arrival: Arrival) -> bool:
+    def needs(self, arrival: ParsedRequest) -> bool:
         """Whether a request has to be allowed by an authoriser."""
 
-    def ask(self, arrival: Arrival, exchange: Exchange, left: float, done: Callable[[Ruling], None]) -> None:
+    def ask(
+        self, arrival: ParsedRequest, exchange: Exchange, left: float, done: Callable[[Ruling], None]
+    ) -> None:
         """Asks, for `left` seconds at most. `done` is called once and later, unless `leave` is called before."""
 
     def leave(self, request: str) -> None:
@@ -102,7 +104,12 @@
         """Whether a request of a class is to be refused at once, since it could not be recorded."""
 
     def intend(
-        self, arrival: Arrival, exchange: Exchange, attempt: int, node: str, told: Callable[[bool], None]
+        self,
+        arrival: ParsedRequest,
+        exchange: Exchange,
+        attempt: int,
+        node: str,
+        told: Callable[[bool], None],
     ) -> None:
         """An attempt is about to be sent; `told` is called once, later, with whether it may be."""
 
@@ -120,7 +127,7 @@
 class Final:
     """A request's final answer, and how it came about. Times in seconds, `at` of Unix time."""
 
-    arrival: Arrival | None  # None: it was turned away before it was known what it is
+    arrival: ParsedRequest | None  # None: it was turned away before it was known what it is
     fields: dict[bytes, bytes]  # without an arrival: what there is of the headers NAMED, cut to TOLD bytes
     target: bytes
     at: float
@@ -144,7 +151,7 @@
     def refuses(self) -> bool:
         """Whether requests are to be refused at once, since they could not be recorded."""
 
-    def opened(self, arrival: Arrival) -> bool:
+    def opened(self, arrival: ParsedRequest) -> bool:
         """The first attempt of a request is about to be made; whether it may be."""
 
     def closed(self, request: str, arrived: bool) -> None:
@@ -180,7 +187,9 @@
         "timed_out",
     )
 
-    def __init__(self, exchange: Exchange, arrival: Arrival, taken_at: float, expires_at: float) -> None:
+    def __init__(
+        self, exchange: Exchange, arrival: ParsedRequest, taken_at: float, expires_at: float
+    ) -> None:
         self.exchange, self.arrival = exchange, arrival
         self.taken_at, self.expires_at = taken_at, expires_at
         self.attempts: list[Attempt] = []
@@ -226,7 +235,7 @@
         self.successor = Successor.find(self.folder / "takeover") if self.folder else None
         self.taking = self.ceded = False
         self.offer: Offer | None = None
-        self.door: Door | None = None
+        self.management_server: ManagementServer | None = None
         self.held: dict[str, Held] = {}
         self.ready = False
         # Asked before a request is judged: whether it is kept back, to be judged when the given call is made.
@@ -294,7 +303,7 @@
         self.watching = self.loop.create_task(self.discovery.run())
         self.server.start(accept=self.successor is None)
         if self.config.management:
-            self.door = Door(self.config.management, self)
+            self.management_server = ManagementServer(self.config.management, self)
         if self.folder:
             self.loop.call_later(REFRESH, self._refresh)
         self.discovery.on_answer = self._settle
@@ -331,7 +340,7 @@
             except ValueError as error:
                 log.warning("taken over without %s", error)
         if self.ends_at is None:
-            self.server.resume()
+            self.server.resume_accepting()
         await successor.taken()
         self.taking, self.successor = False, None
         self._serve()
@@ -339,7 +348,7 @@
     def _cede(self) -> dict[str, Any]:
         """Another process is ready: no more clients are taken, and it gets the state."""
         log.info("handing over")
-        self.server.pause()
+        self.server.pause_accepting()
         self.server.drain()
         return handover.export_state(self.gateway, self.clock.now())
 
@@ -349,17 +358,17 @@
             handover.resume(self.gateway, self.clock.now())
             if self.ends_at is None:
                 self.server.closing = False
-                self.server.resume()
+                self.server.resume_accepting()
             return
         # Idle connections stay until SIGTERM: their next request is served and told to go elsewhere, and to
         # close one would turn back a request that is on its way.
         self.ceded = self.accepting_ended = True
-        self.server.hand_on()
+        self.server.release_listener()
         self.loop.call_later(LEFT, self.stop)
 
     # Operators
 
-    def serves(self) -> bool:
+    def can_serve(self) -> bool:
         return self.ready
 
     def stats(self) -> str:
@@ -368,7 +377,7 @@
         lines = self.figures.lines(len(self.discovery.endpoints), self.gateway.fleet.avoided(now))
         return lines + self.upstreams.stats()
 
-    def maintain(self, host: str, out: bool) -> tuple[int, str]:
+    def set_maintenance(self, host: str, out: bool) -> tuple[int, str]:
         if not (host in self.discovery.endpoints or host in self.seen or host in self.marks.out):
             return 404, "no such host\n"
         try:
@@ -382,7 +391,7 @@
         log.info("host %s is %s", host, "taken out by hand" if out else "given back by hand")
         self.feed(api.Maintained(host, out))
         if out and (endpoint := self.discovery.endpoints.get(host)):
-            self.upstreams.retire(endpoint.place)
+            self.upstreams.retire(endpoint.instance)
 
     def _refresh(self) -> None:
         for host, out in self.marks.refresh().items():
@@ -396,35 +405,35 @@
         """
         if config.discovery != self.discovery.address:
             log.info("discovery is now at %s", config.discovery)
-            self.discovery.move(config.discovery)
+            self.discovery.change_address(config.discovery)
         if config.counter == (self.counter.address if self.counter else None):
             return
         log.info("the counter is now at %s", config.counter)
         if self.counter:
-            self.counter.retire()
+            self.counter.drain()
         self.counter = self._make_counter(config.counter)
         if self.patient:
-            self.patient.retire()
+            self.patient.drain()
         self.patient = self._make_patient(config.counter)
 
-    def _make_counter(self, address: Address | None) -> Counter | None:
+    def _make_counter(self, address: Address | None) -> CounterClient | None:
         if address is None:
             return None
         patience = REPLY_TIMEOUTS * self.settings.counter_timeout
-        return Counter(address, patience, self.config.connect_timeout, self.feed)
+        return CounterClient(address, patience, self.config.connect_timeout, self.feed)
 
-    def _make_patient(self, address: Address | None) -> Counter | None:
+    def _make_patient(self, address: Address | None) -> CounterClient | None:
         """For calls that no request waits for: connections of their own, so that they hold up no other."""
         if address is None or self.allowance is None:
             return None
-        return Counter(address, PATIENT, self.config.connect_timeout, self.feed, stuck=PATIENT)
+        return CounterClient(address, PATIENT, self.config.connect_timeout, self.feed, stall_timeout=PATIENT)
 
     def close(self) -> None:
         """Lets go of all sockets, at once."""
         self.watching.cancel()
         self.server.close()
-        if self.door:
-            self.door.close()
+        if self.management_server:
+            self.management_server.close()
         if self.offer:
             self.offer.close()
         self.upstreams.close()
@@ -501,15 +510,17 @@
             attempts = tuple(
                 [(a.server, a.zone, a.outcome, a.delay or now - a.sent_at) for a in held.attempts]
             )
-            left = arrival.time_out - took
+            left = arrival.timeout - took
             target = held.exchange.target[:TARGET]
             told = Final(arrival, {}, target, now, status, reason, took, left, attempts, outcome)
             self.witness.answered(told)
 
-    def turned_away(self, exchange: Exchange, status: int, why: str, arrival: Arrival | None = None) -> None:
+    def rejected(
+        self, exchange: Exchange, status: int, why: str, arrival: ParsedRequest | None = None
+    ) -> None:
         """A request was answered that the decisions have not seen."""
         if self.witness:
-            left = arrival.time_out if arrival else 0.0
+            left = arrival.timeout if arrival else 0.0
             # Whoever sent it may have sent 64 KB of headers: no more is kept of them than is told.
             fields = {name: exchange.fields[name][:TOLD] for name in NAMED if name in exchange.fields}
             target = exchange.target[:TARGET]
@@ -528,49 +539,49 @@
             if self.meter and held.metered:
                 arrived = any(attempt.outcome not in UNWRITTEN for attempt in held.attempts)
                 self.meter.closed(held.arrival.id, arrived)
-            held.exchange.held = None  # no cycles are left behind: nothing waits for the collector
+            held.exchange.handler_state = None  # no cycles are left behind: nothing waits for the collector
             held.attempts.clear()
             if self.ends_at is not None:
                 self._end_if_done()
 
     # Clients
 
-    def take(self, exchange: Exchange, arrival: Arrival) -> None:
+    def handle(self, exchange: Exchange, arrival: ParsedRequest) -> None:
         if arrival.id in self.held:  # ids are new with every request; two under one cannot be told apart
-            exchange.refuse(400, b"x-request-id: in use\n")
+            exchange.reply_and_close(400, b"x-request-id: in use\n")
             self.figures.turned_away(arrival.cls, 400)
-            self.turned_away(exchange, 400, "x-request-id in use", arrival)
+            self.rejected(exchange, 400, "x-request-id in use", arrival)
             return
         full = len(self.held) >= self.config.most_held
         unkept = self.recorder and self.recorder.refuses(arrival.cls)
         if full or unkept or (self.meter and self.meter.refuses()):
             exchange.reply(503, retry_after=self.settings.max_advice)
             self.figures.turned_away(arrival.cls, 503)
-            self.turned_away(exchange, 503, "too many held" if full else "not to be recorded", arrival)
+            self.rejected(exchange, 503, "too many held" if full else "not to be recorded", arrival)
             return
         now = self.clock.now()
         if self.terms:
             self._in_force(now, arrival)
         cls = self.settings.classes[arrival.cls]
-        patience = min(arrival.time_out, cls.give_up)
+        patience = min(arrival.timeout, cls.give_up)
         if now - self.born < YOUNG:  # its time runs since it was sent, which may be since the process began
             patience = max(min(patience, cls.aim), patience - (now - self.born + BOOT))
         expires_at = now + max(0.0, patience - ANSWER_ROOM)
         if self.ends_at is not None:
             expires_at = min(expires_at, self.ends_at)
         held = Held(exchange, arrival, now, expires_at)
-        exchange.held = held
+        exchange.handler_state = held
         self.held[arrival.id] = held
         self.figures.taken()
         request = api.Request(
             id=arrival.id,
             cls=arrival.cls,
-            plan=arrival.named,
+            plan=arrival.named_plan,
             customer=arrival.customer,
-            entry_gateways=arrival.entries,
+            entry_gateways=arrival.entry_gateways,
             expires_at=expires_at,
             units=arrival.units,
-            first=arrival.first,
+            first=arrival.first_gateway,
             check=self.gate is not None and self.gate.needs(arrival),
             retried=arrival.retried,
         )
@@ -579,15 +590,15 @@
         if not held.answered:  # most requests of a busy day are refused at once and need no timer
             held.timer = self.loop.call_later(max(0.0, expires_at - now), self._expire, held)
 
-    def _in_force(self, now: float, arrival: Arrival) -> None:
+    def _in_force(self, now: float, arrival: ParsedRequest) -> None:
         """The plan that a request falls under, whatever it names."""
         if self.terms:
-            name = self.terms.plan(now, arrival.customer, arrival.named).name
+            name = self.terms.plan(now, arrival.customer, arrival.named_plan).name
             if name != arrival.plan_name:
                 arrival.plan_name, arrival.plan = name, self.terms.numbers[name.encode()]
 
-    def client_left(self, exchange: Exchange) -> None:
-        held = exchange.held
+    def client_disconnected(self, exchange: Exchange) -> None:
+        held = exchange.handler_state
         if held is not None and held.streaming:
             held.streaming = False
             self.figures.ended(held.arrival.cls, 499)
@@ -674,9 +685,9 @@
     def _may_go(self, chosen: Endpoint) -> bool:
         """Whether a host is still the one that was chosen, and not leaving for longer than is allowed."""
         endpoint = self.discovery.endpoints.get(chosen.server.id)
-        if endpoint is None or endpoint.place != chosen.place or chosen.server.id in self.marks.out:
+        if endpoint is None or endpoint.instance != chosen.instance or chosen.server.id in self.marks.out:
             return False
-        since = endpoint.leaving_since
+        since = endpoint.draining_since
         return since is None or self.clock.now() - since < self.settings.drain_grace / 2
 
     @staticmethod
@@ -687,7 +698,7 @@
             other = ruling.remove | {name.lower() for name, _ in ruling.headers}
             headers = [h for h in headers if h[0].lower() not in other] + list(ruling.headers)
         named = exchange.fields.get(b"connection")
-        dropped = NOT_PASSED_ON | nominated(named) if named else NOT_PASSED_ON
+        dropped = NOT_FORWARDED_HEADERS | connection_options(named) if named else NOT_FORWARDED_HEADERS
         headers = [h for h in headers if h[0].lower() not in dropped]
         return Outgoing(exchange.method, exchange.target, headers, exchange.parts, left)
 
@@ -698,7 +709,7 @@
         held.answered = held.streaming = True
         if held.timer:
             held.timer.cancel()
-        held.exchange.begin(answer.headers, length, source)
+        held.exchange.start_stream(answer.headers, length, source)
         delay = self.clock.now() - attempt.sent_at
         self.feed(api.StreamStarted(held.arrival.id, attempt.number, delay, answer.usage))
         self.feed(api.Handed(held.arrival.id))
@@ -819,7 +830,7 @@
 
     # The list of hosts
 
-    def _listed(self, kind: api.ListKind, servers: tuple[api.Server, ...], stale: list[Place]) -> None:
+    def _listed(self, kind: api.ListKind, servers: tuple[api.Server, ...], stale: list[HostInstance]) -> None:
         for place in stale:
             self.upstreams.retire(place)
         if self.config.management:
--- a/coralvale/net/server.py
+++ b/coralvale/net/server.py
@@ -23,24 +23,36 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BODY = 32 * 1024 * 1024
-SMALL_BODY = 64 * 1024  # bytes that a body may have without being counted against the bound on all bodies
-MAX_HEAD = 64 * 1024  # bytes of headers
-PIPELINED = 16  # requests of one connection in hand, past which it is not read
-PARTIAL = (
+MAX_BODY_BYTES = 32 * 1024 * 1024
+UNCOUNTED_BODY_BYTES = (
+    64 * 1024
+)  # bytes that a body may have without being counted against the bound on all bodies
+MAX_HEAD_BYTES = 64 * 1024  # bytes of headers
+MAX_PIPELINED = 16  # requests of one connection in hand, past which it is not read
+HEAD_TIMEOUT_S = (
     2.25  # s that a head may take to arrive, 2 by the protocol, or a connection may say nothing before it
 )
-SLOWEST = 50_000  # bytes a second, 64,000 by the protocol, at which a body has to come, past its first 2 s
-EACH_AHEAD = 8 * 1024 * 1024  # bytes of one long answer that may be kept for a client that reads slowly
-STREAM_BUFFER = 256 * 1024  # bytes that the kernel keeps of an answer that is passed on as it comes
-LINGER = 1.0  # s for an answer to arrive that was sent in the middle of what still comes
-LINGERING = 32  # connections in that state, past which the oldest is cut off
-IDLE = 10.0  # s that a connection may stand idle between requests
-SHORT_IDLE = 2.0  # the same when connections are getting short: more than half of the bound is taken
-SETTLING = 0.25  # s that a new connection has to say something, where another waits for its place
-STUCK = 10.0  # s that a client may leave an answer unread
-PAUSE = 0.05  # s without accepting after an accept has failed
-SWEEP = 0.25
+MIN_BODY_BYTES_PER_S = (
+    50_000  # bytes a second, 64,000 by the protocol, at which a body has to come, past its first 2 s
+)
+MAX_ANSWER_BUFFER_BYTES = (
+    8 * 1024 * 1024
+)  # bytes of one long answer that may be kept for a client that reads slowly
+STREAM_SEND_BUFFER_BYTES = (
+    256 * 1024
+)  # bytes that the kernel keeps of an answer that is passed on as it comes
+LINGER_S = 1.0  # s for an answer to arrive that was sent in the middle of what still comes
+MAX_LINGERING = 32  # connections in that state, past which the oldest is cut off
+IDLE_TIMEOUT_S = 10.0  # s that a connection may stand idle between requests
+SHORT_IDLE_TIMEOUT_S = (
+    2.0  # the same when connections are getting short: more than half of the bound is taken
+)
+NEW_CONNECTION_GRACE_S = (
+    0.25  # s that a new connection has to say something, where another waits for its place
+)
+WRITE_TIMEOUT_S = 10.0  # s that a client may leave an answer unread
+ACCEPT_PAUSE_S = 0.05  # s without accepting after an accept has failed
+SWEEP_INTERVAL_S = 0.25
 
 REASONS = {
     200: "OK",
@@ -60,33 +72,41 @@
 STATUS_LINES |= {status: b"HTTP/1.1 %d Denied\r\n" % status for status in range(400, 600)}
 STATUS_LINES |= {status: f"HTTP/1.1 {status} {reason}\r\n".encode() for status, reason in REASONS.items()}
 # Headers of a request that concern one connection only or are written anew.
-NOT_PASSED_ON = {
+NOT_FORWARDED_HEADERS = {
     b"connection", b"keep-alive", b"transfer-encoding", b"te", b"trailer", b"upgrade", b"content-length",
     b"proxy-authorization", b"proxy-connection", b"expect", b"x-timeout",
 }  # fmt: skip
-OWN = {b"host", b"cookie", b"plan", b"quota-info", b"x-request-id", b"x-priority-class", b"content-type"}
-ABSOLUTE = re.compile(rb"(?i)https?://[^/?#]*(?=/|$)")  # RFC 9112, section 3.2.2
+PROTOCOL_HEADERS = {
+    b"host",
+    b"cookie",
+    b"plan",
+    b"quota-info",
+    b"x-request-id",
+    b"x-priority-class",
+    b"content-type",
+}
+ABSOLUTE_FORM = re.compile(rb"(?i)https?://[^/?#]*(?=/|$)")  # RFC 9112, section 3.2.2
 COOKIE = re.compile(rb"(?:^|;)\s*client=([^;]*)")
-HEX = re.compile(rb"[0-9a-fA-F]{16}")
+CLIENT_ID = re.compile(rb"[0-9a-fA-F]{16}")
 PAIR = re.compile(rb"([a-z]+)=([^,; ]*)")
 TOKEN = re.compile(rb"[!-~]{1,128}")
 NUMBER = re.compile(rb"(\d{1,15}(\.\d*)?|\.\d+)")
 
 
-def nominated(value: bytes) -> set[bytes]:
+def connection_options(value: bytes) -> set[bytes]:
     """Fields that `Connection` names: of this connection alone (RFC 9110, 7.6.1). Not those that hosts need."""
-    return {name.strip().lower() for name in value.split(b",")} - OWN
+    return {name.strip().lower() for name in value.split(b",")} - PROTOCOL_HEADERS
 
 
 @dataclass(slots=True)
-class Bounds:
+class ClientLimits:
     """What a client may send, and how long it may take: the platform's figures, until others are set."""
 
-    head: int = MAX_HEAD  # bytes of headers
-    body: int = MAX_BODY
-    partial: float = PARTIAL  # s
-    idle: float = IDLE  # s
-    large_head: int = 400  # the status that a larger head gets
+    max_head_bytes: int = MAX_HEAD_BYTES  # bytes of headers
+    max_body_bytes: int = MAX_BODY_BYTES
+    head_timeout: float = HEAD_TIMEOUT_S  # s
+    idle_timeout: float = IDLE_TIMEOUT_S  # s
+    large_head_status: int = 400  # the status that a larger head gets
 
 
 class BadRequest(ValueError):
@@ -97,24 +117,24 @@
     """One request of a connection and its answer."""
 
     __slots__ = (
-        "answer", "chunked", "close", "connection", "counted", "fields", "headers", "held", "method",
-        "old", "parts", "pending", "source", "started", "target", "whole",
+        "answer", "chunked", "close", "connection", "counted_bytes", "fields", "headers", "handler_state",
+        "method", "http_1_0", "parts", "pending", "source", "started", "target", "finished",
     )  # fmt: skip
 
     def __init__(self, connection: ClientConnection) -> None:
         self.connection = connection
         self.method = self.target = b""
         self.parts: list[bytes] = []  # of the body, as they came
-        self.counted = 0  # bytes of it that count against the bound on all bodies
-        self.old = False  # the client speaks HTTP/1.0
+        self.counted_bytes = 0  # bytes of it that count against the bound on all bodies
+        self.http_1_0 = False  # the client speaks HTTP/1.0
         self.source: Source | None = None  # what an answer that is passed on as it comes is read from
         self.pending: list[bytes] = []  # of that answer, to be written
-        self.started = self.whole = self.chunked = False
+        self.started = self.finished = self.chunked = False
         self.headers: list[tuple[bytes, bytes]] = []  # as they came
         self.fields: dict[bytes, bytes] = {}
         self.answer: bytes | None = None
         self.close = False
-        self.held: Any = None  # the node's record of it
+        self.handler_state: Any = None  # the node's record of it
 
     @property
     def body(self) -> bytes:
@@ -122,11 +142,11 @@
             self.parts = [b"".join(self.parts)]
         return self.parts[0] if self.parts else b""
 
-    def forget_body(self) -> None:
+    def release_body(self) -> None:
         """Nobody needs the body any more."""
         self.parts = []
-        self.connection.server.bodies -= self.counted
-        self.counted = 0
+        self.connection.server.body_bytes -= self.counted_bytes
+        self.counted_bytes = 0
 
     def reply(
         self,
@@ -150,18 +170,18 @@
             parts.append(b"Connection: close\r\n")
         parts += (b"\r\n", body if self.method != b"HEAD" else b"")
         self.answer = b"".join(parts)
-        self.forget_body()
+        self.release_body()
         self.connection.flush()
 
     # An answer that is passed on as it comes
 
-    def begin(self, headers: list[tuple[bytes, bytes]], length: int | None, source: Source) -> None:
+    def start_stream(self, headers: list[tuple[bytes, bytes]], length: int | None, source: Source) -> None:
         """Status and headers of an answer 200 of `length` bytes, or of an unknown length; `write` follows."""
         self.source = source
         parts = [STATUS_LINES[200], *(b"%b: %b\r\n" % header for header in headers)]
         if length is not None:
             parts.append(b"Content-Length: %d\r\n" % length)
-        elif self.old:
+        elif self.http_1_0:
             self.close = True
         else:
             self.chunked = True
@@ -171,7 +191,7 @@
             parts.append(b"Connection: close\r\n")
         parts.append(b"\r\n")
         self.answer = b"".join(parts)
-        self.forget_body()
+        self.release_body()
 
     def write(self, data: list[bytes]) -> None:
         """More of it. While the client takes no more, or is owed another answer first, the source waits."""
@@ -179,15 +199,15 @@
             data = [b"%x\r\n" % sum(map(len, data)), *data, b"\r\n"]
         self.pending.append(b"".join(data))  # many small pieces would take several times their bytes
         self.connection.flush()
-        if self.source and not self.whole and (self.pending or self.connection.stuck):
-            self.connection.count_ahead()
-            if not self.connection.server.may_read_ahead(self.connection):
+        if self.source and not self.finished and (self.pending or self.connection.write_paused):
+            self.connection.update_buffered()
+            if not self.connection.server.may_buffer(self.connection):
                 self.source.pause()
-                self.connection.server.held_back[self.connection] = None
+                self.connection.server.waiting_for_buffer[self.connection] = None
 
     def finish(self) -> None:
         """All of it has been written."""
-        self.whole = True
+        self.finished = True
         self.source = None
         if self.chunked:
             self.pending.append(b"0\r\n\r\n")
@@ -196,9 +216,9 @@
     def abort(self) -> None:
         """The rest will not come: the client is left to see that the answer is not whole."""
         self.source = None
-        self.connection.cut_off()
+        self.connection.abort()
 
-    def refuse(self, status: int, body: bytes = b"") -> None:
+    def reply_and_close(self, status: int, body: bytes = b"") -> None:
         """Turns away what the protocol does not know, and ends the connection: the next may be no better."""
         self.close = True
         self.reply(status, body)
@@ -210,31 +230,31 @@
     @property
     def ready(self) -> bool: ...
 
-    def take(self, exchange: Exchange, fields: Arrival) -> None: ...
+    def handle(self, exchange: Exchange, fields: ParsedRequest) -> None: ...
 
-    def client_left(self, exchange: Exchange) -> None: ...
+    def client_disconnected(self, exchange: Exchange) -> None: ...
 
-    def turned_away(self, exchange: Exchange, status: int, why: str) -> None: ...
+    def rejected(self, exchange: Exchange, status: int, why: str) -> None: ...
 
 
-class Arrival:
+class ParsedRequest:
     """The fields of a request that the decisions need."""
 
     __slots__ = (
         "cls",
         "customer",
-        "entries",
-        "first",
+        "entry_gateways",
+        "first_gateway",
         "id",
-        "named",
+        "named_plan",
         "plan",
         "plan_name",
         "retried",
-        "time_out",
+        "timeout",
         "units",
     )
 
-    def __init__(self, settings: Names, exchange: Exchange) -> None:
+    def __init__(self, settings: NameIndex, exchange: Exchange) -> None:
         fields = exchange.fields
 
         def need(name: bytes) -> bytes:
@@ -255,41 +275,41 @@
         if plan is None:
             raise BadRequest("plan: unknown plan")
         # What it names, and what is in force: the same unless plans change in service.
-        self.named = self.plan = plan
+        self.named_plan = self.plan = plan
         self.plan_name = settings.plan_names[plan]
         if exchange.method != settings.methods[cls]:
             # What is unsafe to repeat must not come by a method that anyone may repeat, or the reverse.
             raise BadRequest("the method does not go with the class")
         cookie = COOKIE.search(need(b"cookie"))
-        if not cookie or not HEX.fullmatch(cookie[1].strip()):
+        if not cookie or not CLIENT_ID.fullmatch(cookie[1].strip()):
             raise BadRequest("cookie: no client of 16 hex digits")
         self.customer = int(cookie[1], 16)
         if self.customer >= 2**33:
             raise BadRequest("cookie: the client is too large a number")
-        self.time_out = number("x-timeout", need(b"x-timeout"))
+        self.timeout = parse_positive("x-timeout", need(b"x-timeout"))
         quota = dict(PAIR.findall(need(b"quota-info")))
         # Units fill the customer's bucket, ceiling and counter window: nobody may name what he likes.
-        self.units = number("quota-info units", quota.get(b"units", b""))
+        self.units = parse_positive("quota-info units", quota.get(b"units", b""))
         if not 1 <= self.units <= settings.most_units:
             raise BadRequest(f"quota-info units: not from 1 to {settings.most_units:g}")
-        self.entries = whole("quota-info spread", quota.get(b"spread", b""), 1, settings.gateways)
-        self.first = whole("quota-info first", quota.get(b"first", b""), 0, settings.gateways - 1)
+        self.entry_gateways = parse_int("quota-info spread", quota.get(b"spread", b""), 1, settings.gateways)
+        self.first_gateway = parse_int("quota-info first", quota.get(b"first", b""), 0, settings.gateways - 1)
 
 
-def number(name: str, text: bytes) -> float:
+def parse_positive(name: str, text: bytes) -> float:
     value = float(text) if NUMBER.fullmatch(text) else 0.0
     if not 0 < value < math.inf:
         raise BadRequest(f"{name}: not a number above 0")
     return value
 
 
-def whole(name: str, text: bytes, low: int, high: int) -> int:
+def parse_int(name: str, text: bytes, low: int, high: int) -> int:
     if not text.isdigit() or len(text) > 9 or not low <= int(text) <= high:
         raise BadRequest(f"{name}: not a whole number from {low} to {high}")
     return int(text)
 
 
-class Names:
+class NameIndex:
     """Classes and plans by name, as headers give them, and each class's method."""
 
     def __init__(self, settings: api.Settings) -> None:
@@ -310,83 +330,96 @@
         self.reading: Exchange | None = None
         self.complete: list[Exchange] = []
         self.active_at = self.opened_at = self.server.clock.monotonic()
-        self.begun_at = 0.0
-        self.ahead = 0  # bytes of answers that it has not taken, as far as they count against the bound
-        self.headed_at = 0.0  # when the head of the request that is being read was whole
-        self.asked = False  # whether a whole request has ever come
+        self.message_began_at = 0.0
+        self.buffered_bytes = (
+            0  # bytes of answers that it has not taken, as far as they count against the bound
+        )
+        self.headers_complete_at = 0.0  # when the head of the request that is being read was whole
+        self.has_requested = False  # whether a whole request has ever come
         self.size = self.head_size = 0
         self.in_body = False
-        self.failed = 0  # the status that ends this connection
-        self.paused = self.stuck = self.ended = False
-        self.surplus = False  # beyond the bound: it is told so, then closed
+        self.error_status = 0  # the status that ends this connection
+        self.paused = self.write_paused = self.closing = False
+        self.over_limit = False  # beyond the bound: it is told so, then closed
 
     def connection_made(self, transport: Any) -> None:  # noqa: ANN401
         self.transport = transport
         self.parser = httptools.HttpRequestParser(self)
-        self.rest()
+        self.update_idle()
 
     # Reading
 
     def data_received(self, data: bytes) -> None:
-        if self.failed or self.ended:
+        if self.error_status or self.closing:
             return  # what follows a malformed request cannot be told apart
         self.active_at = self.server.clock.monotonic()
-        self.server.waiting.pop(self, None)
+        self.server.idle_connections.pop(self, None)
         if not self.in_body:
             self.head_size += len(data)  # a header that does not end is seen here only
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
-            self.failed = self.failed or 400
-        if self.reading is not None and not self.in_body and self.head_size > self.server.bounds.head:
-            self.failed = self.failed or self.server.bounds.large_head
+            self.error_status = self.error_status or 400
+        if (
+            self.reading is not None
+            and not self.in_body
+            and self.head_size > self.server.limits.max_head_bytes
+        ):
+            self.error_status = self.error_status or self.server.limits.large_head_status
         complete, self.complete = self.complete, []
         for exchange in complete:
-            if self.ended:  # an answer ahead of it was the connection's last
+            if self.closing:  # an answer ahead of it was the connection's last
                 break
-            self.server.request(exchange)
-        if self.failed:
-            self._answer_failed()
-        elif len(self.exchanges) >= PIPELINED and self.transport and not self.paused:
+            self.server.handle_request(exchange)
+        if self.error_status:
+            self._reply_error()
+        elif len(self.exchanges) >= MAX_PIPELINED and self.transport and not self.paused:
             self.paused = True
             self.transport.pause_reading()
-        self.rest()
+        self.update_idle()
 
-    def _answer_failed(self) -> None:
+    def _reply_error(self) -> None:
         """The last answer, behind those still owed. Nothing more is read: 60 MB may be on their way."""
         if self.transport and not self.paused:
             self.paused = True
             self.transport.pause_reading()
         if self.reading:
-            self.reading.forget_body()
+            self.reading.release_body()
         exchange = Exchange(self)
         exchange.close = True
         self.exchanges.append(exchange)
-        exchange.reply(self.failed, retry_after=self.server.max_advice if self.failed == 503 else 0.0)
-        self.server.handler.turned_away(self.reading or exchange, self.failed, REASONS[self.failed].lower())
+        exchange.reply(
+            self.error_status, retry_after=self.server.max_advice if self.error_status == 503 else 0.0
+        )
+        self.server.handler.rejected(
+            self.reading or exchange, self.error_status, REASONS[self.error_status].lower()
+        )
 
-    def rest(self) -> None:
+    def update_idle(self) -> None:
         """Notes that it stands idle, or does not: the longest idle is the first to make room."""
-        if self.idle():
-            self.server.waiting[self] = None
+        if self.is_idle():
+            self.server.idle_connections[self] = None
 
-    def time_out(self) -> None:
+    def reject_timed_out(self) -> None:
         """Half a request: the client is told so, as long as no other answer is owed ahead of it."""
-        self.failed = 408
-        self._answer_failed()
+        self.error_status = 408
+        self._reply_error()
         self.reading = None
 
-    def overdue(self, now: float) -> bool:
+    def is_too_slow(self, now: float) -> bool:
         """Whether the request that is being read comes more slowly than clients may be."""
         if not self.reading or self.exchanges:
             return False
         if self.in_body:
-            return now - self.headed_at > self.server.bounds.partial + self.size / SLOWEST
-        return now - self.begun_at > self.server.bounds.partial
+            return (
+                now - self.headers_complete_at
+                > self.server.limits.head_timeout + self.size / MIN_BODY_BYTES_PER_S
+            )
+        return now - self.message_began_at > self.server.limits.head_timeout
 
     def on_message_begin(self) -> None:
         self.reading = Exchange(self)
-        self.begun_at = self.server.clock.monotonic()
+        self.message_began_at = self.server.clock.monotonic()
         self.size, self.in_body = 0, False
 
     def on_url(self, url: bytes) -> None:
@@ -399,10 +432,10 @@
         if self.in_body:  # a trailer: nothing in it is of use to a host, and it must not stand for a header
             return
         self.size += len(name) + len(value)
-        if self.size > self.server.bounds.head:
-            self.failed = self.server.bounds.large_head
+        if self.size > self.server.limits.max_head_bytes:
+            self.error_status = self.server.limits.large_head_status
             raise ValueError("too many headers")
-        if lower in exchange.fields and lower in self.server.once:
+        if lower in exchange.fields and lower in self.server.single_value_headers:
             exchange.fields[lower] = b""  # two values are none
         else:
             exchange.fields[lower] = value
@@ -412,24 +445,24 @@
         exchange = self.reading
         assert exchange is not None
         exchange.method = self.parser.get_method()
-        exchange.old = self.parser.get_http_version() == "1.0"
+        exchange.http_1_0 = self.parser.get_http_version() == "1.0"
         self.size, self.in_body = 0, True
-        self.headed_at = self.server.clock.monotonic()
+        self.headers_complete_at = self.server.clock.monotonic()
         length = exchange.fields.get(b"content-length", b"0")
         if b"transfer-encoding" in exchange.fields:
             # With a length beside it, it may hide a second request in the body of the first.
             coding = exchange.fields[b"transfer-encoding"].strip().lower()
             if b"content-length" in exchange.fields or coding != b"chunked":
-                self.failed = 400
+                self.error_status = 400
         elif not length.strip().isdigit():  # a sign, a list, or two of them
-            self.failed = 400
-        elif len(length.strip()) > 9 or int(length) > self.server.bounds.body:
-            self.failed = 413
-        elif int(length) > SMALL_BODY and not self.server.has_room(exchange, int(length)):
-            self.failed = 503
+            self.error_status = 400
+        elif len(length.strip()) > 9 or int(length) > self.server.limits.max_body_bytes:
+            self.error_status = 413
+        elif int(length) > UNCOUNTED_BODY_BYTES and not self.server.reserve_body(exchange, int(length)):
+            self.error_status = 503
         else:
-            self.failed = self.server.turned_away_by_head(exchange)
-        if self.failed:
+            self.error_status = self.server.early_rejection_status(exchange)
+        if self.error_status:
             raise ValueError("the length cannot be used")  # no byte of the body is looked at
         if exchange.fields.get(b"expect", b"").lower() == b"100-continue" and not self.exchanges:
             assert self.transport is not None
@@ -438,27 +471,27 @@
     def on_body(self, body: bytes) -> None:
         assert self.reading is not None
         self.size += len(body)
-        if self.size > self.server.bounds.body:
-            self.failed = 413
+        if self.size > self.server.limits.max_body_bytes:
+            self.error_status = 413
         elif (
-            self.size > SMALL_BODY
-            and self.size > self.reading.counted
-            and not self.server.has_room(
-                self.reading, max(self.size, min(2 * self.size, self.server.bounds.body))
+            self.size > UNCOUNTED_BODY_BYTES
+            and self.size > self.reading.counted_bytes
+            and not self.server.reserve_body(
+                self.reading, max(self.size, min(2 * self.size, self.server.limits.max_body_bytes))
             )
         ):
-            self.failed = 503
+            self.error_status = 503
         else:
             self.reading.parts.append(body)
-        if self.failed:
+        if self.error_status:
             raise ValueError("the body cannot be kept")
 
     def on_message_complete(self) -> None:
         exchange, self.reading = self.reading, None
         self.head_size, self.in_body = 0, False
-        if exchange is None or self.failed:
+        if exchange is None or self.error_status:
             return
-        self.asked = True
+        self.has_requested = True
         exchange.close = not self.parser.should_keep_alive()
         self.exchanges.append(exchange)
         self.complete.append(exchange)
@@ -475,30 +508,30 @@
                 exchange.started = True
                 if exchange.source:
                     sock = self.transport.get_extra_info("socket")
-                    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, STREAM_BUFFER)
+                    sock.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, STREAM_SEND_BUFFER_BYTES)
                 self.transport.write(answer)
             if exchange.pending:
                 self.transport.writelines(exchange.pending)
                 exchange.pending = []
             if exchange.source:  # the rest is still to come
-                if not self.stuck:
+                if not self.write_paused:
                     exchange.source.resume()
                 return
             self.exchanges.popleft()
             if exchange.close:
-                self.leave()
+                self.close_after_flush()
                 return
-        self.rest()
-        if self.paused and len(self.exchanges) < PIPELINED:
+        self.update_idle()
+        if self.paused and len(self.exchanges) < MAX_PIPELINED:
             self.paused = False
             self.transport.resume_reading()
 
-    def leave(self) -> None:
+    def close_after_flush(self) -> None:
         """Closes once what is written has gone out; requests behind a closing one are not answered."""
         assert self.transport is not None
-        self.ended = True
-        self.server.waiting.pop(self, None)
-        if self.failed or self.reading or self.exchanges or self.unread():
+        self.closing = True
+        self.server.idle_connections.pop(self, None)
+        if self.error_status or self.reading or self.exchanges or self.has_unread():
             # Closing on bytes that are still coming in would reset the connection and take the answer along.
             self.transport.write_eof()
             if not self.paused:
@@ -508,62 +541,63 @@
         else:
             self.transport.close()
 
-    def unread(self) -> bool:
+    def has_unread(self) -> bool:
         """Whether the kernel holds something of the client that the loop has not been told of yet."""
         assert self.transport is not None
         return self.server.sockets.unread(self.transport)()
 
     def pause_writing(self) -> None:
-        self.stuck = True
+        self.write_paused = True
 
     def resume_writing(self) -> None:
-        self.stuck, self.active_at = False, self.server.clock.monotonic()
-        self.count_ahead()
+        self.write_paused, self.active_at = False, self.server.clock.monotonic()
+        self.update_buffered()
         if self.exchanges and (source := self.exchanges[0].source):
             source.resume()
-        self.server.read_on()
+        self.server.resume_sources()
 
-    def count_ahead(self) -> None:
+    def update_buffered(self) -> None:
         """Takes down what is kept of answers for this client: what it was not owed yet, or has not taken."""
         kept = self.transport.get_write_buffer_size() if self.transport else 0
         kept += sum(len(data) for exchange in self.exchanges for data in exchange.pending)
-        self.server.ahead += kept - self.ahead
-        self.ahead = kept
+        self.server.buffered_bytes += kept - self.buffered_bytes
+        self.buffered_bytes = kept
 
-    def cut_off(self) -> None:
+    def abort(self) -> None:
         """Ends the connection in the middle of an answer, in a way that cannot be taken for its end."""
         if self.transport:
             self.transport.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.server.lost(self)
-        self.server.ahead -= self.ahead
-        self.ahead = 0
-        self.server.read_on()
+        self.server.remove(self)
+        self.server.buffered_bytes -= self.buffered_bytes
+        self.buffered_bytes = 0
+        self.server.resume_sources()
         if self.reading:
-            self.reading.forget_body()
+            self.reading.release_body()
         for exchange in self.exchanges:
-            exchange.forget_body()
+            exchange.release_body()
             if exchange.answer is None:
                 exchange.answer = b""
-                self.server.handler.client_left(exchange)
+                self.server.handler.client_disconnected(exchange)
             elif exchange.source:
                 exchange.source = None
-                self.server.handler.client_left(exchange)
+                self.server.handler.client_disconnected(exchange)
         self.exchanges.clear()
 
-    def idle(self) -> bool:
+    def is_idle(self) -> bool:
         return (
-            not (self.exchanges or self.reading or self.ended or self.failed) and self.transport is not None
+            not (self.exchanges or self.reading or self.closing or self.error_status)
+            and self.transport is not None
         )
 
     def close_idle(self) -> bool:
         """Closes it between requests, unless the next request is there already, unread."""
-        if not self.idle() or self.unread():
+        if not self.is_idle() or self.has_unread():
             return False
         assert self.transport is not None
-        self.ended = True
-        self.server.waiting.pop(self, None)
+        self.closing = True
+        self.server.idle_connections.pop(self, None)
         self.transport.close()
         return True
 
@@ -571,7 +605,7 @@
 class Server:
     """Accepts clients, keeps their number under a bound, and hands their requests to the handler."""
 
-    once = {
+    single_value_headers = {
         b"x-request-id", b"x-priority-class", b"plan", b"cookie", b"x-timeout", b"quota-info",
         b"content-length", b"transfer-encoding",
     }  # fmt: skip
@@ -581,40 +615,46 @@
         address: Address,
         settings: api.Settings | None,
         handler: Handler,
-        most: int,
-        surplus: int,
+        max_connections: int,
+        max_surplus: int,
         listener: socket.socket | None = None,
         shared: bool = False,
-        most_bodies: int = MAX_BODY,
+        max_total_body_bytes: int = MAX_BODY_BYTES,
         clock: Clock | None = None,
         sockets: Sockets | None = None,
     ) -> None:
         # `listener` is one that another process has handed on; `shared`: another may listen here as well.
         # Past `most` connections are told 503 and closed; past `surplus` more they wait in the kernel.
-        self.handler, self.most, self.surplus = handler, most, surplus
+        self.handler, self.max_connections, self.max_surplus = handler, max_connections, max_surplus
         self.clock, self.sockets = clock or Clock(), sockets or Sockets()
-        self.bounds = Bounds()
+        self.limits = ClientLimits()
         self.max_advice = settings.max_advice if settings else 0.0
         if settings:  # without it `request` is another's
-            self.names = Names(settings)
+            self.names = NameIndex(settings)
         self.loop = asyncio.get_running_loop()
         self.connections: set[ClientConnection] = set()
-        self.held_back: dict[ClientConnection, None] = {}  # whose long answers wait for room
+        self.waiting_for_buffer: dict[ClientConnection, None] = {}  # whose long answers wait for room
         # Those on which no request is open, by how long: looked at from the front only, never sorted.
-        self.waiting: OrderedDict[ClientConnection, None] = OrderedDict()
+        self.idle_connections: OrderedDict[ClientConnection, None] = OrderedDict()
         self.lingering: OrderedDict[ClientConnection, asyncio.TimerHandle] = OrderedDict()
         self.tasks: set[asyncio.Task[Any]] = set()
         self.closing = self.accepting = False
-        self.bodies, self.most_bodies = 0, most_bodies  # bytes of larger bodies, kept and at most
-        self.ahead, self.most_ahead = 0, most_bodies // 2  # bytes of long answers, read and not yet taken
+        self.body_bytes, self.max_total_body_bytes = (
+            0,
+            max_total_body_bytes,
+        )  # bytes of larger bodies, kept and at most
+        self.buffered_bytes, self.max_buffered_bytes = (
+            0,
+            max_total_body_bytes // 2,
+        )  # bytes of long answers, read and not yet taken
         self.socket = listener or self.sockets.bind(address, shared)
 
     def start(self, accept: bool = True) -> None:
         """Listens; with `accept` clients are taken at once, else from `resume` on."""
         self.socket.listen(1024)
         if accept:
-            self.resume()
-        self.sweep = self.loop.call_later(SWEEP, self._sweep)
+            self.resume_accepting()
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     @property
     def port(self) -> int:
@@ -622,13 +662,13 @@
 
     # Accepting is done here: uvloop's own server ends for good at the first accept that fails.
 
-    def resume(self) -> None:
+    def resume_accepting(self) -> None:
         """Takes clients."""
         if not self.accepting and self.socket.fileno() >= 0:
             self.accepting = True
             self.loop.add_reader(self.socket.fileno(), self._accept)
 
-    def pause(self) -> None:
+    def pause_accepting(self) -> None:
         """Takes no more clients for now; they wait in the kernel."""
         if self.accepting:
             self.accepting = False
@@ -636,14 +676,14 @@
 
     def _accept(self) -> None:
         for _ in range(64):
-            if len(self.connections) >= self.most + self.surplus:
+            if len(self.connections) >= self.max_connections + self.max_surplus:
                 if not self.sockets.waiting(self.socket):
                     return
                 # A flood of silent ones must not keep out who waits in the kernel.
                 if not self._close_silent():
                     self._make_room()
-                self.pause()
-                self.loop.call_later(PAUSE, self.resume)
+                self.pause_accepting()
+                self.loop.call_later(ACCEPT_PAUSE_S, self.resume_accepting)
                 return
             try:
                 accepted, _ = self.socket.accept()
@@ -655,12 +695,12 @@
                 # Out of descriptors or memory: the waiting connection would wake the loop without end.
                 log.warning("cannot accept: %s", error.strerror)
                 self._make_room()
-                self.pause()
-                self.loop.call_later(PAUSE, self.resume)
+                self.pause_accepting()
+                self.loop.call_later(ACCEPT_PAUSE_S, self.resume_accepting)
                 return
             accepted.setblocking(False)
             connection = ClientConnection(self)
-            connection.surplus = len(self.connections) >= self.most and not self._make_room()
+            connection.over_limit = len(self.connections) >= self.max_connections and not self._make_room()
             self.connections.add(connection)
             task = self.loop.create_task(self._attach(connection, accepted))
             self.tasks.add(task)
@@ -676,106 +716,119 @@
     def _make_room(self) -> bool:
         """Closes the connection that has stood idle longest; a new one is given time to say something."""
         now = self.clock.monotonic()
-        some = list(islice(self.waiting, 8))
-        return any(c.close_idle() for c in some if c.asked or now - c.active_at >= SETTLING)
+        some = list(islice(self.idle_connections, 8))
+        return any(
+            c.close_idle() for c in some if c.has_requested or now - c.active_at >= NEW_CONNECTION_GRACE_S
+        )
 
     def _close_silent(self) -> int:
         """Closes those that have not said anything in the time that they had for it."""
         now = self.clock.monotonic()
-        some = [c for c in islice(self.waiting, 64) if not c.asked and now - c.active_at >= SETTLING]
+        some = [
+            c
+            for c in islice(self.idle_connections, 64)
+            if not c.has_requested and now - c.active_at >= NEW_CONNECTION_GRACE_S
+        ]
         return sum(connection.close_idle() for connection in some)
 
     def linger(self, connection: ClientConnection) -> None:
         """Cuts a connection off when its last answer has had time to arrive; only so many wait for that."""
         assert connection.transport is not None
-        self.lingering[connection] = self.loop.call_later(LINGER, connection.transport.abort)
-        if len(self.lingering) > LINGERING:
+        self.lingering[connection] = self.loop.call_later(LINGER_S, connection.transport.abort)
+        if len(self.lingering) > MAX_LINGERING:
             oldest = next(iter(self.lingering))
             assert oldest.transport is not None
             oldest.transport.abort()
 
-    def read_on(self) -> None:
+    def resume_sources(self) -> None:
         """There may be room again: long answers that waited for it are read on, the longest wait first."""
-        for connection in list(self.held_back):
-            if not self.may_read_ahead(connection):
-                if self.ahead >= self.most_ahead:
+        for connection in list(self.waiting_for_buffer):
+            if not self.may_buffer(connection):
+                if self.buffered_bytes >= self.max_buffered_bytes:
                     return
                 continue
-            del self.held_back[connection]
+            del self.waiting_for_buffer[connection]
             for exchange in connection.exchanges:
                 if exchange.source:
                     exchange.source.resume()
 
-    def lost(self, connection: ClientConnection) -> None:
-        self.held_back.pop(connection, None)
+    def remove(self, connection: ClientConnection) -> None:
+        self.waiting_for_buffer.pop(connection, None)
         self.connections.discard(connection)
-        self.waiting.pop(connection, None)
+        self.idle_connections.pop(connection, None)
         if timer := self.lingering.pop(connection, None):
             timer.cancel()
 
     # Requests
 
-    def turned_away_by_head(self, exchange: Exchange) -> int:
+    def early_rejection_status(self, exchange: Exchange) -> int:
         """The status of an answer that needs the head alone, 0 for none; the connection is closed after it."""
         return 0
 
-    def has_room(self, exchange: Exchange, size: int) -> bool:
+    def reserve_body(self, exchange: Exchange, size: int) -> bool:
         """Whether a body of `size` bytes may be kept; if so its bytes count until nobody needs them."""
-        if self.bodies + self.ahead + size - exchange.counted > self.most_bodies:
+        if self.body_bytes + self.buffered_bytes + size - exchange.counted_bytes > self.max_total_body_bytes:
             return False
-        self.bodies += size - exchange.counted
-        exchange.counted = size
+        self.body_bytes += size - exchange.counted_bytes
+        exchange.counted_bytes = size
         return True
 
-    def may_read_ahead(self, connection: ClientConnection) -> bool:
+    def may_buffer(self, connection: ClientConnection) -> bool:
         """Whether more of a long answer may be read while its client reads slowly.
 
         The host is done sooner, and with it the attempt, which counts against its customer's limit.
         """
-        room = self.bodies + self.ahead < self.most_bodies and self.ahead < self.most_ahead
-        return room and connection.ahead < EACH_AHEAD
+        room = (
+            self.body_bytes + self.buffered_bytes < self.max_total_body_bytes
+            and self.buffered_bytes < self.max_buffered_bytes
+        )
+        return room and connection.buffered_bytes < MAX_ANSWER_BUFFER_BYTES
 
-    def request(self, exchange: Exchange) -> None:
-        if absolute := ABSOLUTE.match(exchange.target):
+    def handle_request(self, exchange: Exchange) -> None:
+        if absolute := ABSOLUTE_FORM.match(exchange.target):
             exchange.target = exchange.target[absolute.end() :] or b"/"
         path, query, _ = exchange.target.partition(b"?")
         if path == b"/api":
-            if exchange.connection.surplus:
+            if exchange.connection.over_limit:
                 exchange.close = True
                 exchange.reply(503, retry_after=self.max_advice)
-                self.handler.turned_away(exchange, 503, "too many connections")
+                self.handler.rejected(exchange, 503, "too many connections")
                 return
             try:
-                arrival = Arrival(self.names, exchange)
+                arrival = ParsedRequest(self.names, exchange)
             except BadRequest as error:
-                exchange.refuse(400, f"{error}\n".encode())
-                self.handler.turned_away(exchange, 400, str(error))
+                exchange.reply_and_close(400, f"{error}\n".encode())
+                self.handler.rejected(exchange, 400, str(error))
                 return
-            self.handler.take(exchange, arrival)
+            self.handler.handle(exchange, arrival)
         elif path == b"/up" and exchange.method in (b"GET", b"HEAD"):
             exchange.reply(200 if self.handler.ready else 503)
         else:
-            exchange.refuse(404)
+            exchange.reply_and_close(404)
 
     def _sweep(self) -> None:
-        self.sweep = self.loop.call_later(SWEEP, self._sweep)
-        now, room = self.clock.monotonic(), 2 * len(self.connections) < self.most
+        self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
+        now, room = self.clock.monotonic(), 2 * len(self.connections) < self.max_connections
         for connection in list(self.connections):
             quiet = now - connection.active_at
             if not connection.transport:
                 continue
-            if connection.stuck and quiet > STUCK:
+            if connection.write_paused and quiet > WRITE_TIMEOUT_S:
                 connection.transport.abort()
-            elif connection.ended:
+            elif connection.closing:
                 continue
-            elif connection.idle():
-                bounds = self.bounds
-                short = min(SHORT_IDLE, bounds.idle)
-                most = (bounds.idle if room else short) if connection.asked else bounds.partial
+            elif connection.is_idle():
+                limits = self.limits
+                short = min(SHORT_IDLE_TIMEOUT_S, limits.idle_timeout)
+                most = (
+                    (limits.idle_timeout if room else short)
+                    if connection.has_requested
+                    else limits.head_timeout
+                )
                 if quiet > most:
                     connection.close_idle()
-            elif connection.overdue(now):
-                connection.time_out()  # never came whole, so it was not taken
+            elif connection.is_too_slow(now):
+                connection.reject_timed_out()  # never came whole, so it was not taken
 
     # The end
 
@@ -783,9 +836,9 @@
         """From now on each answer is the last of its connection."""
         self.closing = True
 
-    def hand_on(self) -> None:
+    def release_listener(self) -> None:
         """Another process listens on the same socket: this one lets go of it, and nothing is closed."""
-        self.pause()
+        self.pause_accepting()
         self.socket.close()
 
     def stop_accepting(self) -> None:
@@ -793,7 +846,7 @@
         if self.socket.fileno() < 0:
             return
         self._accept()
-        self.pause()
+        self.pause_accepting()
         self.socket.close()
 
     def close_idle(self) -> None:
@@ -801,8 +854,8 @@
             connection.close_idle()
 
     def close(self) -> None:
-        self.pause()
-        self.sweep.cancel()
+        self.pause_accepting()
+        self.sweep_timer.cancel()
         self.socket.close()
         for connection in list(self.connections):
             if connection.transport:
--- a/coralvale/net/transport.py
+++ b/coralvale/net/transport.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from coralvale.interface import Outcome
-from coralvale.net.config import Address, Place
+from coralvale.net.config import Address, HostInstance
 
 SMALL_BODY = 64 * 1024  # bytes of a body up to which it goes in one write with its head
 
@@ -94,7 +94,7 @@
     delay: float = 0.0  # s, once it has ended
 
     @property
-    def place(self) -> Place:
+    def place(self) -> HostInstance:
         return self.server, self.started_at, self.address
 
     def end(self, outcome: Outcome, answer: Answer | None = None) -> None:
@@ -124,7 +124,7 @@
     def left(self, attempt: Attempt) -> None:
         """Its client has gone, and running it is of no use: ends as CANCELLED where that costs no connection."""
 
-    def retire(self, place: Place) -> None:
+    def retire(self, place: HostInstance) -> None:
         """A host drains, has gone, restarted or moved: what is out ends as ever, nothing new goes there."""
 
     def close(self) -> None:
--- a/coralvale/net/upstream.py
+++ b/coralvale/net/upstream.py
@@ -19,7 +19,7 @@
 
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
-from coralvale.net.config import Address, Place
+from coralvale.net.config import Address, HostInstance
 from coralvale.net.sockets import Sockets
 from coralvale.net.transport import Answer, Attempt
 
@@ -432,7 +432,7 @@
         self.report_fields = report_fields
         self.open = 0  # connections up or being opened
         self.written = 0  # attempts whose last byte was written
-        self.pools: dict[Place, Pool] = {}
+        self.pools: dict[HostInstance, Pool] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.connections: set[Connection] = set()
         self.loop = asyncio.get_running_loop()
@@ -501,7 +501,7 @@
                 return
         pool.release(connection)
 
-    def retire(self, place: Place) -> None:
+    def retire(self, place: HostInstance) -> None:
         """A host drains, has gone, restarted or moved: what is out ends as ever, no connection is kept."""
         if pool := self.pools.pop(place, None):
             pool.retire()
--- a/coralvale/syslog/service.py
+++ b/coralvale/syslog/service.py
@@ -125,7 +125,7 @@
         if arrival:
             station, request = f"{arrival.customer:016x}", arrival.id
             plan, cls = arrival.plan_name, self.classes[arrival.cls]
-            units, spread = arrival.units, arrival.entries
+            units, spread = arrival.units, arrival.entry_gateways
         else:  # it was turned away: what it said, as far as it said anything
             plan, cls, request, cookie = (
                 fields.get(name, b"").decode("utf-8", "surrogateescape")
--- a/tests/cluster/test_edge.py
+++ b/tests/cluster/test_edge.py
@@ -22,7 +22,7 @@
 from coralvale.cluster.server.hosts import Hosts
 from coralvale.cluster.settings import Bounds
 from coralvale.net.clock import Clock
-from coralvale.net.server import Bounds as ClientBounds
+from coralvale.net.server import ClientLimits
 from coralvale.net.transport import Attempt
 from coralvale.net.upstream import Pool
 from coralvale.standins.peer import Arrived, Peer
@@ -379,17 +379,17 @@
             arrived = await next_request(s)
             if number == 2:
                 if cause == "idle":  # idle connections are closed at once
-                    s.server.bounds = ClientBounds(idle=0.0, partial=0.0)
+                    s.server.limits = ClientLimits(idle_timeout=0.0, head_timeout=0.0)
                     s.server._sweep()
                 elif cause == "end":  # SIGTERM
                     s.server.drain()
                     s.server.close_idle()
                     s.server.stop_accepting()
                 elif cause == "room":  # new connections need places
-                    s.server.most = 1
+                    s.server.max_connections = 1
                     s.server.close_idle()
                 else:  # a new configuration whose bounds the request exceeds
-                    s.server.bounds = ClientBounds(head=1, body=1, idle=0.0)
+                    s.server.limits = ClientLimits(max_head_bytes=1, max_body_bytes=1, idle_timeout=0.0)
                     s.server._sweep()
             arrived.reply(reply(f"r-{number}", b"whole"))
             found = await asyncio.wait_for(read_message(reader), 10.0)
@@ -491,7 +491,7 @@
         (job,) = s.edge.waiting
         asked.cancel()
         (request,) = s.edge.open
-        s.edge.client_left(request.exchange)
+        s.edge.client_disconnected(request.exchange)
         before = lender.limiter.tenants["t"].bucket.fill = 5.0
         s.edge.decided(Decided(job, Admitted(Source.GRANTED)))
         assert lender.limiter.tenants["t"].bucket.fill == before - 1 and job.admitted is None
--- a/tests/fleet/test_fleet.py
+++ b/tests/fleet/test_fleet.py
@@ -112,7 +112,7 @@
         made = Discovery(("", 0), (), (), Clock(), lambda *_: None, fleet=fleet)
         made.random = random.Random(rng.random())
         watches.append(made)
-    due = [(made._turn() + 0.05 * rng.random(), i) for i, made in enumerate(watches)]
+    due = [(made._start_delay() + 0.05 * rng.random(), i) for i, made in enumerate(watches)]
     heapq.heapify(due)
     free, calls, last = 0.0, list[float](), 0.0
     while due and due[0][0] < 60.0:
--- a/tests/ledger/test_tries.py
+++ b/tests/ledger/test_tries.py
@@ -6,7 +6,7 @@
 
 from coralvale import interface as api
 from coralvale.interface import Outcome
-from coralvale.net.server import Arrival
+from coralvale.net.server import ParsedRequest
 from coralvale.standins.peer import Peer
 
 
@@ -20,7 +20,7 @@
     def refuses(self) -> bool:
         return self.refusing
 
-    def opened(self, arrival: Arrival) -> bool:
+    def opened(self, arrival: ParsedRequest) -> bool:
         self.told.append((arrival.id, "opened"))
         return self.willing
 
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -15,7 +15,7 @@
 
 from coralvale import interface as api
 from coralvale.interface import Outcome
-from coralvale.net.server import EACH_AHEAD
+from coralvale.net.server import MAX_ANSWER_BUFFER_BYTES
 
 LONG = os.urandom(3 * 1024 * 1024)
 
@@ -224,12 +224,15 @@
                     break
             assert sent < 64 << 20  # what kernels and the gateway hold between them
             (connection,) = w.node.server.connections
-            assert w.node.server.ahead <= EACH_AHEAD + 512 * 1024  # one read more
-            assert connection.transport and connection.transport.get_write_buffer_size() <= connection.ahead
+            assert w.node.server.buffered_bytes <= MAX_ANSWER_BUFFER_BYTES + 512 * 1024  # one read more
+            assert (
+                connection.transport
+                and connection.transport.get_write_buffer_size() <= connection.buffered_bytes
+            )
             client.close()
             done = await w.done()
             assert done.outcome is Outcome.CANCELLED and not w.node.held
-            await until(lambda: w.node.server.ahead == 0)
+            await until(lambda: w.node.server.buffered_bytes == 0)
         host.stop()
 
     run(test())
@@ -315,13 +318,13 @@
             writer.write(form(LONG))
             arrived = await first.next()
             assert arrived.message.body == LONG and arrived.message.headers[b"x-request-id"] == b"r1"
-            assert w.node.server.bodies >= len(LONG)
+            assert w.node.server.body_bytes >= len(LONG)
             arrived.reply(answer(503, X_Not_Processed="1"))
             arrived = await second.next()
             assert arrived.message.body == LONG
             arrived.reply(answer(200))
             await w.done(2)
-            await until(lambda: not w.node.server.bodies)
+            await until(lambda: not w.node.server.body_bytes)
             writer.close()
         first.stop()
         second.stop()
@@ -333,10 +336,10 @@
 def test_bodies_past_the_bound_on_all_of_them_are_refused_at_once(chunked: bool) -> None:
     async def test() -> None:
         async with world() as w:
-            w.node.server.most_bodies = 1_000_000
+            w.node.server.max_total_body_bytes = 1_000_000
             held, waiting = await raw(w)
             waiting.write(request("r1", "write", body=LONG[:900_000])[:-1])  # whole but for a byte
-            await until(lambda: w.node.server.bodies)
+            await until(lambda: w.node.server.body_bytes)
             reader, writer = await raw(w)
             data = (
                 body_in_chunks("r2", LONG[:400_000])
@@ -348,7 +351,7 @@
             assert status == 503 and float(headers[b"retry-after"]) > 0
             assert headers[b"connection"] == b"close"
             waiting.close()
-            await until(lambda: w.node.server.bodies == 0)
+            await until(lambda: w.node.server.body_bytes == 0)
             writer.close()
             del held
 
@@ -373,8 +376,8 @@
 
 
 def test_a_slow_client_has_two_seconds_and_what_its_body_takes(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("coralvale.net.server.PARTIAL", 0.4)
-    monkeypatch.setattr("coralvale.net.server.SWEEP", 0.05)
+    monkeypatch.setattr("coralvale.net.server.HEAD_TIMEOUT_S", 0.4)
+    monkeypatch.setattr("coralvale.net.server.SWEEP_INTERVAL_S", 0.05)
 
     async def test() -> None:
         host = await Peer(auto=answer(200)).start()
--- a/tests/test_counter_calls.py
+++ b/tests/test_counter_calls.py
@@ -11,15 +11,15 @@
 from net_helpers import Arrived, Peer, answer, run, soon, until
 
 from coralvale.interface import CounterReply
-from coralvale.net.counter import Counter
+from coralvale.net.counter import CounterClient
 
 
 @contextlib.asynccontextmanager
 async def counter(
     time_out: float = 20.0, stuck: float = 20.0
-) -> AsyncIterator[tuple[Counter, Peer, asyncio.Queue[CounterReply]]]:
+) -> AsyncIterator[tuple[CounterClient, Peer, asyncio.Queue[CounterReply]]]:
     peer, replies = await Peer().start(), asyncio.Queue[CounterReply]()
-    yield Counter(peer.address, time_out, 5.0, replies.put_nowait, stuck), peer, replies
+    yield CounterClient(peer.address, time_out, 5.0, replies.put_nowait, stuck), peer, replies
     peer.stop()
 
 
@@ -98,7 +98,7 @@
             calls.add(8, 1.0, 4.0)
             late = await peer.next()
             assert await soon(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
-            calls.time_out = 20.0
+            calls.timeout = 20.0
             calls.add(8, 1.0, 4.0)
             own = await peer.next()
             assert own.connection == late.connection
@@ -116,7 +116,7 @@
             calls.add(8, 1.0, 4.0)
             assert (await soon(replies.get())).maybe_added
             await until(lambda: peer.closed == 1)
-            calls.time_out = 20.0
+            calls.timeout = 20.0
             calls.add(8, 1.0, 4.0)
             await peer.next()
             (await peer.next()).reply(total("1"))
@@ -133,7 +133,7 @@
             assert (await soon(replies.get())).ok
             await until(lambda: peer.closed == 1)
 
-    monkeypatch.setattr("coralvale.net.counter.IDLE", 0.01)
+    monkeypatch.setattr("coralvale.net.counter.IDLE_TIMEOUT_S", 0.01)
     run(test())
 
 
@@ -142,7 +142,7 @@
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
             arrived = await peer.next()
-            calls.retire()
+            calls.drain()
             arrived.reply(total("3"))
             assert await soon(replies.get()) == CounterReply(8, True, 3.0)
             await until(lambda: peer.closed == 1)
@@ -156,7 +156,7 @@
         async with counter() as (calls, peer, replies):
             calls.add(8, 1.0, 4.0)
             await peer.next()
-            calls.retire()
+            calls.drain()
             peer.stop()
             assert await soon(replies.get()) == CounterReply(8, False, 0.0, maybe_added=True)
             assert replies.empty()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -16,10 +16,10 @@
 
 from coralvale import interface as api
 from coralvale.net.clock import Clock
-from coralvale.net.config import Place
+from coralvale.net.config import HostInstance
 from coralvale.net.discovery import Discovery
 
-News = tuple[api.ListKind, tuple[api.Server, ...], list[Place]]
+News = tuple[api.ListKind, tuple[api.Server, ...], list[HostInstance]]
 
 
 @dataclass
@@ -110,11 +110,11 @@
     async def test() -> None:
         async with bench() as b:
             b.discovery.apply({"index": 42, "endpoints": [entry("s-1", 1, status="leaving")]})
-            since = b.discovery.endpoints["s-1"].leaving_since
+            since = b.discovery.endpoints["s-1"].draining_since
             b.discovery.apply(
                 {"index": 43, "endpoints": [entry("s-1", 1, status="leaving")], "snapshot": True}
             )
-            assert since and b.discovery.endpoints["s-1"].leaving_since == since
+            assert since and b.discovery.endpoints["s-1"].draining_since == since
 
     run(test())
 
@@ -159,7 +159,7 @@
             await b.registry.watch()
             other = Registry()
             await other.start()
-            b.discovery.move(other.address)
+            b.discovery.change_address(other.address)
             watch = await other.watch()
             assert watch.message.first == b"GET /discovery/hosts?stream=1 HTTP/1.1"
             assert set(b.discovery.endpoints) == {"s-1", "s-2"}
@@ -189,9 +189,9 @@
                 for filler in fillers:
                     filler.setblocking(False)
                     filler.connect_ex(full.getsockname())
-                b.discovery.move(full.getsockname())
+                b.discovery.change_address(full.getsockname())
                 await asyncio.sleep(0)
-                b.discovery.move(other.address)
+                b.discovery.change_address(other.address)
                 await other.watch()
                 for filler in fillers:
                     filler.close()
@@ -270,7 +270,7 @@
 def test_a_large_fleet_takes_turns_at_the_start_and_when_watches_break() -> None:
     async def turns(fleet: int) -> list[float]:
         async with bench(fleet=fleet) as b:
-            return [b.discovery._turn() for _ in range(400)]
+            return [b.discovery._start_delay() for _ in range(400)]
 
     assert max(asyncio.run(turns(3))) == 0.0
     large = sorted(asyncio.run(turns(40)))
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -12,7 +12,7 @@
 
 from coralvale import interface as api
 from coralvale.net.config import parse_config
-from coralvale.net.door import MOST
+from coralvale.net.door import MAX_CONNECTIONS
 from coralvale.net.figures import Figures
 from coralvale.net.marks import Marks
 from coralvale.net.node import Node
@@ -50,9 +50,9 @@
     }
     node = Node(parse_config(data), folder=folder)
     node.start()
-    assert node.door
+    assert node.management_server
     try:
-        yield node, registry, node.door.port
+        yield node, registry, node.management_server.port
     finally:
         node.close()
         registry.stop()
@@ -140,12 +140,12 @@
     async def test() -> None:
         async with operated(tmp_path) as (node, _, port):
             await until(lambda: node.ready)
-            crowd = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3 * MOST)]
+            crowd = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3 * MAX_CONNECTIONS)]
             for _, writer in crowd[::2]:
                 writer.write(b"POST /hosts/s-1/maint HTTP/1.1\r\nX-Slow: ")
             for _ in range(5):
                 assert (await soon(call(port, "GET /healthcheck")))[0] == 200
-            assert node.door and len(node.door.open) <= MOST
+            assert node.management_server and len(node.management_server.connections) <= MAX_CONNECTIONS
             for _, writer in crowd:
                 writer.close()
 
@@ -230,7 +230,7 @@
 def test_without_an_address_there_is_no_door() -> None:
     async def test() -> None:
         async with world() as w:
-            assert isinstance(w, World) and w.node.door is None and w.node.offer is None
+            assert isinstance(w, World) and w.node.management_server is None and w.node.offer is None
             assert not w.script.of(api.Maintained)
 
     run(test())
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -190,7 +190,7 @@
     async def test() -> None:
         async with world() as w:
             refuse_all(w)
-            w.node.server.most, w.node.server.surplus = 2, 1
+            w.node.server.max_connections, w.node.server.max_surplus = 2, 1
             first, second = await w.client(), await w.client()
             await first.ask(request("r1"))
             await second.ask(request("r2"))
@@ -248,11 +248,11 @@
                 assert await client.at_end()
             assert await silent.at_end()
             assert (await usual.ask(request("r2"))).status == 503  # one that asks is not hurried
-            monkeypatch.setattr("coralvale.net.server.IDLE", 0.01)
+            monkeypatch.setattr("coralvale.net.server.IDLE_TIMEOUT_S", 0.01)
             assert await usual.at_end()
             assert len(w.script.of(api.Request)) == 2
 
-    for name in ("PARTIAL", "SWEEP", "LINGER"):
+    for name in ("HEAD_TIMEOUT_S", "SWEEP_INTERVAL_S", "LINGER_S"):
         monkeypatch.setattr(f"coralvale.net.server.{name}", 0.01)
     run(test())
 
@@ -261,14 +261,14 @@
     async def test() -> None:
         async with world() as w:
             refuse_all(w)
-            w.node.server.most = 3
+            w.node.server.max_connections = 3
             first, second = await w.client(), await w.client()
             await first.ask(request("r1"))
             await second.ask(request("r2"))
             assert await first.at_end()
 
-    monkeypatch.setattr("coralvale.net.server.SHORT_IDLE", 0.01)
-    monkeypatch.setattr("coralvale.net.server.SWEEP", 0.01)
+    monkeypatch.setattr("coralvale.net.server.SHORT_IDLE_TIMEOUT_S", 0.01)
+    monkeypatch.setattr("coralvale.net.server.SWEEP_INTERVAL_S", 0.01)
     run(test())
 
 
@@ -278,13 +278,13 @@
     async def test() -> None:
         async with world() as w:
             refuse_all(w)
-            w.node.server.most, w.node.server.surplus = 4, 0
+            w.node.server.max_connections, w.node.server.max_surplus = 4, 0
             silent = [await w.client() for _ in range(100)]
             assert (await w.ask(request())).headers[b"retry-after"] == b"0.250"
             assert len(w.node.server.connections) <= 4
             assert await silent[0].at_end()
 
-    monkeypatch.setattr("coralvale.net.server.SETTLING", 0.0)
+    monkeypatch.setattr("coralvale.net.server.NEW_CONNECTION_GRACE_S", 0.0)
     run(test())
 
 
@@ -326,8 +326,8 @@
                 assert (await w.ask(b"nonsense\r\n\r\n")).status == 400
             await until(lambda: len(w.node.server.connections) == 2)
 
-    monkeypatch.setattr("coralvale.net.server.LINGER", 60.0)
-    monkeypatch.setattr("coralvale.net.server.LINGERING", 2)
+    monkeypatch.setattr("coralvale.net.server.LINGER_S", 60.0)
+    monkeypatch.setattr("coralvale.net.server.MAX_LINGERING", 2)
     run(test())
 
 
