--- a/coralvale/__main__.py
+++ b/coralvale/__main__.py
@@ -47,55 +47,55 @@
     node.figures.reloads_ok += 1
 
 
-def reload_parts(path: str, parts: dict[str, Callable[[Operator], object]]) -> None:
+def reload_subsystems(path: str, reloaders: dict[str, Callable[[Operator], object]]) -> None:
     """SIGHUP: takes the operator's file as it is now; a part that cannot use it keeps what it has."""
     from coralvale.operator import OperatorError, read_operator
 
     try:
         operator = read_operator(path)
     except OperatorError as error:
-        for what in parts:
-            log.error("keeping the old %s: %s", what, error)
+        for name in reloaders:
+            log.error("keeping the old %s: %s", name, error)
         return
-    for what, take in parts.items():
+    for name, reload_one in reloaders.items():
         try:
-            take(operator)
+            reload_one(operator)
         except ValueError as error:
-            log.error("keeping the old %s: %s", what, error)
+            log.error("keeping the old %s: %s", name, error)
 
 
-async def serve(config: Config, path: str, operator: Operator | None = None, named: str = "") -> None:
+async def serve(config: Config, path: str, operator: Operator | None = None, operator_path: str = "") -> None:
     loop = asyncio.get_running_loop()
     clock = Clock()
-    gate = authorise(config, operator, clock) if operator else None
-    allowance = share(config, operator, clock) if operator else None
-    recorder = record(config, operator, clock) if operator else None
-    sender = tell(config, operator, clock) if operator else None
-    meter = bill(config, operator, clock) if operator else None
-    follower = follow(config, operator, clock) if operator else None
+    gate = build_authorisers(config, operator, clock) if operator else None
+    allowance = build_allowance(config, operator, clock) if operator else None
+    recorder = build_recorder(config, operator, clock) if operator else None
+    sender = build_sender(config, operator, clock) if operator else None
+    meter = build_meter(config, operator, clock) if operator else None
+    follower = build_follower(config, operator, clock) if operator else None
     terms = follower.terms if follower else None
-    carry = speak(config, operator) if operator else None
-    members = meet(config, operator) if operator else None
+    carry = build_transport(config, operator) if operator else None
+    members = build_members(config, operator) if operator else None
     if members and members.table.quotas:
         allowance = members.lend(config.settings.plans, clock.now)
-    node = Node(config, clock, allowance, gate, recorder, own_folder(config), sender, meter, terms, carry)
+    node = Node(config, clock, allowance, gate, recorder, shared_folder(config), sender, meter, terms, carry)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, node.stop)
 
-    parts: dict[str, Callable[[Operator], object]] = {}
+    reloaders: dict[str, Callable[[Operator], object]] = {}
     if gate:
-        parts["authorisers"] = lambda told: gate.reload(told.authorisation)
+        reloaders["authorisers"] = lambda operator_file: gate.reload(operator_file.authorisation)
     if sender:
-        parts["receivers"] = lambda told: sender.reload(told.syslog)
+        reloaders["receivers"] = lambda operator_file: sender.reload(operator_file.syslog)
     if members:
-        parts["members' keys"] = lambda told: members.reload(told.members)
+        reloaders["members' keys"] = lambda operator_file: members.reload(operator_file.members)
 
-    def again() -> None:
+    def on_sighup() -> None:
         reload(node, path)
-        if parts:
-            reload_parts(named, parts)
+        if reloaders:
+            reload_subsystems(operator_path, reloaders)
 
-    loop.add_signal_handler(signal.SIGHUP, again)
+    loop.add_signal_handler(signal.SIGHUP, on_sighup)
     node.start()
     following = loop.create_task(follower.run()) if follower else None
     meeting = loop.create_task(members.run()) if members else None
@@ -119,14 +119,14 @@
         await sender.finish()
 
 
-def own_folder(config: Config) -> Path | None:
+def shared_folder(config: Config) -> Path | None:
     """A folder that the process before this one and the one after it have as well, if the platform gives one."""
     given = os.environ.get("TMPDIR")
     return Path(given, "coralvale-" + quote(config.name, safe="")) if given and config.management else None
 
 
-def share(config: Config, operator: Operator, clock: Clock) -> Allowance | None:
-    """The parts that this gateway shares with others, if the operator's file names any."""
+def build_allowance(config: Config, operator: Operator, clock: Clock) -> Allowance | None:
+    """The reloaders that this gateway shares with others, if the operator's file names any."""
     if (table := operator.allowance) is None:
         return None
     from coralvale.allowance.shares import Shares
@@ -136,7 +136,7 @@
     return Shares(config.settings, clock.now(), table.window_s, table.quotas, table.calls_per_s)
 
 
-def authorise(config: Config, operator: Operator, clock: Clock) -> Authorisers | None:
+def build_authorisers(config: Config, operator: Operator, clock: Clock) -> Authorisers | None:
     """The authorisers that the operator's file names, if any."""
     if not operator.authorisation:
         return None
@@ -149,7 +149,7 @@
         raise ConfigError(f"operator's file: {error}") from None
 
 
-def record(config: Config, operator: Operator, clock: Clock) -> Recorder | None:
+def build_recorder(config: Config, operator: Operator, clock: Clock) -> Recorder | None:
     """The journal of attempts, if the operator's file names one."""
     if operator.attempts is None:
         return None
@@ -161,7 +161,7 @@
         raise ConfigError(f"attempts: {error}") from None
 
 
-def tell(config: Config, operator: Operator, clock: Clock) -> Sender | None:
+def build_sender(config: Config, operator: Operator, clock: Clock) -> Sender | None:
     """Whoever sends final answers to syslog, if the operator's file names a receiver."""
     if operator.syslog is None:
         return None
@@ -173,7 +173,7 @@
         raise ConfigError(f"operator's file: {error}") from None
 
 
-def bill(config: Config, operator: Operator, clock: Clock) -> Meter | None:
+def build_meter(config: Config, operator: Operator, clock: Clock) -> Meter | None:
     """The ledger, if the operator's file names one."""
     if operator.ledger is None:
         return None
@@ -186,7 +186,7 @@
         raise ConfigError(str(error)) from None
 
 
-def follow(config: Config, operator: Operator, clock: Clock) -> Follower | None:
+def build_follower(config: Config, operator: Operator, clock: Clock) -> Follower | None:
     """Whoever follows a plan service, if the operator's file names one."""
     if operator.plans is None:
         return None
@@ -202,7 +202,7 @@
         raise ConfigError(f"operator's file: {error}") from None
 
 
-def meet(config: Config, operator: Operator) -> Members | None:
+def build_members(config: Config, operator: Operator) -> Members | None:
     """Membership, if the operator's file names it."""
     if operator.members is None:
         return None
@@ -215,7 +215,7 @@
         raise ConfigError(f"operator's file: {error}") from None
 
 
-def speak(config: Config, operator: Operator) -> Callable[[Upstreams], Transport] | None:
+def build_transport(config: Config, operator: Operator) -> Callable[[Upstreams], Transport] | None:
     """HTTP/2 to hosts, if the operator's file names it."""
     if operator.http2 is None:
         return None
@@ -246,17 +246,17 @@
     if not path:
         print("coralvale: LB_CONFIG is not set", file=sys.stderr)
         return 2
-    told: Operator | None = None
+    operator_file: Operator | None = None
     if operator:
         from coralvale.operator import OperatorError, read_operator
 
         try:
-            told = read_operator(operator)
+            operator_file = read_operator(operator)
         except OperatorError as error:
             print(f"coralvale: {error}", file=sys.stderr)
             return 2
     try:
-        uvloop.run(serve(read_config(path), path, told, operator))
+        uvloop.run(serve(read_config(path), path, operator_file, operator))
     except ConfigError as error:
         print(f"coralvale: {error}", file=sys.stderr)
         return 2
--- a/coralvale/cli.py
+++ b/coralvale/cli.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
-EXTRAS = {
+EXTRA_BY_PACKAGE = {
     "msgspec": "operator",
     "h11": "ledger",
     "aiohttp": "plans",
@@ -31,8 +31,8 @@
     "tomli_w": "lab",
 }
 
-# Commands that bring their own words.
-READERS = {
+# Commands that bring their own subparser.
+SUBCOMMANDS = {
     "attempts": ("coralvale.attempts.main", "What journals tell of attempts."),
     "ledger": ("coralvale.ledger.main", "What ledgers hold for billing."),
     "plans": ("coralvale.plans.main", "Plans that change in service, and allowance that is reserved ahead."),
@@ -42,14 +42,14 @@
 }
 
 
-def parser() -> argparse.ArgumentParser:
-    top = argparse.ArgumentParser(
+def build_parser() -> argparse.ArgumentParser:
+    parser = argparse.ArgumentParser(
         prog="coralvale",
         description="An API gateway that keeps every customer to its plan. Without a command: the gateway.",
         epilog="LB_CONFIG names the configuration of gateway and control service. "
         "CORALVALE_OPERATOR names the operator's file where --operator does not.",
     )
-    commands = top.add_subparsers(dest="command", metavar="COMMAND", required=True)
+    commands = parser.add_subparsers(dest="command", metavar="COMMAND", required=True)
 
     gateway = commands.add_parser("gateway", help="the gateway, as without a command")
     control = commands.add_parser("control", help="the control service: xDS and quotas for other proxies")
@@ -73,68 +73,70 @@
     demo.add_argument("--json", action="store_true", help="only the summary, as one JSON object")
     demo.add_argument("--seed", type=int, default=1, help="of the clients' arrivals (1)")
     demo.add_argument("--http2", action="store_true", help="hosts speak HTTP/2 (needs the extra http2)")
-    return top
+    return parser
 
 
 def main(arguments: Sequence[str]) -> int:
-    if arguments and (told := READERS.get(arguments[0])):
-        words = argparse.ArgumentParser(prog=f"coralvale {arguments[0]}", description=told[1])
-        reader = importlib.import_module(told[0])
-        reader.add(words)
-        given = words.parse_args(arguments[1:])
-        given.command = arguments[0]
-        return _guarded(given, reader.run)
-    return _guarded(parser().parse_args(arguments), _run)
-
-
-def _guarded(asked: argparse.Namespace, run: Callable[[argparse.Namespace], int]) -> int:
-    """Runs it; a package that is not installed is told by the extra that brings it."""
+    if arguments and (subcommand := SUBCOMMANDS.get(arguments[0])):
+        subparser = argparse.ArgumentParser(prog=f"coralvale {arguments[0]}", description=subcommand[1])
+        module = importlib.import_module(subcommand[0])
+        module.add(subparser)
+        options = subparser.parse_args(arguments[1:])
+        options.command = arguments[0]
+        return _guarded(options, module.run)
+    return _guarded(build_parser().parse_args(arguments), _run)
+
+
+def _guarded(options: argparse.Namespace, run: Callable[[argparse.Namespace], int]) -> int:
+    """Runs it; a package that is not installed is subcommand by the extra that brings it."""
     try:
-        return int(run(asked))
+        return int(run(options))
     except ModuleNotFoundError as error:
         package = (error.name or "").partition(".")[0]
-        extra = "members" if (asked.command, package) == ("members", "rich") else EXTRAS.get(package)
+        extra = (
+            "members" if (options.command, package) == ("members", "rich") else EXTRA_BY_PACKAGE.get(package)
+        )
         if extra is None:
             raise
         print(
-            f"coralvale: {asked.command} needs the package {error.name}: pip install '.[{extra}]'",
+            f"coralvale: {options.command} needs the package {error.name}: pip install '.[{extra}]'",
             file=sys.stderr,
         )
         return 1
 
 
-def _run(asked: argparse.Namespace) -> int:
-    if asked.command == "check":
-        return _check(asked)
-    if asked.command == "demo":
-        if asked.seconds <= 0:
+def _run(options: argparse.Namespace) -> int:
+    if options.command == "check":
+        return _check(options)
+    if options.command == "demo":
+        if options.seconds <= 0:
             print("coralvale: --seconds: expected a number above 0", file=sys.stderr)
             return 2
-        return _call("coralvale.standins.demo", asked.seconds, asked.json, asked.seed, asked.http2)
-    operator = asked.operator or os.environ.get("CORALVALE_OPERATOR", "")
-    if asked.command == "gateway":
+        return _call("coralvale.standins.demo", options.seconds, options.json, options.seed, options.http2)
+    operator = options.operator or os.environ.get("CORALVALE_OPERATOR", "")
+    if options.command == "gateway":
         return _call("coralvale.__main__", operator)
     return _call("coralvale.control.main", operator)
 
 
 def _call(module: str, *arguments: Any) -> int:  # noqa: ANN401
-    """A subsystem is imported only here, when it is asked for."""
+    """A subsystem is imported only here, when it is options for."""
     return int(importlib.import_module(module).run(*arguments))
 
 
-def _check(asked: argparse.Namespace) -> int:
+def _check(options: argparse.Namespace) -> int:
     from coralvale.operator import OperatorError, read_operator
 
     try:
-        read = read_operator(asked.file)
+        read = read_operator(options.file)
     except OperatorError as error:
-        if asked.json:
-            print(json.dumps({"ok": False, "file": asked.file, "error": str(error), "tables": []}))
+        if options.json:
+            print(json.dumps({"ok": False, "file": options.file, "error": str(error), "tables": []}))
         print(f"coralvale: {error}", file=sys.stderr)
         return 2
     tables = [name for name in read.__struct_fields__ if getattr(read, name)]
-    if asked.json:
-        print(json.dumps({"ok": True, "file": asked.file, "error": "", "tables": tables}))
+    if options.json:
+        print(json.dumps({"ok": True, "file": options.file, "error": "", "tables": tables}))
     else:
-        print(f"{asked.file}: good; on: {', '.join(tables) or 'nothing'}")
+        print(f"{options.file}: good; on: {', '.join(tables) or 'nothing'}")
     return 0
