--- a/coralvale/__main__.py
+++ b/coralvale/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one gateway: its configuration, the event loop, the signals."""
+"""Starts a gateway: reads its configuration, builds its subsystems, runs the event loop, handles signals."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from coralvale.net.logs import Sparing
 from coralvale.net.node import Node
 
-if TYPE_CHECKING:  # imported only where the operator's file asks for them
+if TYPE_CHECKING:  # imported at run time only if the operator's file enables them
     from coralvale.attempts.service import Recorder
     from coralvale.authorisation.service import Authorisers
     from coralvale.interface import Allowance
@@ -36,7 +36,7 @@
 
 
 def reload(node: Node, path: str) -> None:
-    """SIGHUP: takes the file as it is now; one that cannot be used changes nothing."""
+    """On SIGHUP: reads the configuration file again; an invalid one changes nothing."""
     try:
         config = read_config(path)
     except ConfigError as error:
@@ -48,7 +48,7 @@
 
 
 def reload_subsystems(path: str, reloaders: dict[str, Callable[[Operator], object]]) -> None:
-    """SIGHUP: takes the operator's file as it is now; a part that cannot use it keeps what it has."""
+    """On SIGHUP: reads the operator's file again; a subsystem that cannot use it keeps its old settings."""
     from coralvale.operator import OperatorError, read_operator
 
     try:
@@ -65,6 +65,7 @@
 
 
 async def serve(config: Config, path: str, operator: Operator | None = None, operator_path: str = "") -> None:
+    """Runs the gateway until it is stopped by SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
     clock = Clock()
     gate = build_authorisers(config, operator, clock) if operator else None
@@ -105,7 +106,7 @@
             node.hold = members.hold
         if members.table.hosts:
             members.spread(node.gateway)
-    # What start-up made lives for good: collecting it again and again would only cost time.
+    # Objects made at start-up live as long as the process; exclude them from garbage collection to save time.
     gc.collect()
     gc.freeze()
     await node.stopped
@@ -120,24 +121,27 @@
 
 
 def shared_folder(config: Config) -> Path | None:
-    """A folder that the process before this one and the one after it have as well, if the platform gives one."""
+    """Folder shared with the previous and the next process of this gateway, or None.
+
+    It needs TMPDIR and an address for the operators' server.
+    """
     given = os.environ.get("TMPDIR")
     return Path(given, "coralvale-" + quote(config.name, safe="")) if given and config.management else None
 
 
 def build_allowance(config: Config, operator: Operator, clock: Clock) -> Allowance | None:
-    """The reloaders that this gateway shares with others, if the operator's file names any."""
+    """Allowance shared with other gateways, if the operator's file enables it."""
     if (table := operator.allowance) is None:
         return None
     from coralvale.allowance.shares import Shares
 
     if config.counter is None:
-        log.warning("[allowance] without a counter: every gateway keeps to its even part")
+        log.warning("[allowance] without a counter: every gateway uses an even share")
     return Shares(config.settings, clock.now(), table.window_s, table.quotas, table.calls_per_s)
 
 
 def build_authorisers(config: Config, operator: Operator, clock: Clock) -> Authorisers | None:
-    """The authorisers that the operator's file names, if any."""
+    """Clients of the authorisers in the operator's file, if any."""
     if not operator.authorisation:
         return None
     from coralvale.authorisation.service import Authorisers
@@ -150,7 +154,7 @@
 
 
 def build_recorder(config: Config, operator: Operator, clock: Clock) -> Recorder | None:
-    """The journal of attempts, if the operator's file names one."""
+    """The journal of attempts, if the operator's file enables it."""
     if operator.attempts is None:
         return None
     from coralvale.attempts.service import JournalError, Recorder
@@ -162,7 +166,7 @@
 
 
 def build_sender(config: Config, operator: Operator, clock: Clock) -> Sender | None:
-    """Whoever sends final answers to syslog, if the operator's file names a receiver."""
+    """The sender of final answers to syslog, if the operator's file names receivers."""
     if operator.syslog is None:
         return None
     from coralvale.syslog.service import Sender, SyslogError
@@ -174,7 +178,7 @@
 
 
 def build_meter(config: Config, operator: Operator, clock: Clock) -> Meter | None:
-    """The ledger, if the operator's file names one."""
+    """The meter that writes the billing ledger, if the operator's file enables it."""
     if operator.ledger is None:
         return None
     from coralvale.ledger.model import LedgerError
@@ -187,7 +191,7 @@
 
 
 def build_follower(config: Config, operator: Operator, clock: Clock) -> Follower | None:
-    """Whoever follows a plan service, if the operator's file names one."""
+    """The follower of a plan service, if the operator's file names one."""
     if operator.plans is None:
         return None
     from coralvale.operator import OperatorError
@@ -203,7 +207,7 @@
 
 
 def build_members(config: Config, operator: Operator) -> Members | None:
-    """Membership, if the operator's file names it."""
+    """Membership of gateways, if the operator's file enables it."""
     if operator.members is None:
         return None
     from coralvale.members.service import Service
@@ -216,7 +220,7 @@
 
 
 def build_transport(config: Config, operator: Operator) -> Callable[[Upstreams], Transport] | None:
-    """HTTP/2 to hosts, if the operator's file names it."""
+    """Makes the HTTP/2 transport to hosts, if the operator's file enables it."""
     if operator.http2 is None:
         return None
     from coralvale.http2.service import Transport as Http2
@@ -234,14 +238,12 @@
 
 
 def run(operator: str = "") -> int:
-    """The gateway; `operator` names the operator's file, if one is given."""
+    """Runs a gateway; `operator` is the path of the operator's file, or empty. Returns the exit code."""
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s", stream=sys.stderr)
     logging.getLogger().handlers[0].addFilter(Sparing())
-    # libuv's io_uring comes with a kernel thread that polls: with less than a core it used all there was.
+    # libuv's io_uring starts a polling kernel thread, which used all CPU time on less than one core.
     os.environ.setdefault("UV_USE_IO_URING", "0")
-    signal.signal(
-        signal.SIGHUP, signal.SIG_IGN
-    )  # one that comes before the loop runs must not end the program
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # a SIGHUP before the loop runs must not end the program
     path = os.environ.get("LB_CONFIG")
     if not path:
         print("coralvale: LB_CONFIG is not set", file=sys.stderr)
@@ -267,7 +269,10 @@
 
 
 def main() -> int:
-    """Without a word the gateway, as the platform starts it; all else is the command line's."""
+    """Runs the gateway, as the platform starts it, or the command line if there are arguments.
+
+    CORALVALE_OPERATOR also selects the command line, with its command `gateway`.
+    """
     if len(sys.argv) > 1 or os.environ.get("CORALVALE_OPERATOR"):
         from coralvale.cli import main as command_line
 
--- a/coralvale/cli.py
+++ b/coralvale/cli.py
@@ -1,6 +1,6 @@
-"""The command line. Without a word it is the gateway, which never imports this file.
+"""Command line. The gateway, started without arguments, never imports this module.
 
-Exit codes: 0 well, 1 cannot start or a run that failed, 2 a wrong call or a file that cannot be used.
+Exit codes: 0 success, 1 cannot start or a run failed, 2 wrong usage or an invalid file.
 """
 
 from __future__ import annotations
@@ -13,6 +13,7 @@
 from collections.abc import Callable, Sequence
 from typing import Any
 
+# Extra that installs each optional package.
 EXTRA_BY_PACKAGE = {
     "msgspec": "operator",
     "h11": "ledger",
@@ -31,18 +32,19 @@
     "tomli_w": "lab",
 }
 
-# Commands that bring their own subparser.
+# Commands that define their own arguments: module and description.
 SUBCOMMANDS = {
-    "attempts": ("coralvale.attempts.main", "What journals tell of attempts."),
-    "ledger": ("coralvale.ledger.main", "What ledgers hold for billing."),
-    "plans": ("coralvale.plans.main", "Plans that change in service, and allowance that is reserved ahead."),
-    "members": ("coralvale.members.main", "What a gateway knows of the others."),
-    "lab": ("coralvale.lab.main", "Experiments with a whole platform on a virtual clock."),
-    "answers": ("coralvale.syslog.main", "What files of syslog messages tell of final answers."),
+    "attempts": ("coralvale.attempts.main", "Reads journals of attempts."),
+    "ledger": ("coralvale.ledger.main", "Reads and corrects billing ledgers, and exports them."),
+    "plans": ("coralvale.plans.main", "Plans that change at run time, and allowance reserved in advance."),
+    "members": ("coralvale.members.main", "Shows what a gateway knows of the others."),
+    "lab": ("coralvale.lab.main", "Experiments with a simulated platform on a virtual clock."),
+    "answers": ("coralvale.syslog.main", "Searches files of syslog messages for final answers."),
 }
 
 
 def build_parser() -> argparse.ArgumentParser:
+    """The parser of all commands; those of SUBCOMMANDS appear in its help only."""
     parser = argparse.ArgumentParser(
         prog="coralvale",
         description="An API gateway that keeps every customer to its plan. Without a command: the gateway.",
@@ -51,32 +53,33 @@
     )
     commands = parser.add_subparsers(dest="command", metavar="COMMAND", required=True)
 
-    gateway = commands.add_parser("gateway", help="the gateway, as without a command")
-    control = commands.add_parser("control", help="the control service: xDS and quotas for other proxies")
+    gateway = commands.add_parser("gateway", help="run the gateway, as without a command")
+    control = commands.add_parser("control", help="run the control service: xDS and quotas for other proxies")
     for command in (gateway, control):
         command.add_argument("--operator", metavar="FILE", help="the operator's file")
 
-    check = commands.add_parser("check", help="reads an operator's file and says what is wrong with it")
+    check = commands.add_parser("check", help="check an operator's file")
     check.add_argument("file", metavar="FILE")
     check.add_argument("--json", action="store_true", help="one JSON object: ok, file, error, tables")
 
-    commands.add_parser("attempts", help="what journals tell of attempts that must not run twice")
-    commands.add_parser("ledger", help="what ledgers hold for billing, corrections, and the export by hand")
-    commands.add_parser("plans", help="plans that change in service: the service, and commands to it")
-    commands.add_parser("answers", help="what files of syslog messages tell of final answers")
+    commands.add_parser("attempts", help="read journals of attempts that must not run twice")
+    commands.add_parser("ledger", help="read billing ledgers, correct and export them")
+    commands.add_parser("plans", help="plans that change at run time: run the service, send commands to it")
+    commands.add_parser("answers", help="search files of syslog messages for final answers")
 
-    commands.add_parser("members", help="what a gateway knows of the others")
-    commands.add_parser("lab", help="experiments with a whole platform on a virtual clock")
+    commands.add_parser("members", help="show what a gateway knows of the others")
+    commands.add_parser("lab", help="experiments with a simulated platform on a virtual clock")
 
-    demo = commands.add_parser("demo", help="a gateway between stand-ins, on loopback, for some seconds")
-    demo.add_argument("--seconds", type=float, default=12.0, metavar="N", help="how long (12)")
-    demo.add_argument("--json", action="store_true", help="only the summary, as one JSON object")
-    demo.add_argument("--seed", type=int, default=1, help="of the clients' arrivals (1)")
+    demo = commands.add_parser("demo", help="run a gateway between simulated clients and hosts, on loopback")
+    demo.add_argument("--seconds", type=float, default=12.0, metavar="N", help="duration in seconds (12)")
+    demo.add_argument("--json", action="store_true", help="print only the summary, as one JSON object")
+    demo.add_argument("--seed", type=int, default=1, help="seed of the clients' arrivals (1)")
     demo.add_argument("--http2", action="store_true", help="hosts speak HTTP/2 (needs the extra http2)")
     return parser
 
 
 def main(arguments: Sequence[str]) -> int:
+    """Runs a command and returns its exit code."""
     if arguments and (subcommand := SUBCOMMANDS.get(arguments[0])):
         subparser = argparse.ArgumentParser(prog=f"coralvale {arguments[0]}", description=subcommand[1])
         module = importlib.import_module(subcommand[0])
@@ -88,7 +91,7 @@
 
 
 def _guarded(options: argparse.Namespace, run: Callable[[argparse.Namespace], int]) -> int:
-    """Runs it; a package that is not installed is subcommand by the extra that brings it."""
+    """Runs a command; if a package is not installed, names the extra that installs it."""
     try:
         return int(run(options))
     except ModuleNotFoundError as error:
@@ -120,7 +123,7 @@
 
 
 def _call(module: str, *arguments: Any) -> int:  # noqa: ANN401
-    """A subsystem is imported only here, when it is options for."""
+    """Imports a module, only when its command is used, and runs it."""
     return int(importlib.import_module(module).run(*arguments))
 
 
--- a/coralvale/net/config.py
+++ b/coralvale/net/config.py
@@ -1,4 +1,4 @@
-"""The configuration file: read once at start, every mistake in it named by a `ConfigError`."""
+"""Reads the configuration file. A mistake in it raises a `ConfigError` that names it."""
 
 from __future__ import annotations
 
@@ -12,24 +12,26 @@
 from coralvale.adapter import Fields, read_settings, read_value, whole
 
 Address = tuple[str, int]
-HostInstance = tuple[str, float, Address]  # a host: its id, when it started, where it listens
+HostInstance = tuple[str, float, Address]  # a run of a host: its id, start time (Unix time, s) and address
 
 
 class ConfigError(ValueError):
-    """The configuration cannot be used; the message is one plain line."""
+    """The configuration is invalid; the message is one line."""
 
 
 @dataclass(frozen=True, slots=True)
 class Config:
+    """A gateway's configuration. Timeouts are in seconds."""
+
     name: str
     listen: Address
     discovery: Address
     counter: Address | None
-    management: Address | None  # where operators call; without it there is no door for them
+    management: Address | None  # of the operators' server; None: there is none
     seed: int
     sockets: int
     memory: float  # MB
-    known: dict[str, Any]
+    known: dict[str, Any]  # list of hosts to start with
     settings: api.Settings
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
@@ -39,14 +41,15 @@
 
 
 def read_address(text: str) -> Address:
+    """Parses `host:port` or `[v6]:port`; raises ValueError."""
     host, colon, port = text.rpartition(":")
     if not (host and colon and port.isdecimal() and int(port) < 65536):
-        raise ValueError(f"{text!r} is no address:port")
+        raise ValueError(f"{text!r} is not address:port")
     return host.strip("[]"), int(port)
 
 
 def flatten(settings: dict[str, Any]) -> Fields:
-    """Nested JSON to the paths of the simulator's wire, so that the adapter's reader serves both."""
+    """Converts nested JSON to the flat paths of the simulator's messages, so that the adapter reads both."""
     fields: Fields = {}
 
     def walk(path: str, value: object) -> None:
@@ -69,27 +72,29 @@
 
 
 def read_config(path: str) -> Config:
+    """Reads the configuration file; LB_MANAGEMENT gives `management` if the file does not."""
     try:
         data = json.loads(Path(path).read_bytes())
     except OSError as error:
         raise ConfigError(f"{path}: {error.strerror}") from None
     except ValueError as error:
-        raise ConfigError(f"{path}: no JSON: {error}") from None
+        raise ConfigError(f"{path}: invalid JSON: {error}") from None
     try:
         if isinstance(data, dict) and os.environ.get("LB_MANAGEMENT"):
             data.setdefault("management", os.environ["LB_MANAGEMENT"])
         return parse_config(data)
     except (KeyError, TypeError, ValueError, AttributeError) as error:
-        told = f"{error.args[0]}: missing" if isinstance(error, KeyError) else str(error)
-        raise ConfigError(f"{path}: {told}") from None
+        message = f"{error.args[0]}: missing" if isinstance(error, KeyError) else str(error)
+        raise ConfigError(f"{path}: {message}") from None
 
 
 def parse_config(data: dict[str, Any]) -> Config:
+    """Builds a Config from the JSON object; raises KeyError, TypeError, ValueError or AttributeError."""
     settings = data["settings"]
     pairs = flatten(settings)
 
     def names(path: str) -> tuple[str, ...]:
-        value = settings.get(path, [])  # as they stand: the wire's commas would split a name that holds one
+        value = settings.get(path, [])  # not from `pairs`, whose commas would split names that contain one
         return tuple(map(str, value)) if isinstance(value, list) else (str(value),)
 
     config = Config(
--- a/coralvale/net/counter.py
+++ b/coralvale/net/counter.py
@@ -1,4 +1,7 @@
-"""Calls to the shared counter: pipelined on a few kept connections, answered in order."""
+"""Client of the shared counter: pipelined calls on a few persistent connections, answered in order.
+
+Times and timeouts are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -15,18 +18,20 @@
 from coralvale.interface import CounterReply
 from coralvale.net.config import Address
 
-CONNECTIONS = 2  # connections; a name keeps to one, so that its answers come in the order of its calls
-IDLE_TIMEOUT_S = 4.0  # s after which an idle one is closed here, well before the counter does at up to 10 s
-MAX_BODY_BYTES = 64  # bytes of a total
-MAX_RESPONSE_BYTES = 4096  # bytes without a whole answer: a head that does not end would fill the memory
-STALL_TIMEOUT_S = 0.5  # s without the answer to the oldest call after which a connection is given up
+CONNECTIONS = 2  # calls for one name use the same connection, so that they are answered in order
+IDLE_TIMEOUT_S = 4.0  # well before the counter closes idle connections, which it does at up to 10 s
+MAX_BODY_BYTES = 64  # of a response, which is one number
+MAX_RESPONSE_BYTES = 4096  # without a complete response; bounds memory for a head that does not end
+STALL_TIMEOUT_S = 0.5  # without the answer to the oldest call, after which its connection is closed
 
 
-NUMBER = re.compile(rb"\s*-?\d{1,15}(\.\d{0,15})?([eE][-+]?\d{1,2})?\s*")  # float() takes 1_0 and inf as well
+NUMBER = re.compile(rb"\s*-?\d{1,15}(\.\d{0,15})?([eE][-+]?\d{1,2})?\s*")  # float() also accepts 1_0 and inf
 
 
 @dataclass(slots=True, eq=False)
 class Call:
+    """A call to the counter and its HTTP request."""
+
     name: int | str
     text: bytes
     timer: asyncio.TimerHandle | None = None
@@ -35,7 +40,10 @@
 
 
 class CounterClient:
-    """`on_reply` gets exactly one reply for each call, in time or as maybe added."""
+    """Adds to numbers of the counter; `on_reply` gets exactly one reply for each call.
+
+    A call without an answer within `timeout` gets a reply that says whether it may have been added.
+    """
 
     def __init__(
         self,
@@ -52,6 +60,7 @@
         self.tasks: set[asyncio.Task[None]] = set()
 
     def add(self, name: int | str, amount: float, lifetime: float) -> None:
+        """Adds `amount` to the number `name`, which the counter keeps for `lifetime` seconds."""
         keep = min(60_000, max(1, round(lifetime * 1000)))
         host, port = self.address
         text = f"POST /tally/{name}?n={amount:.6f}&keep_ms={keep} HTTP/1.1\r\nHost: {host}:{port}\r\n"
@@ -67,6 +76,7 @@
         connection.add(call)
 
     def close(self) -> None:
+        """Closes all connections."""
         for task in self.tasks:
             task.cancel()
         for connection in self.connections:
@@ -74,7 +84,7 @@
                 connection.close()
 
     def drain(self) -> None:
-        """Takes no more calls; those in hand end as ever, each with its one reply; then it closes."""
+        """Closes once the calls in flight have their replies; no calls may be added any more."""
         for connection in self.connections:
             if connection:
                 connection.draining = True
@@ -90,7 +100,7 @@
             connection.connection_lost(None)
 
     def _on_timeout(self, connection: CounterConnection, call: Call) -> None:
-        """No answer in time: it may have been added, unless the call was never written."""
+        """The call has no answer in time; it may have been added unless it was never written."""
         self.reply(call, CounterReply(call.name, False, 0.0, maybe_added=call.written_at is not None))
         first = connection.calls[0] if connection.calls else None
         if (
@@ -101,6 +111,7 @@
             connection.close()
 
     def reply(self, call: Call, reply: CounterReply) -> None:
+        """Delivers a reply, unless the call has had one."""
         if not call.done:
             call.done = True
             if call.timer:
@@ -109,7 +120,7 @@
 
 
 class CounterConnection(asyncio.Protocol):
-    """One connection. A call that has run out of time keeps its place, so that its late answer finds it."""
+    """A connection. A call that timed out stays queued, so that its late answer is matched to it."""
 
     def __init__(self, owner: CounterClient) -> None:
         self.owner, self.closed, self.body = owner, False, b""
@@ -117,9 +128,10 @@
         self.transport: asyncio.Transport | None = None
         self.idle_timer: asyncio.TimerHandle | None = None
         self.size = 0
-        self.draining = False  # closed as soon as its calls are answered
+        self.draining = False  # closes as soon as its calls are answered
 
     def add(self, call: Call) -> None:
+        """Queues a call and writes it if the connection is established."""
         self.calls.append(call)
         if self.transport:
             self._write(call)
@@ -135,19 +147,22 @@
     def connection_made(self, transport: Any) -> None:  # noqa: ANN401
         self.transport = transport
         self.parser = httptools.HttpResponseParser(self)
-        self.calls = deque(call for call in self.calls if not call.done)  # the others are not made any more
+        self.calls = deque(
+            call for call in self.calls if not call.done
+        )  # calls that timed out meanwhile are dropped
         for call in self.calls:
             self._write(call)
         self.update_idle()
 
     def update_idle(self) -> None:
+        """Without calls: closes the connection if draining, else starts its idle timeout."""
         if self.draining and not self.calls and self.transport:
             self.close()
         elif not self.calls and not self.idle_timer:
             self.idle_timer = self.owner.loop.call_later(IDLE_TIMEOUT_S, self.close)
 
     def data_received(self, data: bytes) -> None:
-        if not self.calls:  # nothing was asked
+        if not self.calls:  # unsolicited data
             self.close()
             return
         self.size += len(data)
@@ -163,11 +178,11 @@
     def on_body(self, body: bytes) -> None:
         self.body += body
         if len(self.body) > MAX_BODY_BYTES:
-            raise ValueError("a total without end")
+            raise ValueError("response body too long")
 
     def on_message_begin(self) -> None:
-        if not self.calls:  # more than belongs to the last call
-            raise ValueError("an answer that nobody asked for")
+        if not self.calls:  # more responses than calls
+            raise ValueError("a response without a call")
 
     def on_message_complete(self) -> None:
         self.size = 0
@@ -177,10 +192,10 @@
         call = self.calls.popleft()
         if status == 200 and NUMBER.fullmatch(body):
             self.owner.reply(call, CounterReply(call.name, True, float(body)))
-        else:  # 503, 400 and 404 have added nothing; anything else may have
+        else:  # 503, 400 and 404 mean that nothing was added; with anything else it may have been
             plain = status in (503, 400, 404)
             self.owner.reply(call, CounterReply(call.name, False, 0.0, maybe_added=not plain))
-            if not plain:  # an answer without a number: nothing on this connection can be relied on
+            if not plain:  # the connection cannot be trusted after an invalid answer
                 self.close()
         if not self.parser.should_keep_alive():
             self.close()
--- a/coralvale/net/discovery.py
+++ b/coralvale/net/discovery.py
@@ -1,4 +1,7 @@
-"""The watch on discovery: keeps the merged list of hosts and passes on each change of it."""
+"""Client of the discovery service: keeps the merged list of hosts and reports each change of it.
+
+Times and timeouts are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -20,17 +23,17 @@
 
 log = logging.getLogger(__name__)
 
-SILENCE_TIMEOUT_S = 3.5  # s without a line, of which one is due every 2 s, after which a watch is dead
-# s that the head of an answer may take. Where discovery serves a large fleet, calls wait in turn there for up to
-# 2 s; whoever gives one up that is under way and calls again makes the line longer for all, itself first.
+SILENCE_TIMEOUT_S = 3.5  # without a line, of which one is due every 2 s; then the watch is closed
+# For the head of an answer. Discovery serving a large fleet queues calls for up to 2 s; a call that is given up
+# and repeated makes that queue longer for all gateways.
 HEAD_TIMEOUT_S = 4.5
-CONNECT_TIMEOUT_S = 1.0  # s for a connection to the agent, which is on this machine
-BACKOFF_S, MAX_BACKOFF_S = 0.05, 1.0  # s before the next try, doubled each time, and jittered
-# A fleet that calls all at once, or again and again, keeps its own line standing: discovery works on calls that
-# have been given up, and then none is answered in time. So what is harmless for one is slower for many.
-CONCURRENT_GATEWAYS = 8  # gateways that may call at one moment
-SPREAD_PER_GATEWAY_S = 0.1  # s for each gateway past those, over which a start or a lost watch is spread
-BUSY_BACKOFF_S, MAX_BUSY_BACKOFF_S = 0.05, 0.2  # s per gateway before the next try when discovery is busy
+CONNECT_TIMEOUT_S = 1.0  # to the agent, which is on this machine
+BACKOFF_S, MAX_BACKOFF_S = 0.05, 1.0  # before the next try: doubled each time, with jitter
+# Discovery also works on calls that were given up. A fleet that calls all at once, or retries too often, keeps
+# its queue so long that no call is answered in time; so delays grow with the number of gateways.
+CONCURRENT_GATEWAYS = 8  # gateways that may call at the same moment
+SPREAD_PER_GATEWAY_S = 0.1  # for each further gateway: start-ups and lost watches are spread over the total
+BUSY_BACKOFF_S, MAX_BUSY_BACKOFF_S = 0.05, 0.2  # per gateway, before the next try when discovery is busy
 MAX_LINE_BYTES = 8 * 1024 * 1024
 STATES = {
     "active": api.ServerState.HEALTHY,
@@ -41,7 +44,7 @@
 
 @dataclass(slots=True)
 class Endpoint:
-    """A listed host: what the module knows of it, its address here, and since when it is to be left alone."""
+    """A listed host: its entry for the decision module, its address, and since when it is draining."""
 
     server: api.Server
     address: Address
@@ -49,11 +52,15 @@
 
     @property
     def instance(self) -> HostInstance:
+        """Identifies this run of the host, for connections kept to it."""
         return self.server.id, self.server.started_at, self.address
 
 
 class Discovery:
-    """Follows the list; `on_change(kind, servers, stale)` gets what changed and which hosts to let go."""
+    """Follows the list of hosts.
+
+    `on_change(kind, servers, stale)` gets each change, and the instances whose connections are to be closed.
+    """
 
     def __init__(
         self,
@@ -65,7 +72,7 @@
         silence_timeout: float = SILENCE_TIMEOUT_S,
         fleet: int = 1,
     ) -> None:
-        """`fleet`: how many gateways ask this discovery."""
+        """`fleet`: number of gateways that call this discovery service."""
         self.address, self.clock, self.on_change, self.silence_timeout = (
             address,
             clock,
@@ -78,23 +85,21 @@
         self.index: int | None = None
         self.random = random.Random()
         self.current_watch: Watch | None = None
-        self.empty_list_seen = False  # the last whole list named no host, and was not believed
+        self.empty_list_seen = False  # the last full list had no host and was ignored
         self.fleet, self.spread = fleet, SPREAD_PER_GATEWAY_S * max(0, fleet - CONCURRENT_GATEWAYS)
         self.backoff = BACKOFF_S
-        self.address_changed = (
-            asyncio.Event()
-        )  # set when the address has changed: there is nothing to wait for
-        self.on_answer: Callable[[], None] | None = None  # called when a watch has been answered
+        self.address_changed = asyncio.Event()  # ends any pause and connect to the old address
+        self.on_answer: Callable[[], None] | None = None  # called when the head of a watch's answer arrives
 
     def apply(self, message: dict[str, Any], cached: bool = False) -> None:
-        """Merges one message into the list; an entry that cannot be read is left out and named in the log.
+        """Merges one message into the list. An invalid entry is skipped and logged.
 
-        Raises ValueError, and changes nothing, for a message of another form, and for a whole list without any
-        host while some are known: only when it is told a second time is it believed.
+        Raises ValueError, and changes nothing, for a message of another form. Also for a full list without hosts
+        while some are known; such a list is accepted when it comes a second time.
         """
         entries, index = message.get("endpoints", []), message.get("index")
         if not isinstance(entries, list):
-            raise ValueError("endpoints: no list")
+            raise ValueError("endpoints: not a list")
         full, now = bool(message.get("snapshot")) or cached, self.clock.now()
         changed: list[api.Server] = []
         before, listed = self.endpoints, {} if full else dict(self.endpoints)
@@ -106,7 +111,7 @@
                 known = isinstance(entry, dict) and before.get(str(entry.get("name")))
                 if not (full and known):
                     continue
-                endpoint = known  # one bad field must not take a host from the list
+                endpoint = known  # one invalid field must not remove a host from the list
             name, old = endpoint.server.id, before.get(endpoint.server.id)
             changed.append(endpoint.server)
             if endpoint.server.state is api.ServerState.GONE:
@@ -118,12 +123,12 @@
             listed[name] = endpoint
         if full and not cached and before and not listed and not self.empty_list_seen:
             self.empty_list_seen = True
-            raise ValueError("a whole list without a host: asked for again")
+            raise ValueError("full list without a host; requesting it again")
         self.empty_list_seen = self.empty_list_seen and not listed
         self.endpoints = listed
-        # A host that drains, has gone, restarted or moved: connections kept to it serve nothing new.
+        # Connections to hosts that are draining, gone, restarted or have moved get no new requests.
         stale = [old.instance for name, old in before.items() if self._replaced(old, listed.get(name))]
-        # Without an index that can be read, the next watch begins with the whole list.
+        # Without a valid index the next watch starts with the full list.
         self.index = index if type(index) is int and index >= 0 else None
         if cached or full or changed:
             kind = api.ListKind.CACHED if cached else api.ListKind.FULL if full else api.ListKind.CHANGES
@@ -140,7 +145,7 @@
         gone = state is api.ServerState.GONE
         weight, since = float(entry.get("weight", 1.0)), float(entry.get("since_ms") or 0)
         if not (math.isfinite(weight) and math.isfinite(since)):
-            raise ValueError("weight or since_ms: no finite number")
+            raise ValueError("weight or since_ms: not a finite number")
         server = api.Server(
             id=str(entry["name"]),
             state=state,
@@ -153,23 +158,23 @@
         return Endpoint(server, ("", 0) if gone else read_address(entry["address"]))
 
     def refresh(self) -> None:
-        """Asks for the whole list, by a new watch from no version."""
+        """Requests the full list, by a new watch without an index."""
         self.index = None
         if self.current_watch:
             self.current_watch.close()
 
     def change_address(self, address: Address) -> None:
-        """Follows another agent from now on, from no version: an index means nothing to a stranger.
+        """Switches to another agent, without an index, as indexes of agents differ.
 
-        The list stays as it is until the new agent has told its own.
+        The known list is kept until the new agent sends its own.
         """
         self.address, self.backoff = address, BACKOFF_S
         self.refresh()
         self.address_changed.set()
 
     async def run(self) -> None:
-        """Watches for good. Nothing that goes wrong in one watch may end this: the list would age unseen."""
-        if self.endpoints and self.spread:  # known from before: the news can wait its turn
+        """Watches until cancelled. An error in a watch must not end it: the list would become stale unnoticed."""
+        if self.endpoints and self.spread:  # a list is known, so the first call can wait
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(self._start_delay()):
                     await self.address_changed.wait()
@@ -179,13 +184,13 @@
             moved = asyncio.ensure_future(self.address_changed.wait())
             try:
                 await asyncio.wait([watching, moved], return_when=asyncio.FIRST_COMPLETED)
-                if moved.done():  # a connect to the old address may hang, so it is not waited for
+                if moved.done():  # does not wait for a connect to the old address
                     continue
                 if error := watching.exception():
                     log.error("discovery: a watch failed", exc_info=error)
                 useful = not error and watching.result()
                 self._back_off(useful, self.current_watch is not None and self.current_watch.busy)
-                # Jittered, so that gateways that lost discovery together do not come back together.
+                # With jitter, so that gateways that lost discovery together do not reconnect together.
                 pause = self.backoff * (0.5 + self.random.random()) + (self._start_delay() if useful else 0.0)
                 await asyncio.wait([moved], timeout=pause)
             finally:
@@ -193,11 +198,11 @@
                 moved.cancel()
 
     def _start_delay(self) -> float:
-        """Seconds to wait for this gateway's turn among all that may want to call now."""
+        """Random delay in seconds that spreads the calls of all gateways."""
         return self.spread * self.random.random()
 
     def _back_off(self, useful: bool, busy: bool) -> None:
-        """Sets the pause before the next watch: short where one broke, long where there is a line."""
+        """Sets the pause before the next watch: short after a useful one, long while discovery is busy."""
         if useful:
             self.backoff = BACKOFF_S
         elif busy:
@@ -207,7 +212,7 @@
             self.backoff = min(2 * self.backoff, max(MAX_BACKOFF_S, self.backoff))
 
     async def _watch(self) -> bool:
-        """Follows one watch to its end; tells whether it was of any use."""
+        """Follows one watch to its end; returns whether it delivered lines and none was invalid."""
         loop = asyncio.get_running_loop()
         watch = self.current_watch = Watch(self)
         try:
@@ -217,18 +222,18 @@
             watch.close()
             return False
         while not watch.lost.done():
-            # A watch cut off on the way stays open and says nothing for good.
+            # A watch whose network path broke stays open and silent forever.
             limit = self.silence_timeout if watch.answered else min(self.silence_timeout, HEAD_TIMEOUT_S)
             left = watch.last_received_at + limit - loop.time()
             if left <= 0:
-                log.warning("discovery: nothing heard for %.1f s, watching anew", limit)
+                log.warning("discovery: no data for %.1f s, opening a new watch", limit)
                 watch.close()
             await asyncio.wait([watch.lost], timeout=max(left, 0.1))
         return watch.lines > 0 and not watch.broken
 
 
 class Watch(asyncio.Protocol):
-    """One watch: a chunked answer that holds one JSON object a line."""
+    """One watch: a chunked response with one JSON object per line."""
 
     def __init__(self, owner: Discovery) -> None:
         self.owner, self.partial_line, self.lines, self.answered = owner, b"", 0, False
@@ -264,12 +269,12 @@
             self.owner.on_answer()
 
     def on_body(self, body: bytes) -> None:
-        if self.owner.current_watch is not self:  # what an agent left behind still had to say
+        if self.owner.current_watch is not self:  # a late message of the previous agent
             self.close()
             return
         *lines, self.partial_line = (self.partial_line + body).split(b"\n")
         if len(self.partial_line) > MAX_LINE_BYTES:
-            raise ValueError("a line without end")
+            raise ValueError("line too long")
         for line in lines:
             self.last_received_at = self.clock()
             if line.strip():
@@ -279,7 +284,7 @@
             self.close()
 
     def _line(self, line: bytes) -> None:
-        """One bad line must not lose the others; what it told is asked for anew, with the whole list."""
+        """Applies one line. An invalid one does not lose the others; the full list is then requested again."""
         try:
             self.owner.apply(json.loads(line))
         except (ValueError, TypeError, AttributeError, RecursionError) as error:
--- a/coralvale/net/door.py
+++ b/coralvale/net/door.py
@@ -1,10 +1,12 @@
-"""The operators' server: a listener of its own that answers one call to a connection, whatever the load.
+"""HTTP server for operators, on a listener of its own that answers at any load of the gateway.
+
+Each connection carries one request:
 
     GET /healthcheck        200 once this process can serve, else 503
-    GET /stats              the figures, `key=value` a line
-    GET /NAME               a page of a subsystem that the operator's file names, such as `members`
-    POST /hosts/ID/maint    take a host out
-    POST /hosts/ID/ready    use it again
+    GET /stats              statistics, one `key=value` per line
+    GET /NAME               page of a subsystem that the operator's file enables, such as `members`
+    POST /hosts/ID/maint    take a host out of service
+    POST /hosts/ID/ready    put it back into service
 
 At most `MAX_CONNECTIONS` connections are open. One without a complete request is closed after
 `REQUEST_TIMEOUT_S`, or earlier if a new connection needs the slot: the oldest such connection is evicted,
@@ -28,11 +30,11 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CONNECTIONS = 24  # connections at once
-MAX_REQUEST_BYTES = 8 * 1024  # bytes of a call, its head and what body it may have
-REQUEST_TIMEOUT_S = 6.0  # s that a call may take to arrive
-LINGER_S = 1.0  # s for an answer to leave
-ACCEPT_PAUSE_S = 0.05  # s without accepting after an accept has failed
+MAX_CONNECTIONS = 24
+MAX_REQUEST_BYTES = 8 * 1024  # head and body together
+REQUEST_TIMEOUT_S = 6.0  # for a complete request to arrive
+LINGER_S = 1.0  # for an answer to be sent
+ACCEPT_PAUSE_S = 0.05  # without accepting, after accept() failed
 REASONS = {
     200: "OK",
     400: "Bad Request",
@@ -44,24 +46,24 @@
 
 
 class ManagedNode(Protocol):
-    """What the door speaks for: the node."""
+    """The node that the server reports on and changes."""
 
     def can_serve(self) -> bool:
         """Whether this process can serve."""
 
     def stats(self) -> str:
-        """The figures."""
+        """Statistics, one `key=value` per line."""
 
     @property
     def pages(self) -> Mapping[bytes, Callable[[], str]]:
-        """Subsystems' pages by name."""
+        """Functions that render the pages of subsystems, by name."""
 
     def set_maintenance(self, host: str, out: bool) -> tuple[int, str]:
-        """Takes a host out or gives it back; status and text of the answer."""
+        """Takes a host out of service or puts it back; returns status and text of the answer."""
 
 
 def decide(node: ManagedNode, method: bytes, target: bytes) -> tuple[int, str]:
-    """The answer to one call: status and text."""
+    """Status and text of the answer to a request."""
     parts = target.partition(b"?")[0].split(b"/")[1:]
     page = node.pages.get(parts[0]) if len(parts) == 1 else None
     if page is not None or parts in ([b"healthcheck"], [b"stats"]):
@@ -86,7 +88,7 @@
 
 
 class ManagementConnection(asyncio.Protocol):
-    """One connection: one call, one answer, the end."""
+    """A connection: one request, one answer, then closed."""
 
     def __init__(self, server: ManagementServer) -> None:
         self.server, self.target, self.size = server, b"", 0
@@ -117,7 +119,7 @@
         try:
             status, text = decide(self.server.node, self.parser.get_method(), self.target)
         except Exception:
-            log.exception("an operator's call failed")
+            log.exception("an operator's request failed")
             status, text = 500, "failed\n"
         self.answer(status, text)
 
@@ -142,7 +144,7 @@
 
 
 class ManagementServer:
-    """The listener; `address` may name port 0. Raises OSError if it cannot be had."""
+    """Listens on `address`, whose port may be 0. Raises OSError if it cannot."""
 
     def __init__(self, address: Address, node: ManagedNode) -> None:
         self.node = node
@@ -196,14 +198,14 @@
             accepted.close()
 
     def _make_room(self) -> None:
-        """The oldest connection without a whole call gives way, or the oldest of all."""
+        """Aborts the oldest connection without a complete request, or the oldest of all."""
         oldest = next((c for c in self.connections if not c.answered), next(iter(self.connections), None))
         if oldest is not None and oldest.transport:
             self.connections.pop(oldest).cancel()
             oldest.transport.abort()
 
     def close(self) -> None:
-        """Lets go of the listener and of all connections, at once."""
+        """Closes the listener and aborts all connections."""
         if self.socket.fileno() >= 0:
             self.loop.remove_reader(self.socket.fileno())
             self.socket.close()
--- a/coralvale/net/server.py
+++ b/coralvale/net/server.py
@@ -1,4 +1,7 @@
-"""The clients' side: connections, the reading and checking of requests, the writing of answers."""
+"""HTTP/1.1 server for clients: accepts connections, reads and checks requests, writes answers.
+
+Times and timeouts are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -24,35 +27,24 @@
 log = logging.getLogger(__name__)
 
 MAX_BODY_BYTES = 32 * 1024 * 1024
-UNCOUNTED_BODY_BYTES = (
-    64 * 1024
-)  # bytes that a body may have without being counted against the bound on all bodies
-MAX_HEAD_BYTES = 64 * 1024  # bytes of headers
-MAX_PIPELINED = 16  # requests of one connection in hand, past which it is not read
-HEAD_TIMEOUT_S = (
-    2.25  # s that a head may take to arrive, 2 by the protocol, or a connection may say nothing before it
-)
-MIN_BODY_BYTES_PER_S = (
-    50_000  # bytes a second, 64,000 by the protocol, at which a body has to come, past its first 2 s
-)
-MAX_ANSWER_BUFFER_BYTES = (
-    8 * 1024 * 1024
-)  # bytes of one long answer that may be kept for a client that reads slowly
-STREAM_SEND_BUFFER_BYTES = (
-    256 * 1024
-)  # bytes that the kernel keeps of an answer that is passed on as it comes
-LINGER_S = 1.0  # s for an answer to arrive that was sent in the middle of what still comes
-MAX_LINGERING = 32  # connections in that state, past which the oldest is cut off
-IDLE_TIMEOUT_S = 10.0  # s that a connection may stand idle between requests
-SHORT_IDLE_TIMEOUT_S = (
-    2.0  # the same when connections are getting short: more than half of the bound is taken
-)
-NEW_CONNECTION_GRACE_S = (
-    0.25  # s that a new connection has to say something, where another waits for its place
-)
-WRITE_TIMEOUT_S = 10.0  # s that a client may leave an answer unread
-ACCEPT_PAUSE_S = 0.05  # s without accepting after an accept has failed
-SWEEP_INTERVAL_S = 0.25
+UNCOUNTED_BODY_BYTES = 64 * 1024  # a body up to this size does not count against the bound on all bodies
+MAX_HEAD_BYTES = 64 * 1024
+MAX_PIPELINED = 16  # unanswered requests of one connection, at which it is no longer read
+# For a whole request head, and for the first byte on a new connection; the protocol says 2 s.
+HEAD_TIMEOUT_S = 2.25
+# Lowest average rate of a body that takes longer than HEAD_TIMEOUT_S; the protocol asks for 64,000
+# after the first 2 s.
+MIN_BODY_BYTES_PER_S = 50_000
+MAX_ANSWER_BUFFER_BYTES = 8 * 1024 * 1024  # of streamed answers, buffered for one slow client
+STREAM_SEND_BUFFER_BYTES = 256 * 1024  # SO_SNDBUF of a connection with a streamed answer
+LINGER_S = 1.0  # for the client to receive an answer that was sent while it was still sending
+MAX_LINGERING = 32  # lingering connections, above which the oldest is aborted
+IDLE_TIMEOUT_S = 10.0  # between requests of a connection
+SHORT_IDLE_TIMEOUT_S = 2.0  # the same when half of the allowed connections or more are open
+NEW_CONNECTION_GRACE_S = 0.25  # before a connection that has sent nothing may be evicted for another
+WRITE_TIMEOUT_S = 10.0  # for a client that does not read its answer
+ACCEPT_PAUSE_S = 0.05  # without accepting, after accept() failed
+SWEEP_INTERVAL_S = 0.25  # between checks of all connections for timeouts
 
 REASONS = {
     200: "OK",
@@ -67,15 +59,16 @@
     503: "Service Unavailable",
     504: "Gateway Timeout",
 }
-# An authoriser may deny with any status that tells of a failure.
+# An authoriser may deny a request with any status from 400 to 599.
 STATUS_LINES = {status: b"HTTP/1.1 %d \r\n" % status for status in range(200, 400)}
 STATUS_LINES |= {status: b"HTTP/1.1 %d Denied\r\n" % status for status in range(400, 600)}
 STATUS_LINES |= {status: f"HTTP/1.1 {status} {reason}\r\n".encode() for status, reason in REASONS.items()}
-# Headers of a request that concern one connection only or are written anew.
+# Request headers that are hop-by-hop, or that the gateway sets itself.
 NOT_FORWARDED_HEADERS = {
     b"connection", b"keep-alive", b"transfer-encoding", b"te", b"trailer", b"upgrade", b"content-length",
     b"proxy-authorization", b"proxy-connection", b"expect", b"x-timeout",
 }  # fmt: skip
+# Headers that hosts need: forwarded even if `Connection` lists them.
 PROTOCOL_HEADERS = {
     b"host",
     b"cookie",
@@ -85,7 +78,7 @@
     b"x-priority-class",
     b"content-type",
 }
-ABSOLUTE_FORM = re.compile(rb"(?i)https?://[^/?#]*(?=/|$)")  # RFC 9112, section 3.2.2
+ABSOLUTE_FORM = re.compile(rb"(?i)https?://[^/?#]*(?=/|$)")  # of a request target: RFC 9112, section 3.2.2
 COOKIE = re.compile(rb"(?:^|;)\s*client=([^;]*)")
 CLIENT_ID = re.compile(rb"[0-9a-fA-F]{16}")
 PAIR = re.compile(rb"([a-z]+)=([^,; ]*)")
@@ -94,27 +87,27 @@
 
 
 def connection_options(value: bytes) -> set[bytes]:
-    """Fields that `Connection` names: of this connection alone (RFC 9110, 7.6.1). Not those that hosts need."""
+    """Header names in a `Connection` value, which are hop-by-hop (RFC 9110, 7.6.1), less PROTOCOL_HEADERS."""
     return {name.strip().lower() for name in value.split(b",")} - PROTOCOL_HEADERS
 
 
 @dataclass(slots=True)
 class ClientLimits:
-    """What a client may send, and how long it may take: the platform's figures, until others are set."""
+    """Limits on the size and duration of requests; the defaults are those of the platform."""
 
-    max_head_bytes: int = MAX_HEAD_BYTES  # bytes of headers
+    max_head_bytes: int = MAX_HEAD_BYTES
     max_body_bytes: int = MAX_BODY_BYTES
     head_timeout: float = HEAD_TIMEOUT_S  # s
     idle_timeout: float = IDLE_TIMEOUT_S  # s
-    large_head_status: int = 400  # the status that a larger head gets
+    large_head_status: int = 400  # status of the answer to a larger head
 
 
 class BadRequest(ValueError):
-    """A request that is answered 400; the message tells the client why."""
+    """A request that is answered with 400; the message is sent to the client."""
 
 
 class Exchange:
-    """One request of a connection and its answer."""
+    """A request and its answer."""
 
     __slots__ = (
         "answer", "chunked", "close", "connection", "counted_bytes", "fields", "headers", "handler_state",
@@ -124,26 +117,27 @@
     def __init__(self, connection: ClientConnection) -> None:
         self.connection = connection
         self.method = self.target = b""
-        self.parts: list[bytes] = []  # of the body, as they came
-        self.counted_bytes = 0  # bytes of it that count against the bound on all bodies
+        self.parts: list[bytes] = []  # of the body, in the order received
+        self.counted_bytes = 0  # of the body, against the bound on all bodies
         self.http_1_0 = False  # the client speaks HTTP/1.0
-        self.source: Source | None = None  # what an answer that is passed on as it comes is read from
-        self.pending: list[bytes] = []  # of that answer, to be written
+        self.source: Source | None = None  # where a streamed answer is read from
+        self.pending: list[bytes] = []  # data of a streamed answer that is not written yet
         self.started = self.finished = self.chunked = False
-        self.headers: list[tuple[bytes, bytes]] = []  # as they came
+        self.headers: list[tuple[bytes, bytes]] = []  # in the order received
         self.fields: dict[bytes, bytes] = {}
         self.answer: bytes | None = None
         self.close = False
-        self.handler_state: Any = None  # the node's record of it
+        self.handler_state: Any = None  # the handler's record of the request
 
     @property
     def body(self) -> bytes:
+        """The body received so far."""
         if len(self.parts) > 1:
             self.parts = [b"".join(self.parts)]
         return self.parts[0] if self.parts else b""
 
     def release_body(self) -> None:
-        """Nobody needs the body any more."""
+        """Drops the body and returns its bytes to the bound on all bodies."""
         self.parts = []
         self.connection.server.body_bytes -= self.counted_bytes
         self.counted_bytes = 0
@@ -155,7 +149,10 @@
         headers: list[tuple[bytes, bytes]] | None = None,
         retry_after: float = 0.0,
     ) -> None:
-        """The answer; the first one counts, and it goes out in the order of the requests."""
+        """Answers the request; further answers are ignored. Answers are sent in the order of the requests.
+
+        `retry_after` is in seconds; 0 sends no Retry-After.
+        """
         if self.answer is not None:
             return
         parts = [STATUS_LINES[status], b"Content-Length: %d\r\n" % len(body)]
@@ -173,10 +170,10 @@
         self.release_body()
         self.connection.flush()
 
-    # An answer that is passed on as it comes
+    # Streamed answers
 
     def start_stream(self, headers: list[tuple[bytes, bytes]], length: int | None, source: Source) -> None:
-        """Status and headers of an answer 200 of `length` bytes, or of an unknown length; `write` follows."""
+        """Starts a 200 answer whose body follows by `write`; `length` in bytes, None if it is unknown."""
         self.source = source
         parts = [STATUS_LINES[200], *(b"%b: %b\r\n" % header for header in headers)]
         if length is not None:
@@ -194,10 +191,13 @@
         self.release_body()
 
     def write(self, data: list[bytes]) -> None:
-        """More of it. While the client takes no more, or is owed another answer first, the source waits."""
+        """Sends a part of the body. Pauses the source if too much is buffered for clients.
+
+        Data is buffered while the client does not read or earlier answers of its connection are not sent.
+        """
         if self.chunked and data:
             data = [b"%x\r\n" % sum(map(len, data)), *data, b"\r\n"]
-        self.pending.append(b"".join(data))  # many small pieces would take several times their bytes
+        self.pending.append(b"".join(data))  # many small pieces take several times their size in memory
         self.connection.flush()
         if self.source and not self.finished and (self.pending or self.connection.write_paused):
             self.connection.update_buffered()
@@ -206,7 +206,7 @@
                 self.connection.server.waiting_for_buffer[self.connection] = None
 
     def finish(self) -> None:
-        """All of it has been written."""
+        """Ends a streamed answer."""
         self.finished = True
         self.source = None
         if self.chunked:
@@ -214,31 +214,35 @@
         self.connection.flush()
 
     def abort(self) -> None:
-        """The rest will not come: the client is left to see that the answer is not whole."""
+        """Aborts a streamed answer that cannot be completed, so that the client sees that it is truncated."""
         self.source = None
         self.connection.abort()
 
     def reply_and_close(self, status: int, body: bytes = b"") -> None:
-        """Turns away what the protocol does not know, and ends the connection: the next may be no better."""
+        """Rejects an invalid request and closes the connection, as its next one is likely invalid too."""
         self.close = True
         self.reply(status, body)
 
 
 class Handler(Protocol):
-    """What takes the requests: the node."""
+    """Handles the requests that a server has read."""
 
     @property
-    def ready(self) -> bool: ...
+    def ready(self) -> bool:
+        """Whether `GET /up` is answered with 200."""
 
-    def handle(self, exchange: Exchange, fields: ParsedRequest) -> None: ...
+    def handle(self, exchange: Exchange, fields: ParsedRequest) -> None:
+        """Handles a valid request."""
 
-    def client_disconnected(self, exchange: Exchange) -> None: ...
+    def client_disconnected(self, exchange: Exchange) -> None:
+        """The connection was lost before the answer was complete."""
 
-    def rejected(self, exchange: Exchange, status: int, why: str) -> None: ...
+    def rejected(self, exchange: Exchange, status: int, why: str) -> None:
+        """The server itself answered a request with an error; `why` is for logs."""
 
 
 class ParsedRequest:
-    """The fields of a request that the decisions need."""
+    """The header fields of a request that decisions need, checked. Raises BadRequest if one is invalid."""
 
     __slots__ = (
         "cls",
@@ -254,7 +258,7 @@
         "units",
     )
 
-    def __init__(self, settings: NameIndex, exchange: Exchange) -> None:
+    def __init__(self, names: NameIndex, exchange: Exchange) -> None:
         fields = exchange.fields
 
         def need(name: bytes) -> bytes:
@@ -267,18 +271,18 @@
             raise BadRequest("x-request-id: not a plain word")
         self.id = id_.decode()
         self.retried = fields.get(b"x-retried") == b"1"
-        cls = settings.classes.get(need(b"x-priority-class"))
+        cls = names.classes.get(need(b"x-priority-class"))
         if cls is None:
             raise BadRequest("x-priority-class: unknown class")
         self.cls = cls
-        plan = settings.plans.get(need(b"plan"))
+        plan = names.plans.get(need(b"plan"))
         if plan is None:
             raise BadRequest("plan: unknown plan")
-        # What it names, and what is in force: the same unless plans change in service.
+        # The plan that the request names and the plan in force; they differ only if plans change at run time.
         self.named_plan = self.plan = plan
-        self.plan_name = settings.plan_names[plan]
-        if exchange.method != settings.methods[cls]:
-            # What is unsafe to repeat must not come by a method that anyone may repeat, or the reverse.
+        self.plan_name = names.plan_names[plan]
+        if exchange.method != names.methods[cls]:
+            # What is unsafe to repeat must not use a method that anyone may repeat, or the reverse.
             raise BadRequest("the method does not go with the class")
         cookie = COOKIE.search(need(b"cookie"))
         if not cookie or not CLIENT_ID.fullmatch(cookie[1].strip()):
@@ -288,15 +292,16 @@
             raise BadRequest("cookie: the client is too large a number")
         self.timeout = parse_positive("x-timeout", need(b"x-timeout"))
         quota = dict(PAIR.findall(need(b"quota-info")))
-        # Units fill the customer's bucket, ceiling and counter window: nobody may name what he likes.
+        # Units are charged to the customer's bucket, ceiling and counter window, so they need a bound.
         self.units = parse_positive("quota-info units", quota.get(b"units", b""))
-        if not 1 <= self.units <= settings.most_units:
-            raise BadRequest(f"quota-info units: not from 1 to {settings.most_units:g}")
-        self.entry_gateways = parse_int("quota-info spread", quota.get(b"spread", b""), 1, settings.gateways)
-        self.first_gateway = parse_int("quota-info first", quota.get(b"first", b""), 0, settings.gateways - 1)
+        if not 1 <= self.units <= names.most_units:
+            raise BadRequest(f"quota-info units: not from 1 to {names.most_units:g}")
+        self.entry_gateways = parse_int("quota-info spread", quota.get(b"spread", b""), 1, names.gateways)
+        self.first_gateway = parse_int("quota-info first", quota.get(b"first", b""), 0, names.gateways - 1)
 
 
 def parse_positive(name: str, text: bytes) -> float:
+    """Parses a finite decimal number above 0; raises BadRequest naming the field."""
     value = float(text) if NUMBER.fullmatch(text) else 0.0
     if not 0 < value < math.inf:
         raise BadRequest(f"{name}: not a number above 0")
@@ -304,13 +309,14 @@
 
 
 def parse_int(name: str, text: bytes, low: int, high: int) -> int:
+    """Parses a decimal integer from `low` to `high`; raises BadRequest naming the field."""
     if not text.isdigit() or len(text) > 9 or not low <= int(text) <= high:
         raise BadRequest(f"{name}: not a whole number from {low} to {high}")
     return int(text)
 
 
 class NameIndex:
-    """Classes and plans by name, as headers give them, and each class's method."""
+    """Numbers of classes and plans by their names in headers, the method of each class, and bounds."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.classes = {c.name.encode(): i for i, c in enumerate(settings.classes)}
@@ -321,7 +327,7 @@
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client connection. Answers go out in the order of the requests."""
+    """A client connection. Answers are sent in the order of the requests."""
 
     def __init__(self, server: Server) -> None:
         self.server = server
@@ -331,16 +337,14 @@
         self.complete: list[Exchange] = []
         self.active_at = self.opened_at = self.server.clock.monotonic()
         self.message_began_at = 0.0
-        self.buffered_bytes = (
-            0  # bytes of answers that it has not taken, as far as they count against the bound
-        )
-        self.headers_complete_at = 0.0  # when the head of the request that is being read was whole
-        self.has_requested = False  # whether a whole request has ever come
+        self.buffered_bytes = 0  # of answers not yet sent, as last counted against the bounds
+        self.headers_complete_at = 0.0  # of the request that is being read
+        self.has_requested = False  # whether a complete request was ever received
         self.size = self.head_size = 0
         self.in_body = False
-        self.error_status = 0  # the status that ends this connection
+        self.error_status = 0  # status of the last answer, which closes the connection; 0 if none
         self.paused = self.write_paused = self.closing = False
-        self.over_limit = False  # beyond the bound: it is told so, then closed
+        self.over_limit = False  # above `max_connections`: answered with 503 and closed
 
     def connection_made(self, transport: Any) -> None:  # noqa: ANN401
         self.transport = transport
@@ -351,11 +355,11 @@
 
     def data_received(self, data: bytes) -> None:
         if self.error_status or self.closing:
-            return  # what follows a malformed request cannot be told apart
+            return  # data after a malformed request cannot be framed
         self.active_at = self.server.clock.monotonic()
         self.server.idle_connections.pop(self, None)
         if not self.in_body:
-            self.head_size += len(data)  # a header that does not end is seen here only
+            self.head_size += len(data)  # on_header does not see a header that does not end
         try:
             self.parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -368,7 +372,7 @@
             self.error_status = self.error_status or self.server.limits.large_head_status
         complete, self.complete = self.complete, []
         for exchange in complete:
-            if self.closing:  # an answer ahead of it was the connection's last
+            if self.closing:  # an earlier answer has closed the connection
                 break
             self.server.handle_request(exchange)
         if self.error_status:
@@ -379,7 +383,7 @@
         self.update_idle()
 
     def _reply_error(self) -> None:
-        """The last answer, behind those still owed. Nothing more is read: 60 MB may be on their way."""
+        """Queues an error as the last answer. Nothing more is read, as a large body may follow (60 MB)."""
         if self.transport and not self.paused:
             self.paused = True
             self.transport.pause_reading()
@@ -396,18 +400,21 @@
         )
 
     def update_idle(self) -> None:
-        """Notes that it stands idle, or does not: the longest idle is the first to make room."""
+        """Puts the connection on the list of idle ones if it is idle. The one idle longest is evicted first."""
         if self.is_idle():
             self.server.idle_connections[self] = None
 
     def reject_timed_out(self) -> None:
-        """Half a request: the client is told so, as long as no other answer is owed ahead of it."""
+        """Answers 408 to a request that did not arrive completely in time."""
         self.error_status = 408
         self._reply_error()
         self.reading = None
 
     def is_too_slow(self, now: float) -> bool:
-        """Whether the request that is being read comes more slowly than clients may be."""
+        """Whether the request that is being read arrives more slowly than is allowed.
+
+        Not while earlier requests of the connection are unanswered.
+        """
         if not self.reading or self.exchanges:
             return False
         if self.in_body:
@@ -429,14 +436,14 @@
     def on_header(self, name: bytes, value: bytes) -> None:
         exchange, lower, value = self.reading, name.lower(), value.strip(b" \t")  # RFC 9110, section 5.5
         assert exchange is not None
-        if self.in_body:  # a trailer: nothing in it is of use to a host, and it must not stand for a header
+        if self.in_body:  # a trailer: of no use to hosts, and must not replace a header
             return
         self.size += len(name) + len(value)
         if self.size > self.server.limits.max_head_bytes:
             self.error_status = self.server.limits.large_head_status
             raise ValueError("too many headers")
         if lower in exchange.fields and lower in self.server.single_value_headers:
-            exchange.fields[lower] = b""  # two values are none
+            exchange.fields[lower] = b""  # two values count as none
         else:
             exchange.fields[lower] = value
         exchange.headers.append((name, value))
@@ -450,11 +457,11 @@
         self.headers_complete_at = self.server.clock.monotonic()
         length = exchange.fields.get(b"content-length", b"0")
         if b"transfer-encoding" in exchange.fields:
-            # With a length beside it, it may hide a second request in the body of the first.
+            # With Content-Length as well it may be request smuggling.
             coding = exchange.fields[b"transfer-encoding"].strip().lower()
             if b"content-length" in exchange.fields or coding != b"chunked":
                 self.error_status = 400
-        elif not length.strip().isdigit():  # a sign, a list, or two of them
+        elif not length.strip().isdigit():  # a sign, a list, or two headers
             self.error_status = 400
         elif len(length.strip()) > 9 or int(length) > self.server.limits.max_body_bytes:
             self.error_status = 413
@@ -463,7 +470,7 @@
         else:
             self.error_status = self.server.early_rejection_status(exchange)
         if self.error_status:
-            raise ValueError("the length cannot be used")  # no byte of the body is looked at
+            raise ValueError("the length cannot be used")  # stops the parser before the body
         if exchange.fields.get(b"expect", b"").lower() == b"100-continue" and not self.exchanges:
             assert self.transport is not None
             self.transport.write(b"HTTP/1.1 100 Continue\r\n\r\n")
@@ -499,6 +506,7 @@
     # Writing
 
     def flush(self) -> None:
+        """Writes the answers that are next in order, as far as they are known."""
         if self.transport is None or self.transport.is_closing():
             return
         while self.exchanges and (answer := self.exchanges[0].answer) is not None:
@@ -513,7 +521,7 @@
             if exchange.pending:
                 self.transport.writelines(exchange.pending)
                 exchange.pending = []
-            if exchange.source:  # the rest is still to come
+            if exchange.source:  # more of the answer follows
                 if not self.write_paused:
                     exchange.source.resume()
                 return
@@ -527,12 +535,12 @@
             self.transport.resume_reading()
 
     def close_after_flush(self) -> None:
-        """Closes once what is written has gone out; requests behind a closing one are not answered."""
+        """Closes the connection after the data written is sent; later requests on it are not answered."""
         assert self.transport is not None
         self.closing = True
         self.server.idle_connections.pop(self, None)
         if self.error_status or self.reading or self.exchanges or self.has_unread():
-            # Closing on bytes that are still coming in would reset the connection and take the answer along.
+            # Closing with unread input would reset the connection, and the client could lose the answer.
             self.transport.write_eof()
             if not self.paused:
                 self.paused = True
@@ -542,7 +550,7 @@
             self.transport.close()
 
     def has_unread(self) -> bool:
-        """Whether the kernel holds something of the client that the loop has not been told of yet."""
+        """Whether the kernel has received data that the event loop has not reported yet."""
         assert self.transport is not None
         return self.server.sockets.unread(self.transport)()
 
@@ -557,14 +565,14 @@
         self.server.resume_sources()
 
     def update_buffered(self) -> None:
-        """Takes down what is kept of answers for this client: what it was not owed yet, or has not taken."""
+        """Updates the count of answer bytes that are buffered for this client."""
         kept = self.transport.get_write_buffer_size() if self.transport else 0
         kept += sum(len(data) for exchange in self.exchanges for data in exchange.pending)
         self.server.buffered_bytes += kept - self.buffered_bytes
         self.buffered_bytes = kept
 
     def abort(self) -> None:
-        """Ends the connection in the middle of an answer, in a way that cannot be taken for its end."""
+        """Resets the connection in the middle of an answer, so that the client cannot take it for complete."""
         if self.transport:
             self.transport.abort()
 
@@ -586,13 +594,14 @@
         self.exchanges.clear()
 
     def is_idle(self) -> bool:
+        """Whether the connection is open and no request is being read or answered."""
         return (
             not (self.exchanges or self.reading or self.closing or self.error_status)
             and self.transport is not None
         )
 
     def close_idle(self) -> bool:
-        """Closes it between requests, unless the next request is there already, unread."""
+        """Closes the connection if it is idle and the kernel has no unread data; returns whether it did."""
         if not self.is_idle() or self.has_unread():
             return False
         assert self.transport is not None
@@ -603,7 +612,13 @@
 
 
 class Server:
-    """Accepts clients, keeps their number under a bound, and hands their requests to the handler."""
+    """Accepts client connections up to a bound and passes their requests to the handler.
+
+    Up to `max_connections` are served. Up to `max_surplus` more are answered with 503 and closed; any beyond
+    that wait in the kernel's backlog. `listener` is a listening socket received from another process;
+    `shared` allows other processes to listen on the same address. Without `settings` a subclass overrides
+    `handle_request`. `max_total_body_bytes` bounds the memory for request bodies and buffered answers.
+    """
 
     single_value_headers = {
         b"x-request-id", b"x-priority-class", b"plan", b"cookie", b"x-timeout", b"quota-info",
@@ -623,34 +638,28 @@
         clock: Clock | None = None,
         sockets: Sockets | None = None,
     ) -> None:
-        # `listener` is one that another process has handed on; `shared`: another may listen here as well.
-        # Past `most` connections are told 503 and closed; past `surplus` more they wait in the kernel.
         self.handler, self.max_connections, self.max_surplus = handler, max_connections, max_surplus
         self.clock, self.sockets = clock or Clock(), sockets or Sockets()
         self.limits = ClientLimits()
         self.max_advice = settings.max_advice if settings else 0.0
-        if settings:  # without it `request` is another's
+        if settings:
             self.names = NameIndex(settings)
         self.loop = asyncio.get_running_loop()
         self.connections: set[ClientConnection] = set()
-        self.waiting_for_buffer: dict[ClientConnection, None] = {}  # whose long answers wait for room
-        # Those on which no request is open, by how long: looked at from the front only, never sorted.
+        self.waiting_for_buffer: dict[ClientConnection, None] = {}  # whose streamed answers are paused
+        # Idle connections, the one idle longest first; kept in order by insertion.
         self.idle_connections: OrderedDict[ClientConnection, None] = OrderedDict()
         self.lingering: OrderedDict[ClientConnection, asyncio.TimerHandle] = OrderedDict()
         self.tasks: set[asyncio.Task[Any]] = set()
         self.closing = self.accepting = False
-        self.body_bytes, self.max_total_body_bytes = (
-            0,
-            max_total_body_bytes,
-        )  # bytes of larger bodies, kept and at most
-        self.buffered_bytes, self.max_buffered_bytes = (
-            0,
-            max_total_body_bytes // 2,
-        )  # bytes of long answers, read and not yet taken
+        # Bytes of bodies above UNCOUNTED_BODY_BYTES, reserved and at most.
+        self.body_bytes, self.max_total_body_bytes = 0, max_total_body_bytes
+        # Bytes of streamed answers, read from hosts and not yet sent.
+        self.buffered_bytes, self.max_buffered_bytes = 0, max_total_body_bytes // 2
         self.socket = listener or self.sockets.bind(address, shared)
 
     def start(self, accept: bool = True) -> None:
-        """Listens; with `accept` clients are taken at once, else from `resume` on."""
+        """Starts listening; without `accept`, clients are accepted only after `resume_accepting`."""
         self.socket.listen(1024)
         if accept:
             self.resume_accepting()
@@ -660,16 +669,16 @@
     def port(self) -> int:
         return int(self.socket.getsockname()[1])
 
-    # Accepting is done here: uvloop's own server ends for good at the first accept that fails.
+    # Accepts without uvloop's server, which stops for good after the first accept that fails.
 
     def resume_accepting(self) -> None:
-        """Takes clients."""
+        """Accepts clients."""
         if not self.accepting and self.socket.fileno() >= 0:
             self.accepting = True
             self.loop.add_reader(self.socket.fileno(), self._accept)
 
     def pause_accepting(self) -> None:
-        """Takes no more clients for now; they wait in the kernel."""
+        """Stops accepting for now; new clients wait in the kernel's backlog."""
         if self.accepting:
             self.accepting = False
             self.loop.remove_reader(self.socket.fileno())
@@ -679,7 +688,7 @@
             if len(self.connections) >= self.max_connections + self.max_surplus:
                 if not self.sockets.waiting(self.socket):
                     return
-                # A flood of silent ones must not keep out who waits in the kernel.
+                # Connections that send nothing must not keep out clients waiting in the backlog.
                 if not self._close_silent():
                     self._make_room()
                 self.pause_accepting()
@@ -692,7 +701,7 @@
             except OSError as error:
                 if error.errno == errno.ECONNABORTED:
                     continue
-                # Out of descriptors or memory: the waiting connection would wake the loop without end.
+                # Out of descriptors or memory: without a pause the waiting connection makes the loop spin.
                 log.warning("cannot accept: %s", error.strerror)
                 self._make_room()
                 self.pause_accepting()
@@ -714,7 +723,10 @@
             accepted.close()
 
     def _make_room(self) -> bool:
-        """Closes the connection that has stood idle longest; a new one is given time to say something."""
+        """Closes the connection that is idle longest, except new ones within their grace period.
+
+        Returns whether one was closed.
+        """
         now = self.clock.monotonic()
         some = list(islice(self.idle_connections, 8))
         return any(
@@ -722,7 +734,7 @@
         )
 
     def _close_silent(self) -> int:
-        """Closes those that have not said anything in the time that they had for it."""
+        """Closes connections that sent no complete request within their grace period; returns how many."""
         now = self.clock.monotonic()
         some = [
             c
@@ -732,7 +744,7 @@
         return sum(connection.close_idle() for connection in some)
 
     def linger(self, connection: ClientConnection) -> None:
-        """Cuts a connection off when its last answer has had time to arrive; only so many wait for that."""
+        """Aborts a connection after LINGER_S; the oldest at once if more than MAX_LINGERING linger."""
         assert connection.transport is not None
         self.lingering[connection] = self.loop.call_later(LINGER_S, connection.transport.abort)
         if len(self.lingering) > MAX_LINGERING:
@@ -741,7 +753,7 @@
             oldest.transport.abort()
 
     def resume_sources(self) -> None:
-        """There may be room again: long answers that waited for it are read on, the longest wait first."""
+        """Resumes paused streamed answers for which there is buffer space again, in the order of pausing."""
         for connection in list(self.waiting_for_buffer):
             if not self.may_buffer(connection):
                 if self.buffered_bytes >= self.max_buffered_bytes:
@@ -753,6 +765,7 @@
                     exchange.source.resume()
 
     def remove(self, connection: ClientConnection) -> None:
+        """Forgets a closed connection."""
         self.waiting_for_buffer.pop(connection, None)
         self.connections.discard(connection)
         self.idle_connections.pop(connection, None)
@@ -762,11 +775,14 @@
     # Requests
 
     def early_rejection_status(self, exchange: Exchange) -> int:
-        """The status of an answer that needs the head alone, 0 for none; the connection is closed after it."""
+        """Status with which a request is rejected by its head alone, before its body; 0 if it is not.
+
+        The connection is closed after that answer.
+        """
         return 0
 
     def reserve_body(self, exchange: Exchange, size: int) -> bool:
-        """Whether a body of `size` bytes may be kept; if so its bytes count until nobody needs them."""
+        """Reserves memory for a body of `size` bytes until `release_body`; False if there is not enough."""
         if self.body_bytes + self.buffered_bytes + size - exchange.counted_bytes > self.max_total_body_bytes:
             return False
         self.body_bytes += size - exchange.counted_bytes
@@ -774,9 +790,9 @@
         return True
 
     def may_buffer(self, connection: ClientConnection) -> bool:
-        """Whether more of a long answer may be read while its client reads slowly.
+        """Whether more of a streamed answer may be buffered while its client reads slowly.
 
-        The host is done sooner, and with it the attempt, which counts against its customer's limit.
+        Buffering lets the host finish sooner, and so the attempt, which counts against its customer's limit.
         """
         room = (
             self.body_bytes + self.buffered_bytes < self.max_total_body_bytes
@@ -785,6 +801,7 @@
         return room and connection.buffered_bytes < MAX_ANSWER_BUFFER_BYTES
 
     def handle_request(self, exchange: Exchange) -> None:
+        """Routes a complete request: `/api` to the handler, `/up` for readiness; any other path is 404."""
         if absolute := ABSOLUTE_FORM.match(exchange.target):
             exchange.target = exchange.target[absolute.end() :] or b"/"
         path, query, _ = exchange.target.partition(b"?")
@@ -795,12 +812,12 @@
                 self.handler.rejected(exchange, 503, "too many connections")
                 return
             try:
-                arrival = ParsedRequest(self.names, exchange)
+                parsed = ParsedRequest(self.names, exchange)
             except BadRequest as error:
                 exchange.reply_and_close(400, f"{error}\n".encode())
                 self.handler.rejected(exchange, 400, str(error))
                 return
-            self.handler.handle(exchange, arrival)
+            self.handler.handle(exchange, parsed)
         elif path == b"/up" and exchange.method in (b"GET", b"HEAD"):
             exchange.reply(200 if self.handler.ready else 503)
         else:
@@ -828,21 +845,21 @@
                 if quiet > most:
                     connection.close_idle()
             elif connection.is_too_slow(now):
-                connection.reject_timed_out()  # never came whole, so it was not taken
+                connection.reject_timed_out()  # never complete, so the handler has not seen it
 
-    # The end
+    # Shutdown
 
     def drain(self) -> None:
-        """From now on each answer is the last of its connection."""
+        """From now on every connection is closed after its next answer."""
         self.closing = True
 
     def release_listener(self) -> None:
-        """Another process listens on the same socket: this one lets go of it, and nothing is closed."""
+        """Closes this process's descriptor of the listener, on which another process goes on listening."""
         self.pause_accepting()
         self.socket.close()
 
     def stop_accepting(self) -> None:
-        """Takes what the kernel has accepted already, then closes the listener."""
+        """Accepts the connections that are in the backlog, then closes the listener."""
         if self.socket.fileno() < 0:
             return
         self._accept()
@@ -850,10 +867,12 @@
         self.socket.close()
 
     def close_idle(self) -> None:
+        """Closes all idle connections."""
         for connection in list(self.connections):
             connection.close_idle()
 
     def close(self) -> None:
+        """Closes the listener and aborts all connections."""
         self.pause_accepting()
         self.sweep_timer.cancel()
         self.socket.close()
