--- a/coralvale/net/server.py
+++ b/coralvale/net/server.py
@@ -225,20 +225,21 @@
 
 
 class Handler(Protocol):
-    """Handles the requests that a server has read."""
+    """Handles the requests that a server has read.
+
+    `ready`: whether `GET /up` is answered with 200. `handle` gets each valid request. `client_disconnected`: the
+    connection was lost before the answer was complete. `rejected`: the server itself answered with an error;
+    `why` is for logs.
+    """
 
     @property
-    def ready(self) -> bool:
-        """Whether `GET /up` is answered with 200."""
+    def ready(self) -> bool: ...
 
-    def handle(self, exchange: Exchange, fields: ParsedRequest) -> None:
-        """Handles a valid request."""
+    def handle(self, exchange: Exchange, fields: ParsedRequest) -> None: ...
 
-    def client_disconnected(self, exchange: Exchange) -> None:
-        """The connection was lost before the answer was complete."""
+    def client_disconnected(self, exchange: Exchange) -> None: ...
 
-    def rejected(self, exchange: Exchange, status: int, why: str) -> None:
-        """The server itself answered a request with an error; `why` is for logs."""
+    def rejected(self, exchange: Exchange, status: int, why: str) -> None: ...
 
 
 class ParsedRequest:
