--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -1,4 +1,4 @@
-"""Long answers and bodies, slow peers, and every form of HTTP/1.1, over sockets."""
+"""Long answers and bodies, slow peers, and each message framing of HTTP/1.1, over sockets."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 LONG = os.urandom(3 * 1024 * 1024)
 
 
-async def raw(w: World) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
+async def open_stream(w: World) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
     return await asyncio.open_connection("127.0.0.1", w.node.server.port, limit=1 << 26)
 
 
-async def head_of(reader: asyncio.StreamReader) -> tuple[int, dict[bytes, bytes]]:
+async def read_head(reader: asyncio.StreamReader) -> tuple[int, dict[bytes, bytes]]:
     first, *lines = (await soon(reader.readuntil(b"\r\n\r\n")))[:-4].split(b"\r\n")
     pairs = [line.split(b": ", 1) for line in lines]
     return int(first.split()[1]), {name.lower(): value for name, value in pairs}
 
 
-async def chunks_of(reader: asyncio.StreamReader) -> bytes:
-    """The body of a chunked answer, to its last chunk."""
+async def read_chunked_body(reader: asyncio.StreamReader) -> bytes:
+    """Reads a chunked body up to its last chunk."""
     body = b""
     while size := int(await soon(reader.readline()), 16):
         body += await soon(reader.readexactly(size))
@@ -50,29 +50,29 @@
     return head + b"".join(parts) + b"0\r\nX-Trailer: y\r\n\r\n"
 
 
-def to_the_end(data: bytes) -> bytes:
+def until_close(data: bytes) -> bytes:
     return b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + data
 
 
 @pytest.mark.parametrize("size", [0, 1, 65_536, 65_537, len(LONG)])
-@pytest.mark.parametrize("form", [with_length, in_chunks, to_the_end])
-def test_an_answer_of_any_form_and_length_comes_whole(form: Callable[[bytes], bytes], size: int) -> None:
+@pytest.mark.parametrize("form", [with_length, in_chunks, until_close])
+def test_answers_of_any_framing_and_length_arrive_complete(form: Callable[[bytes], bytes], size: int) -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
-            reader, writer = await raw(w)
-            for name in ("r1", "r2"):  # the client's connection is of use for the next
+            reader, writer = await open_stream(w)
+            for name in ("r1", "r2"):  # the client's connection is reused for the second
                 writer.write(request(name))
                 arrived = await host.next()
                 arrived.reply(form(LONG[:size]))
-                if form is to_the_end:
+                if form is until_close:
                     arrived.close()
-                status, headers = await head_of(reader)
+                status, headers = await read_head(reader)
                 if b"content-length" in headers:
                     body = await soon(reader.readexactly(int(headers[b"content-length"])))
                 else:
-                    body = await chunks_of(reader)
+                    body = await read_chunked_body(reader)
                 assert status == 200 and body == LONG[:size]
                 done = await w.done(1 if name == "r1" else 2)
                 assert (done.outcome, done.finished) == (Outcome.OK, True)
@@ -85,17 +85,17 @@
     run(test())
 
 
-def test_the_first_bytes_come_before_the_last_and_the_delay_is_theirs() -> None:
+def test_answer_is_streamed_and_delay_is_that_of_its_first_bytes() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
-            reader, writer = await raw(w)
+            reader, writer = await open_stream(w)
             writer.write(request("r1"))
             arrived = await host.next()
             whole = with_length(LONG)
             arrived.reply(whole[:200_000])
-            status, _ = await head_of(reader)
+            status, _ = await read_head(reader)
             assert status == 200 and len(await soon(reader.readexactly(70_000))) == 70_000
             (started,) = w.script.of(api.StreamStarted)
             assert started.usage == 0.85 and [e.request for e in w.script.of(api.Handed)] == ["r1"]
@@ -110,18 +110,18 @@
     run(test())
 
 
-def test_the_deadline_does_not_end_an_answer_that_has_begun() -> None:
+def test_deadline_does_not_cut_off_an_answer_that_has_started() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
             send_all(w, "s-1", until_in=0.3)
-            reader, writer = await raw(w)
+            reader, writer = await open_stream(w)
             writer.write(request("r1", X_Timeout="0.4"))
             arrived = await host.next()
             whole = with_length(LONG)
             arrived.reply(whole[:200_000])
-            await head_of(reader)
-            await asyncio.sleep(0.6)  # past the attempt's time and the client's
+            await read_head(reader)
+            await asyncio.sleep(0.6)  # past the deadlines of the attempt and of the client
             arrived.reply(whole[200_000:])
             assert await soon(reader.readexactly(len(LONG))) == LONG
             writer.close()
@@ -131,22 +131,22 @@
 
 
 def reset(arrived: Arrived) -> None:
-    """Ends a connection by RST: without this a peer that is done sending ends it in order."""
+    """Ends a connection by RST; without SO_LINGER a peer that has sent everything ends it by FIN."""
     linger = struct.pack("ii", 1, 0)
     arrived.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
     arrived.reset()
 
 
-async def broken(
+async def read_broken_answer(
     w: World, host: Peer, end: Callable[[Arrived], None], form: Callable[[bytes], bytes]
 ) -> bytes:
-    """All that a client gets of an answer whose host ends it in the middle; it must see that it is not whole."""
+    """What a client gets of an answer that its host breaks off; `RESET` is appended after a reset."""
     send_all(w, "s-1")
-    reader, writer = await raw(w)
+    reader, writer = await open_stream(w)
     writer.write(request("r1"))
     arrived = await host.next()
     arrived.reply(form(LONG)[: len(LONG) // 2])
-    await head_of(reader)
+    await read_head(reader)
     end(arrived)
     got = b""
     try:
@@ -160,49 +160,49 @@
 
 @pytest.mark.parametrize("form", [with_length, in_chunks])
 @pytest.mark.parametrize("end", [Arrived.close, reset])
-def test_what_a_host_breaks_off_is_seen_to_be_no_whole_answer(
+def test_client_sees_that_an_answer_broken_off_by_the_host_is_truncated(
     form: Callable[[bytes], bytes], end: Callable[[Arrived], None]
 ) -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
-            got = await broken(w, host, end, form)
+            got = await read_broken_answer(w, host, end, form)
             assert len(got) < len(LONG) and not got.endswith(b"0\r\n\r\n")
             done = await w.done()
             assert done.outcome is Outcome.RESET
-            assert len(w.script.of(api.AttemptDone)) == 1  # nothing is tried again
+            assert len(w.script.of(api.AttemptDone)) == 1  # no retry
             assert w.node.figures.counts[0] == [0, 0, 1] and not w.node.held
         host.stop()
 
     run(test())
 
 
-def test_an_answer_to_the_end_that_is_reset_is_not_taken_for_whole() -> None:
+def test_reset_of_an_answer_framed_by_close_is_not_taken_for_its_end() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
-            got = await broken(w, host, reset, to_the_end)
+            got = await read_broken_answer(w, host, reset, until_close)
             assert not got.endswith(b"0\r\n\r\n") and (await w.done()).outcome is Outcome.RESET
         host.stop()
 
     run(test())
 
 
-def test_a_host_that_stalls_in_the_middle_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_host_that_stalls_within_an_answer_times_out(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("coralvale.net.upstream.STALL", 0.2)
 
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
-            await broken(w, host, lambda arrived: None, with_length)
+            await read_broken_answer(w, host, lambda arrived: None, with_length)
             assert (await w.done()).outcome is Outcome.RESET
         host.stop()
 
     run(test())
 
 
-def test_a_client_that_does_not_read_holds_the_host_back_and_not_the_memory() -> None:
-    """Its share of 200 MB waits at the host; when it leaves, the host is let go of."""
+def test_client_that_does_not_read_pauses_the_host_and_memory_stays_bounded() -> None:
+    """Most of 200 MB waits at the host; when the client leaves, the attempt is cancelled."""
 
     async def test() -> None:
         host = await Peer().start()
@@ -222,9 +222,9 @@
                     await asyncio.wait_for(arrived.writer.drain(), 0.5)
                 except TimeoutError:
                     break
-            assert sent < 64 << 20  # what kernels and the gateway hold between them
+            assert sent < 64 << 20  # buffered in kernels and the gateway
             (connection,) = w.node.server.connections
-            assert w.node.server.buffered_bytes <= MAX_ANSWER_BUFFER_BYTES + 512 * 1024  # one read more
+            assert w.node.server.buffered_bytes <= MAX_ANSWER_BUFFER_BYTES + 512 * 1024  # plus one read
             assert (
                 connection.transport
                 and connection.transport.get_write_buffer_size() <= connection.buffered_bytes
@@ -238,7 +238,7 @@
     run(test())
 
 
-def test_a_client_that_reads_slowly_gets_all_of_it() -> None:
+def test_slow_client_gets_the_complete_answer() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
@@ -246,8 +246,8 @@
             reader, writer = await asyncio.open_connection("127.0.0.1", w.node.server.port, limit=4096)
             writer.write(request("r1"))
             (await host.next()).reply(in_chunks(LONG))
-            await head_of(reader)
-            got = await chunks_of(reader)
+            await read_head(reader)
+            got = await read_chunked_body(reader)
             assert got == LONG
             writer.close()
         host.stop()
@@ -255,12 +255,12 @@
     run(test())
 
 
-def test_answers_keep_their_order_behind_a_long_one() -> None:
+def test_pipelined_answers_stay_in_order_behind_a_long_one() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", w.node.clock.now() + 60)])
-            reader, writer = await raw(w)
+            reader, writer = await open_stream(w)
             writer.write(request("r1") + request("r2"))
             one, two = [await host.next() for _ in range(2)]
             if one.message.headers[b"x-request-id"] == b"r2":
@@ -268,25 +268,25 @@
             two.reply(in_chunks(LONG[::-1]))
             await asyncio.sleep(0.05)
             one.reply(with_length(LONG))
-            _, headers = await head_of(reader)
+            _, headers = await read_head(reader)
             assert await soon(reader.readexactly(int(headers[b"content-length"]))) == LONG
-            await head_of(reader)
-            assert await chunks_of(reader) == LONG[::-1]
+            await read_head(reader)
+            assert await read_chunked_body(reader) == LONG[::-1]
             writer.close()
         host.stop()
 
     run(test())
 
 
-def test_an_old_client_gets_no_chunks() -> None:
+def test_http_1_0_client_gets_no_chunked_answer() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
-            reader, writer = await raw(w)
+            reader, writer = await open_stream(w)
             writer.write(request("r1").replace(b"HTTP/1.1", b"HTTP/1.0"))
             (await host.next()).reply(in_chunks(LONG))
-            _, headers = await head_of(reader)
+            _, headers = await read_head(reader)
             assert b"transfer-encoding" not in headers and headers[b"connection"] == b"close"
             assert await soon(reader.read()) == LONG
             writer.close()
@@ -309,12 +309,12 @@
     [lambda body: request("r1", "write", body=body), lambda body: body_in_chunks("r1", body)],
     ids=["length", "chunks"],
 )
-def test_a_long_body_reaches_the_host_unchanged_and_again_if_it_did_not_run(form: Any) -> None:
+def test_long_body_reaches_the_host_unchanged_also_on_a_retry(form: Any) -> None:
     async def test() -> None:
         first, second = await Peer().start(), await Peer().start()
         async with world(entry("s-1", first.port), entry("s-2", second.port)) as w:
             send_all(w, "s-1", "s-2")
-            _, writer = await raw(w)
+            _, writer = await open_stream(w)
             writer.write(form(LONG))
             arrived = await first.next()
             assert arrived.message.body == LONG and arrived.message.headers[b"x-request-id"] == b"r1"
@@ -333,21 +333,21 @@
 
 
 @pytest.mark.parametrize("chunked", [False, True])
-def test_bodies_past_the_bound_on_all_of_them_are_refused_at_once(chunked: bool) -> None:
+def test_bodies_above_the_total_limit_are_refused_at_once(chunked: bool) -> None:
     async def test() -> None:
         async with world() as w:
             w.node.server.max_total_body_bytes = 1_000_000
-            held, waiting = await raw(w)
-            waiting.write(request("r1", "write", body=LONG[:900_000])[:-1])  # whole but for a byte
+            held, waiting = await open_stream(w)
+            waiting.write(request("r1", "write", body=LONG[:900_000])[:-1])  # all but one byte
             await until(lambda: w.node.server.body_bytes)
-            reader, writer = await raw(w)
+            reader, writer = await open_stream(w)
             data = (
                 body_in_chunks("r2", LONG[:400_000])
                 if chunked
                 else request("r2", "write", body=LONG[:400_000])
             )
             writer.write(data[:300_000])
-            status, headers = await head_of(reader)
+            status, headers = await read_head(reader)
             assert status == 503 and float(headers[b"retry-after"]) > 0
             assert headers[b"connection"] == b"close"
             waiting.close()
@@ -358,12 +358,12 @@
     run(test())
 
 
-def test_blanks_round_values_and_absolute_targets_are_no_part_of_them() -> None:
+def test_whitespace_around_values_and_absolute_form_targets_are_stripped() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
             send_all(w, "s-1")
-            _, writer = await raw(w)
+            _, writer = await open_stream(w)
             data = request("r1", target="http://service.internal:80/api?a=b", Plan="\t team \t")
             writer.write(data.replace(b"X-Request-ID: r1", b"x-request-id:r1 \t"))
             arrived = await host.next()
@@ -375,7 +375,7 @@
     run(test())
 
 
-def test_a_slow_client_has_two_seconds_and_what_its_body_takes(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_body_times_out_only_below_the_lowest_rate(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("coralvale.net.server.HEAD_TIMEOUT_S", 0.4)
     monkeypatch.setattr("coralvale.net.server.SWEEP_INTERVAL_S", 0.05)
 
@@ -385,7 +385,7 @@
             w.script.on(api.Request, lambda e: [api.Send(e.id, "s-1", w.node.clock.now() + 60)])
 
             async def send(name: str, gap: float, piece: int) -> int:
-                reader, writer = await raw(w)
+                reader, writer = await open_stream(w)
                 data = request(name, "write", body=bytes(100_000))
                 cut = data.index(b"\r\n\r\n") + 4
                 writer.write(data[:cut])
@@ -394,33 +394,35 @@
                     if reader.at_eof() or reader._buffer:  # type: ignore[attr-defined]
                         break
                     writer.write(data[at : at + piece])
-                status, _ = await head_of(reader)
+                status, _ = await read_head(reader)
                 writer.close()
                 return status
 
-            # 100 kB: one in 1 s, which 64 kB/s and the first 0.4 s allow; one of 10 kB/s.
+            # 100 kB: r1 sends it in 1 s, which 64 kB/s and the first 0.4 s allow; r2 at 10 kB/s is too slow.
             assert await asyncio.gather(send("r1", 0.05, 5_000), send("r2", 0.1, 1_000)) == [200, 408]
         host.stop()
 
     run(test())
 
 
-def test_a_host_that_writes_slowly_is_passed_on_from_its_first_bytes() -> None:
-    """By its head if that names a long answer, after a quarter of a second if it names no length."""
+def test_answer_of_a_slow_host_is_streamed_from_its_first_bytes() -> None:
+    """At once if the head announces a long answer, after 0.25 s if it announces no length."""
 
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
             for name, whole in (("r1", with_length(LONG)), ("r2", in_chunks(LONG))):
                 send_all(w, "s-1", until_in=1.0)
-                reader, writer = await raw(w)
+                reader, writer = await open_stream(w)
                 writer.write(request(name, X_Timeout="1.5"))
                 arrived = await host.next()
                 arrived.reply(whole[:500])
-                status, _ = await head_of(reader)  # long before 64 KiB have come
+                status, _ = await read_head(reader)  # long before 64 KiB have come
                 assert status == 200 and w.script.of(api.StreamStarted)[-1].request == name
                 arrived.reply(whole[500:])
-                got = await (chunks_of(reader) if name == "r2" else soon(reader.readexactly(len(LONG))))
+                got = await (
+                    read_chunked_body(reader) if name == "r2" else soon(reader.readexactly(len(LONG)))
+                )
                 assert got == LONG
                 await w.done(1 if name == "r1" else 2)
                 writer.close()
@@ -429,8 +431,8 @@
     run(test())
 
 
-def test_a_connection_that_waited_for_a_slow_client_hears_the_next_answer() -> None:
-    """The last bytes of a long answer come while the client takes no more: the host is read again after it."""
+def test_host_connection_paused_for_a_slow_client_is_read_again() -> None:
+    """The end of a long answer arrives while its host is paused; the next answer must still be read."""
 
     async def test() -> None:
         host = await Peer().start()
@@ -448,13 +450,13 @@
                 await asyncio.sleep(0)
             assert (await w.done()).outcome is Outcome.OK
             client.close()
-            await asyncio.sleep(0.01)  # the connection to the host has rested
-            reader, writer = await raw(w)
+            await asyncio.sleep(0.01)  # the connection to the host is idle
+            reader, writer = await open_stream(w)
             writer.write(request("r2"))
             arrived = await host.next()
-            assert arrived.connection == 1  # the same one
+            assert arrived.connection == 1  # the same connection
             arrived.reply(answer(200, b"next"))
-            status, _ = await head_of(reader)
+            status, _ = await read_head(reader)
             assert status == 200 and await soon(reader.readexactly(4)) == b"next"
             writer.close()
         host.stop()
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch on the list of hosts."""
+"""The discovery client: watches, merging of lists, backoff."""
 
 from __future__ import annotations
 
@@ -19,21 +19,21 @@
 from coralvale.net.config import HostInstance
 from coralvale.net.discovery import Discovery
 
-News = tuple[api.ListKind, tuple[api.Server, ...], list[HostInstance]]
+Change = tuple[api.ListKind, tuple[api.Server, ...], list[HostInstance]]
 
 
 @dataclass
-class Bench:
+class Fixture:
     registry: Registry
     discovery: Discovery
-    news: asyncio.Queue[News] = field(default_factory=asyncio.Queue)
+    changes: asyncio.Queue[Change] = field(default_factory=asyncio.Queue)
 
-    async def told(self) -> News:
-        return await soon(self.news.get())
+    async def next_change(self) -> Change:
+        return await soon(self.changes.get())
 
 
 @contextlib.asynccontextmanager
-async def bench(silent: float = LIMIT, fleet: int = 1) -> AsyncIterator[Bench]:
+async def discovery_fixture(silent: float = LIMIT, fleet: int = 1) -> AsyncIterator[Fixture]:
     registry = Registry()
     await registry.start()
     discovery = Discovery(
@@ -41,11 +41,11 @@
         ("north", "south"),
         ("small", "large"),
         Clock(),
-        lambda *news: result.news.put_nowait(news),
+        lambda *change: result.changes.put_nowait(change),
         silent,
         fleet,
     )
-    result = Bench(registry, discovery)
+    result = Fixture(registry, discovery)
     discovery.apply(
         {"index": 41, "snapshot": True, "endpoints": [entry("s-1", 1), entry("s-2", 2)]}, cached=True
     )
@@ -55,10 +55,10 @@
     registry.stop()
 
 
-def test_the_known_list_is_cached_and_the_watch_goes_on_from_it() -> None:
+def test_known_list_is_reported_as_cached_and_the_watch_continues_from_its_index() -> None:
     async def test() -> None:
-        async with bench() as b:
-            kind, servers, _ = await b.told()
+        async with discovery_fixture() as b:
+            kind, servers, _ = await b.next_change()
             assert kind is api.ListKind.CACHED
             assert servers[0] == api.Server("s-1", api.ServerState.HEALTHY, 1.0, zone=1, cell=1, kind=1)
             watch = await b.registry.watch()
@@ -67,24 +67,24 @@
     run(test())
 
 
-def test_changes_merge_over_broken_chunks_and_a_snapshot_replaces() -> None:
+def test_changes_split_over_chunks_are_merged_and_a_snapshot_replaces_the_list() -> None:
     async def test() -> None:
-        async with bench() as b:
-            await b.told()
+        async with discovery_fixture() as b:
+            await b.next_change()
             watch = await b.registry.watch()
             news = line(42, entry("s-1", 1, status="leaving"), entry("s-3", 3, zone="north", since_ms=1500))
             watch.reply(
                 chunk(b"\n") + chunk(news[:50]) + chunk(news[50:] + line(43, entry("s-2", 2, status="left")))
             )
-            kind, servers, stale = await b.told()
+            kind, servers, stale = await b.next_change()
             assert kind is api.ListKind.CHANGES and stale == [("s-1", 0.0, ("127.0.0.1", 1))]
             assert servers[0].state is api.ServerState.DRAINING
             assert (servers[1].zone, servers[1].started_at) == (0, 1.5)
-            _, (gone,), stale = await b.told()
+            _, (gone,), stale = await b.next_change()
             assert gone.state is api.ServerState.GONE and ("s-2", 0.0, ("127.0.0.1", 2)) in stale
             assert set(b.discovery.endpoints) == {"s-1", "s-3"}
             watch.reply(chunk(line(50, entry("s-4", 4), snapshot=True)))
-            kind, _, _ = await b.told()
+            kind, _, _ = await b.next_change()
             assert kind is api.ListKind.FULL and set(b.discovery.endpoints) == {"s-4"}
             watch.close()
             assert b"index=50 " in (await b.registry.watch()).message.first
@@ -92,13 +92,13 @@
     run(test())
 
 
-def test_a_host_that_restarts_or_moves_leaves_its_connections() -> None:
+def test_instances_of_hosts_that_restart_or_move_are_reported_as_stale() -> None:
     async def test() -> None:
-        async with bench() as b:
-            await b.told()
+        async with discovery_fixture() as b:
+            await b.next_change()
             watch = await b.registry.watch()
             watch.reply(chunk(line(42, entry("s-1", 1, since_ms=9000), entry("s-2", 22))))
-            assert (await b.told())[2] == [
+            assert (await b.next_change())[2] == [
                 ("s-1", 0.0, ("127.0.0.1", 1)),
                 ("s-2", 0.0, ("127.0.0.1", 2)),
             ]
@@ -106,9 +106,9 @@
     run(test())
 
 
-def test_a_drain_counts_from_when_it_was_first_told() -> None:
+def test_draining_since_keeps_the_time_of_the_first_report() -> None:
     async def test() -> None:
-        async with bench() as b:
+        async with discovery_fixture() as b:
             b.discovery.apply({"index": 42, "endpoints": [entry("s-1", 1, status="leaving")]})
             since = b.discovery.endpoints["s-1"].draining_since
             b.discovery.apply(
@@ -119,9 +119,9 @@
     run(test())
 
 
-def test_a_silent_watch_is_made_anew() -> None:
+def test_silent_watch_is_replaced() -> None:
     async def test() -> None:
-        async with bench(silent=0.05) as b:
+        async with discovery_fixture(silent=0.05) as b:
             await b.registry.watch()
             second = await b.registry.watch()
             assert b"index=41 " in second.message.first
@@ -129,22 +129,22 @@
     run(test())
 
 
-def test_a_broken_message_or_status_ends_the_watch_but_not_the_following() -> None:
+def test_invalid_message_or_status_ends_the_watch_and_a_new_one_follows() -> None:
     async def test() -> None:
-        async with bench() as b:
-            await b.told()
+        async with discovery_fixture() as b:
+            await b.next_change()
             (await b.registry.watch()).reply(chunk(b"{nonsense\n"))
             (await b.registry.next()).reply(b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n")
             watch = await b.registry.watch()
             watch.reply(chunk(line(44, {"name": "s-9"}, entry("s-5", 5))))
-            assert [s.id for s in (await b.told())[1]] == ["s-5"]
+            assert [s.id for s in (await b.next_change())[1]] == ["s-5"]
 
     run(test())
 
 
-def test_a_refresh_asks_for_the_whole_list() -> None:
+def test_refresh_requests_the_full_list() -> None:
     async def test() -> None:
-        async with bench() as b:
+        async with discovery_fixture() as b:
             await b.registry.watch()
             b.discovery.refresh()
             assert (await b.registry.watch()).message.first == b"GET /discovery/hosts?stream=1 HTTP/1.1"
@@ -152,10 +152,10 @@
     run(test())
 
 
-def test_a_move_begins_anew_at_the_new_address_and_keeps_the_list_till_then() -> None:
+def test_change_of_address_requests_the_full_list_and_keeps_the_old_one_until_it_arrives() -> None:
     async def test() -> None:
-        async with bench() as b:
-            await b.told()
+        async with discovery_fixture() as b:
+            await b.next_change()
             await b.registry.watch()
             other = Registry()
             await other.start()
@@ -165,19 +165,19 @@
             assert set(b.discovery.endpoints) == {"s-1", "s-2"}
             await until(lambda: b.registry.closed == 1)
             watch.reply(chunk(line(3, entry("s-4", 4), snapshot=True)))
-            kind, servers, _ = await b.told()
+            kind, servers, _ = await b.next_change()
             assert kind is api.ListKind.FULL and [s.id for s in servers] == ["s-4"]
             other.stop()
 
     run(test())
 
 
-def test_a_move_does_not_wait_for_a_connect_that_hangs_nor_for_a_long_pause() -> None:
-    """As often as it moves: also before anything has come of the move before."""
+def test_change_of_address_does_not_wait_for_a_hanging_connect_or_a_long_backoff() -> None:
+    """Also when the address changes again before the first change has had any result."""
 
     async def test() -> None:
-        async with bench() as b:
-            await b.told()
+        async with discovery_fixture() as b:
+            await b.next_change()
             b.registry.stop()
             b.discovery.backoff = 10 * LIMIT
             other = Registry()
@@ -209,13 +209,13 @@
         b"[" * 100_000 + b"\n",
     ],
 )
-def test_a_line_that_cannot_be_used_loses_no_other_and_the_whole_list_is_asked_for(bad: bytes) -> None:
+def test_invalid_line_loses_no_other_and_the_full_list_is_requested(bad: bytes) -> None:
     async def test() -> None:
-        async with bench() as b:
-            await b.told()
+        async with discovery_fixture() as b:
+            await b.next_change()
             watch = await b.registry.watch()
             watch.reply(chunk(bad + line(42, entry("s-3", 3))))
-            _, servers, _ = await b.told()
+            _, servers, _ = await b.next_change()
             assert [s.id for s in servers] == ["s-3"] and set(b.discovery.endpoints) == {"s-1", "s-2", "s-3"}
             again = await b.registry.watch()
             assert again.message.first == b"GET /discovery/hosts?stream=1 HTTP/1.1"
@@ -223,10 +223,10 @@
     run(test())
 
 
-def test_a_bad_index_or_field_costs_only_itself() -> None:
+def test_invalid_index_or_field_invalidates_only_itself() -> None:
     async def test() -> None:
-        async with bench() as b:
-            await b.told()
+        async with discovery_fixture() as b:
+            await b.next_change()
             watch = await b.registry.watch()
             news = {"index": "x", "snapshot": True}
             hosts: list[Any] = [
@@ -236,19 +236,19 @@
                 entry("s-5", 5, weight=1e999),
             ]
             watch.reply(chunk(json.dumps({**news, "endpoints": hosts}).encode() + b"\n"))
-            kind, servers, _ = await b.told()
+            kind, servers, _ = await b.next_change()
             assert kind is api.ListKind.FULL
-            assert [s.id for s in servers] == ["s-1", "s-4"]  # what was known of s-1 still holds
+            assert [s.id for s in servers] == ["s-1", "s-4"]  # s-1 keeps its known entry
             assert set(b.discovery.endpoints) == {"s-1", "s-4"} and b.discovery.index is None
 
     run(test())
 
 
-def busy(fleet: int, calls: int) -> list[float]:
-    """The pauses that a gateway of a fleet makes while discovery says that it is busy, jitter aside."""
+def busy_pauses(fleet: int, calls: int) -> list[float]:
+    """Backoffs of a gateway while discovery is busy, without jitter."""
 
     async def test() -> list[float]:
-        async with bench(fleet=fleet) as b:
+        async with discovery_fixture(fleet=fleet) as b:
             pauses = []
             for _ in range(calls):
                 b.discovery._back_off(False, True)
@@ -260,16 +260,16 @@
     return asyncio.run(test())
 
 
-def test_the_pause_while_discovery_is_busy_grows_with_the_fleet() -> None:
-    """40 gateways that each came back within a second kept a line of over 2 s standing, and none was answered."""
-    assert busy(3, 6)[-1] == 1.0  # as ever in a small one
-    assert busy(40, 4) == [2.0, 4.0, 8.0, 8.0]
-    assert 40 / busy(40, 3)[-1] <= 5.0  # calls a second by a whole fleet: the least that discovery can take
+def test_backoff_while_discovery_is_busy_grows_with_the_fleet() -> None:
+    """With a backoff of at most 1 s, 40 gateways kept a queue of over 2 s, and no call was answered in time."""
+    assert busy_pauses(3, 6)[-1] == 1.0  # a small fleet has the usual maximum
+    assert busy_pauses(40, 4) == [2.0, 4.0, 8.0, 8.0]
+    assert 40 / busy_pauses(40, 3)[-1] <= 5.0  # calls per second, the lowest capacity of discovery
 
 
-def test_a_large_fleet_takes_turns_at_the_start_and_when_watches_break() -> None:
+def test_calls_of_a_large_fleet_are_spread_over_time() -> None:
     async def turns(fleet: int) -> list[float]:
-        async with bench(fleet=fleet) as b:
+        async with discovery_fixture(fleet=fleet) as b:
             return [b.discovery._start_delay() for _ in range(400)]
 
     assert max(asyncio.run(turns(3))) == 0.0
@@ -277,10 +277,10 @@
     assert 1.4 < large[200] < 1.8 and large[0] < 0.1 and 3.0 < large[-1] <= 3.2
 
 
-def test_a_busy_discovery_is_not_asked_again_at_once_and_keeps_what_is_known() -> None:
+def test_busy_discovery_is_not_called_again_at_once_and_the_known_list_is_kept() -> None:
     async def test() -> None:
-        async with bench(fleet=8) as b:  # no turns to wait for, and a pause of 0.2 to 0.6 s
-            await b.told()
+        async with discovery_fixture(fleet=8) as b:  # no start delay, and a backoff of 0.2 to 0.6 s
+            await b.next_change()
             loop = asyncio.get_running_loop()
             first = await b.registry.next()
             first.reply(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
@@ -289,54 +289,54 @@
             assert loop.time() - at >= 0.19 and second.message.first.startswith(
                 b"GET /discovery/hosts?stream=1&index=41"
             )
-            assert sorted(b.discovery.endpoints) == ["s-1", "s-2"] and b.news.empty()
+            assert sorted(b.discovery.endpoints) == ["s-1", "s-2"] and b.changes.empty()
 
     run(test())
 
 
-def test_an_answer_that_is_slow_but_under_way_is_waited_for() -> None:
-    """Calls wait in turn for up to 2 s: giving one up and calling again makes the line longer."""
+def test_slow_answer_is_waited_for() -> None:
+    """Discovery queues calls for up to 2 s; giving one up and calling again makes the queue longer."""
 
     async def test() -> None:
-        async with bench() as b:
-            await b.told()
+        async with discovery_fixture() as b:
+            await b.next_change()
             watch = await b.registry.next()
             await asyncio.sleep(2.2)
             watch.reply(
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(line(42, entry("s-3", 3)))
             )
-            assert [s.id for s in (await b.told())[1]] == ["s-3"]
+            assert [s.id for s in (await b.next_change())[1]] == ["s-3"]
 
     run(test())
 
 
-def test_one_whole_list_without_hosts_empties_no_fleet() -> None:
-    """Discovery that has just started, or is overbooked, may know of none yet; it has to say so twice."""
+def test_single_empty_list_does_not_remove_the_known_hosts() -> None:
+    """Discovery that has just started or is overloaded may not know any host; an empty list must come twice."""
 
     async def test() -> None:
-        async with bench() as b:
-            await b.told()
+        async with discovery_fixture() as b:
+            await b.next_change()
             (await b.registry.watch()).reply(chunk(line(50, snapshot=True)))
-            second = await b.registry.watch()  # from no version: the whole list again
+            second = await b.registry.watch()  # without an index: the full list again
             assert second.message.first == b"GET /discovery/hosts?stream=1 HTTP/1.1"
-            assert sorted(b.discovery.endpoints) == ["s-1", "s-2"] and b.news.empty()
+            assert sorted(b.discovery.endpoints) == ["s-1", "s-2"] and b.changes.empty()
             second.reply(chunk(line(51, entry("s-2", 2), snapshot=True)))
-            kind, _, stale = await b.told()
+            kind, _, stale = await b.next_change()
             assert kind is api.ListKind.FULL and [place[0] for place in stale] == ["s-1"]
             second.reply(chunk(line(52, snapshot=True)))
             (await b.registry.watch()).reply(chunk(line(53, snapshot=True)))
-            assert (await b.told())[1] == () and not b.discovery.endpoints
+            assert (await b.next_change())[1] == () and not b.discovery.endpoints
 
     run(test())
 
 
-def test_a_start_with_a_known_list_waits_its_turn() -> None:
+def test_start_with_a_known_list_delays_its_first_call() -> None:
     class Half(random.Random):
         def random(self) -> float:
             return 0.5
 
     async def test() -> None:
-        async with bench(fleet=18) as b:  # turns within a second
+        async with discovery_fixture(fleet=18) as b:  # start delays of up to 1 s
             b.discovery.random = Half()
             at = asyncio.get_running_loop().time()
             await b.registry.next()
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -1,4 +1,4 @@
-"""The operators' door: figures, hosts out by hand, and callers that hold it open."""
+"""The operators' server: statistics, hosts in maintenance, and callers that keep connections open."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 async def call(port: int, text: str) -> tuple[int, str]:
-    """One call to the door: status and body. The door closes the connection."""
+    """Sends one request to the operators' server; returns status and body. The server closes the connection."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(f"{text} HTTP/1.1\r\nHost: door\r\n\r\n".encode())
     data = (await soon(reader.read())).decode()
@@ -28,15 +28,15 @@
     return int(head.split(" ")[1]), body
 
 
-async def figures(port: int) -> dict[str, int]:
+async def read_stats(port: int) -> dict[str, int]:
     status, body = await call(port, "GET /stats")
     assert status == 200
     return {key: int(value) for key, _, value in (line.partition("=") for line in body.split())}
 
 
 @contextlib.asynccontextmanager
-async def operated(folder: Path | None, *known: object) -> AsyncIterator[tuple[Node, Registry, int]]:
-    """A real gateway with a door."""
+async def running_gateway(folder: Path | None, *known: object) -> AsyncIterator[tuple[Node, Registry, int]]:
+    """A gateway with its own decision module and an operators' server."""
     registry = await Registry().start()
     data = {
         "name": "n1",
@@ -58,7 +58,7 @@
         registry.stop()
 
 
-async def asked(node: Node, name: str) -> int:
+async def ask_status(node: Node, name: str) -> int:
     reader, writer = await asyncio.open_connection("127.0.0.1", node.server.port)
     writer.write(request(name))
     line = await soon(reader.readline())
@@ -66,9 +66,9 @@
     return int(line.split()[1])
 
 
-def test_what_is_no_call_is_a_no(tmp_path: Path) -> None:
+def test_unknown_or_invalid_requests_are_rejected(tmp_path: Path) -> None:
     async def test() -> None:
-        async with operated(tmp_path, entry("s-1", 1)) as (node, _, port):
+        async with running_gateway(tmp_path, entry("s-1", 1)) as (node, _, port):
             await until(lambda: node.ready)
             for text, status in (
                 ("GET /healthcheck", 200),
@@ -89,9 +89,9 @@
     run(test())
 
 
-def test_the_healthcheck_is_no_until_it_can_serve_and_when_it_ends(tmp_path: Path) -> None:
+def test_healthcheck_fails_before_ready_and_during_shutdown(tmp_path: Path) -> None:
     async def test() -> None:
-        async with operated(tmp_path) as (node, _, port):
+        async with running_gateway(tmp_path) as (node, _, port):
             assert (await call(port, "GET /healthcheck"))[0] == 503 or node.ready
             await until(lambda: node.ready)
             assert (await call(port, "GET /healthcheck"))[0] == 200
@@ -101,31 +101,31 @@
     run(test())
 
 
-def test_figures_tell_what_clients_and_hosts_saw(tmp_path: Path) -> None:
+def test_statistics_agree_with_what_clients_and_hosts_saw(tmp_path: Path) -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with operated(tmp_path, entry("s-1", host.port)) as (node, _, port):
+        async with running_gateway(tmp_path, entry("s-1", host.port)) as (node, _, port):
             await until(lambda: node.ready)
-            waiting = [asyncio.ensure_future(asked(node, f"r{i}")) for i in range(3)]
+            waiting = [asyncio.ensure_future(ask_status(node, f"r{i}")) for i in range(3)]
             arrived = [await host.next() for _ in range(3)]
-            told = await figures(port)
+            told = await read_stats(port)
             assert (told["in_flight"], told["attempts"], told["requests.read.served"]) == (3, 3, 0)
             for one in arrived:
                 one.reply(answer(200))
             assert [await soon(w) for w in waiting] == [200] * 3
-            told = await figures(port)
+            told = await read_stats(port)
             assert (told["in_flight"], told["attempts"], told["requests.read.served"]) == (0, 3, 3)
             assert (told["hosts_known"], told["hosts_excluded"]) == (1, 0)
             assert (await call(port, "POST /hosts/s-1/maint"))[0] == 200
-            assert await asked(node, "r9") == 503
-            told = await figures(port)
+            assert await ask_status(node, "r9") == 503
+            told = await read_stats(port)
             assert (told["requests.read.refused"], told["hosts_excluded"], told["attempts"]) == (1, 1, 3)
         host.stop()
 
     run(test())
 
 
-def test_figures_count_each_end_once() -> None:
+def test_statistics_count_each_outcome_once() -> None:
     counts = Figures(["a", "b"])
     for status in (200, 429, 503, 500, 499):
         counts.taken()
@@ -136,27 +136,27 @@
     assert "requests.a.failed=1\n" in text and "in_flight=0\n" in text and "hosts_known=7\n" in text
 
 
-def test_a_crowd_that_says_nothing_keeps_nobody_out(tmp_path: Path) -> None:
+def test_idle_connections_do_not_lock_out_a_caller(tmp_path: Path) -> None:
     async def test() -> None:
-        async with operated(tmp_path) as (node, _, port):
+        async with running_gateway(tmp_path) as (node, _, port):
             await until(lambda: node.ready)
-            crowd = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3 * MAX_CONNECTIONS)]
-            for _, writer in crowd[::2]:
+            idle = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3 * MAX_CONNECTIONS)]
+            for _, writer in idle[::2]:
                 writer.write(b"POST /hosts/s-1/maint HTTP/1.1\r\nX-Slow: ")
             for _ in range(5):
                 assert (await soon(call(port, "GET /healthcheck")))[0] == 200
             assert node.management_server and len(node.management_server.connections) <= MAX_CONNECTIONS
-            for _, writer in crowd:
+            for _, writer in idle:
                 writer.close()
 
     run(test())
 
 
-def test_a_host_that_is_out_gets_nothing_whatever_the_list_says(tmp_path: Path) -> None:
+def test_host_in_maintenance_gets_no_request_whatever_the_list_says(tmp_path: Path) -> None:
     async def test() -> None:
         first, second = await Peer(auto=answer(200)).start(), await Peer(auto=answer(200)).start()
         entries = entry("s-1", first.port), entry("s-2", second.port)
-        async with operated(tmp_path, *entries) as (node, registry, port):
+        async with running_gateway(tmp_path, *entries) as (node, registry, port):
             await until(lambda: node.ready)
             assert (await call(port, "POST /hosts/s-1/maint"))[0] == 200
             assert (await call(port, "POST /hosts/s-1/maint"))[0] == 200
@@ -164,14 +164,14 @@
                 first.arrived.get_nowait()
             registry_list = {"index": 50, "snapshot": True, "endpoints": list(entries)}
             node.discovery.apply(registry_list)
-            node.discovery.apply({**registry_list, "endpoints": [entries[1]]})  # gone, and listed again
+            node.discovery.apply({**registry_list, "endpoints": [entries[1]]})  # s-1 is removed, then back
             node.discovery.apply(registry_list)
-            assert [await asked(node, f"r{i}") for i in range(20)] == [200] * 20
+            assert [await ask_status(node, f"r{i}") for i in range(20)] == [200] * 20
             assert first.arrived.empty() and second.arrived.qsize() == 20
-            assert (await call(port, "POST /hosts/s-1/ready"))[0] == 200  # one call back for two out
+            assert (await call(port, "POST /hosts/s-1/ready"))[0] == 200  # one `ready` reverts two `maint`
             assert node.gateway.fleet.hosts["s-1"].warmup(node.settings, node.clock.now()) < 1
             for i in range(200):
-                assert await asked(node, f"q{i}") == 200
+                assert await ask_status(node, f"q{i}") == 200
             assert not first.arrived.empty()
         first.stop()
         second.stop()
@@ -179,10 +179,10 @@
     run(test())
 
 
-def test_an_attempt_that_waits_is_not_written_to_a_host_that_was_taken_out(tmp_path: Path) -> None:
+def test_queued_attempt_is_not_sent_to_a_host_taken_out(tmp_path: Path) -> None:
     async def test() -> None:
         host = await Peer().start()
-        async with operated(tmp_path, entry("s-1", host.port)) as (node, _, port):
+        async with running_gateway(tmp_path, entry("s-1", host.port)) as (node, _, port):
             await until(lambda: node.ready)
             chosen = node.discovery.endpoints["s-1"]
             assert node._may_go(chosen)
@@ -193,7 +193,7 @@
     run(test())
 
 
-def test_marks_outlast_a_process_and_bind_the_one_beside(tmp_path: Path) -> None:
+def test_maintenance_marks_persist_and_are_seen_by_another_process(tmp_path: Path) -> None:
     names = ["s-1", "a/b", "..", "ñandú", "x" * 79, ""]
     one, other = Marks(tmp_path), Marks(tmp_path)
     for name in names:
@@ -205,19 +205,19 @@
     assert Marks(tmp_path).out == set(names) - {"a/b"}
 
 
-def test_a_mark_that_cannot_be_written_still_binds_here_and_is_told(tmp_path: Path) -> None:
+def test_mark_that_cannot_be_written_holds_in_this_process_and_is_reported(tmp_path: Path) -> None:
     marks = Marks(tmp_path / "f")
     assert not marks.set("x" * 1000, True)
     assert marks.refresh() == {} and marks.out == {"x" * 1000}
     assert not marks.set("x" * 1000, False) and not marks.out
     (tmp_path / "f").rmdir()
     assert not marks.set("s-1", True) and marks.set("s-2", True) is False
-    (tmp_path / "f").mkdir()  # the folder can be read, what was said is not in it
+    (tmp_path / "f").mkdir()  # the folder is readable but lacks the marks
     assert marks.refresh() == {} and marks.out == {"s-1", "s-2"}
     assert marks.set("s-1", False) and marks.refresh() == {} and marks.out == {"s-2"}
 
 
-def test_no_more_hosts_are_out_than_fit(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_number_of_hosts_in_maintenance_is_bounded(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("coralvale.net.marks.MOST", 2)
     marks = Marks(tmp_path)
     marks.set("a", True)
@@ -227,7 +227,7 @@
     assert marks.set("a", False) and marks.set("c", True)
 
 
-def test_without_an_address_there_is_no_door() -> None:
+def test_no_operators_server_without_an_address() -> None:
     async def test() -> None:
         async with world() as w:
             assert isinstance(w, World) and w.node.management_server is None and w.node.offer is None
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -1,4 +1,4 @@
-"""The operator's file and the command line: what is read, what is refused and in which words."""
+"""The operator's file and the command line: valid input, errors and their messages."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 )
 
 ROOT = Path(__file__).resolve().parent.parent
-HEAVY = (
+OPTIONAL_MODULES = (
     "grpc",
     "google",
     "envoy",
@@ -59,7 +59,7 @@
     )
 
 
-def test_the_example_names_every_key_with_its_default() -> None:
+def test_example_file_has_every_key_with_its_default() -> None:
     text = (ROOT / "deploy/operator.example.toml").read_text()
     example = read_operator(str(ROOT / "deploy/operator.example.toml"))
     assert example == Operator(control=Control(service="parana-campus"), allowance=Allowance())
@@ -134,7 +134,7 @@
         ("[[syslog.receivers]]\nname = '../a'\ntarget = 'x:1'", "syslog.receivers[0].name: Expected `str`"),
     ],
 )
-def test_a_mistake_is_told_by_file_key_and_what_was_expected(tmp_path: Path, text: str, told: str) -> None:
+def test_error_names_file_key_and_expected_value(tmp_path: Path, text: str, told: str) -> None:
     path = tmp_path / "operator.toml"
     path.write_text(text)
     with pytest.raises(OperatorError) as error:
@@ -142,7 +142,7 @@
     assert str(error.value).startswith(f"{path}: {told}") and "\n" not in str(error.value)
 
 
-def test_off_loopback_needs_tls_or_a_word(tmp_path: Path) -> None:
+def test_listening_off_loopback_needs_tls_or_insecure(tmp_path: Path) -> None:
     path = tmp_path / "operator.toml"
     head = "[control]\nservice = 'a'\nlisten = '0.0.0.0:1'\n"
     path.write_text(head + "insecure = true")
@@ -154,47 +154,47 @@
         assert read_operator(str(path)).control is not None
 
 
-def test_the_commands_have_help_and_exit_codes_that_mean_something(tmp_path: Path) -> None:
+def test_commands_have_help_and_documented_exit_codes(tmp_path: Path) -> None:
     for words in ([], ["gateway"], ["control"], ["check"], ["demo"]):
-        said = call(*words, "--help")
-        assert said.returncode == 0 and "usage: coralvale" in said.stdout
+        result = call(*words, "--help")
+        assert result.returncode == 0 and "usage: coralvale" in result.stdout
     assert call("nonsense").returncode == 2
     bad = tmp_path / "bad.toml"
     bad.write_text("[control]\nservice = 1\n")
-    said = call("check", str(bad), "--json")
-    assert said.returncode == 2 and not json.loads(said.stdout)["ok"] and said.stderr.count("\n") == 1
-    said = call("check", "deploy/operator.example.toml", "--json")
-    assert said.returncode == 0 and json.loads(said.stdout)["tables"] == ["control", "allowance"]
+    result = call("check", str(bad), "--json")
+    assert result.returncode == 2 and not json.loads(result.stdout)["ok"] and result.stderr.count("\n") == 1
+    result = call("check", "deploy/operator.example.toml", "--json")
+    assert result.returncode == 0 and json.loads(result.stdout)["tables"] == ["control", "allowance"]
     for words in (["control"], ["control", "--operator", str(bad)], ["gateway", "--operator", str(bad)]):
-        said = call(*words, LB_CONFIG="nowhere.json")
-        assert said.returncode == 2 and said.stderr.count("\n") == 1, said
-    said = call(CORALVALE_OPERATOR=str(bad), LB_CONFIG="nowhere.json")  # the gateway, by the variable
-    assert said.returncode == 2 and "control.service" in said.stderr
+        result = call(*words, LB_CONFIG="nowhere.json")
+        assert result.returncode == 2 and result.stderr.count("\n") == 1, result
+    result = call(CORALVALE_OPERATOR=str(bad), LB_CONFIG="nowhere.json")  # the command is `gateway`
+    assert result.returncode == 2 and "control.service" in result.stderr
 
 
-def test_a_gateway_without_an_operators_file_imports_nothing_of_the_subsystems() -> None:
+def test_gateway_without_an_operators_file_imports_no_subsystem() -> None:
     code = (
         "import sys; sys.argv = ['coralvale']; import coralvale.__main__ as m; m.main();"
         "import coralvale.net.node;"
-        f"print(sorted(n for n in sys.modules if n.startswith({HEAVY!r}) or n == 'coralvale.cli'))"
+        f"print(sorted(n for n in sys.modules if n.startswith({OPTIONAL_MODULES!r}) or n == 'coralvale.cli'))"
     )
-    said = call(code=code)
-    assert "LB_CONFIG is not set" in said.stderr and said.stdout.strip() == "[]"
+    result = call(code=code)
+    assert "LB_CONFIG is not set" in result.stderr and result.stdout.strip() == "[]"
 
 
-def test_a_missing_extra_is_told_in_one_line() -> None:
+def test_missing_extra_is_named_in_a_one_line_error() -> None:
     code = (
         "import sys; sys.modules['msgspec'] = None; from coralvale.cli import main;"
         "sys.exit(main(['check', 'deploy/operator.example.toml']))"
     )
-    said = call(code=code)
-    assert said.returncode == 1 and said.stderr.count("\n") == 1
-    assert "needs the package msgspec: pip install '.[operator]'" in said.stderr
+    result = call(code=code)
+    assert result.returncode == 1 and result.stderr.count("\n") == 1
+    assert "needs the package msgspec: pip install '.[operator]'" in result.stderr
 
 
-def test_the_demo_serves_keeps_its_drain_and_says_so() -> None:
-    said = call("demo", "--seconds", "2", "--json")
-    assert said.returncode == 0, said.stderr
-    result = json.loads(said.stdout)
+def test_demo_serves_and_reports_that_the_drain_was_kept() -> None:
+    process = call("demo", "--seconds", "2", "--json")
+    assert process.returncode == 0, process.stderr
+    result = json.loads(process.stdout)
     assert result["lost"] == 0 and result["late_after_drain"] == 0 and result["gateway_exit"] == 0
     assert result["stations"]["Radio Federal"]["refused"] > 0 < result["served"]
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The program as it is started: configuration, signals, exit."""
+"""The gateway as a process: configuration, signals, exit codes."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
     return {**data, **more}
 
 
-async def start(path: Path, descriptors: int = 1024) -> asyncio.subprocess.Process:
+async def start_gateway(path: Path, descriptors: int = 1024) -> asyncio.subprocess.Process:
     return await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -62,8 +62,8 @@
     )
 
 
-async def up(port: int) -> Client:
-    """A connection to a program that has become ready."""
+async def connect_when_ready(port: int) -> Client:
+    """Connects to a gateway once it is ready."""
     async with asyncio.timeout(LIMIT):
         while True:
             try:
@@ -82,7 +82,7 @@
         return int(free.getsockname()[1])
 
 
-def test_nested_settings_take_the_paths_of_the_wire() -> None:
+def test_nested_settings_are_flattened_to_the_paths_of_the_messages() -> None:
     objects = [{"x": "y z"}, {"x": ""}]
     pairs = flatten({"a": {"b": 1.5, "on": True}, "list": objects, "words": ["p", "q"], "no": []})
     assert pairs == {
@@ -109,14 +109,14 @@
         ({"limits": {"sockets": 3}}, "sockets"),
     ],
 )
-def test_a_bad_configuration_is_named(tmp_path: Path, changes: dict[str, Any], named: str) -> None:
+def test_invalid_setting_is_named_in_the_error(tmp_path: Path, changes: dict[str, Any], named: str) -> None:
     path = tmp_path / "config.json"
     path.write_text(json.dumps(config(**changes)))
     with pytest.raises(ConfigError, match=named):
         read_config(str(path))
 
 
-def test_the_clock_agrees_with_unix_time_and_never_steps_back(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_clock_agrees_with_unix_time_and_never_steps_back(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = Clock()
     assert abs(clock.now() - time.time()) < 5
     before = clock.now()
@@ -125,12 +125,14 @@
 
 
 @pytest.mark.parametrize("text", ["{", "{}", None])
-def test_a_bad_configuration_ends_the_program_with_one_line(tmp_path: Path, text: str | None) -> None:
+def test_invalid_configuration_ends_the_program_with_a_one_line_error(
+    tmp_path: Path, text: str | None
+) -> None:
     async def test() -> None:
         path = tmp_path / "config.json"
         if text is not None:
             path.write_text(text)
-        process = await start(path)
+        process = await start_gateway(path)
         _, err = await soon(process.communicate())
         assert process.returncode == 2
         assert err.startswith(b"coralvale: ") and err.count(b"\n") == 1
@@ -138,14 +140,14 @@
     run(test())
 
 
-def test_an_address_in_use_ends_the_program_with_one_line(tmp_path: Path) -> None:
+def test_address_in_use_ends_the_program_with_a_one_line_error(tmp_path: Path) -> None:
     async def test() -> None:
         with socket.socket() as taken:
             taken.bind(("127.0.0.1", 0))
             taken.listen()
             path = tmp_path / "config.json"
             path.write_text(json.dumps(config(listen=f"127.0.0.1:{taken.getsockname()[1]}")))
-            process = await start(path)
+            process = await start_gateway(path)
             _, err = await soon(process.communicate())
             assert process.returncode == 1
             assert err.startswith(b"coralvale: ") and err.count(b"\n") == 1
@@ -153,7 +155,7 @@
     run(test())
 
 
-def test_the_program_serves_and_ends_on_sigterm(tmp_path: Path) -> None:
+def test_program_serves_and_ends_on_sigterm(tmp_path: Path) -> None:
     async def test() -> None:
         host, registry = await Peer(answer(body=b"served")).start(), Registry()
         await registry.start()
@@ -162,8 +164,8 @@
         path = tmp_path / "config.json"
         more = {"listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{registry.port}", "known": known}
         path.write_text(json.dumps(config(**more)))
-        process = await start(path)
-        client = await up(port)
+        process = await start_gateway(path)
+        client = await connect_when_ready(port)
         assert (await client.ask(request())).body == b"served"
         threads = [p.read_text() for p in Path(f"/proc/{process.pid}/task").glob("*/comm")]
         assert not [name for name in threads if name.startswith("iou-")]  # kernel threads that poll
@@ -178,8 +180,8 @@
 
 
 @pytest.mark.parametrize("sockets", [64, 1024])
-def test_a_flood_of_connections_is_survived(tmp_path: Path, sockets: int) -> None:
-    """With 64 its own bounds hold it under the limit; told 1,024 it runs out of descriptors, and goes on."""
+def test_gateway_survives_a_flood_of_connections(tmp_path: Path, sockets: int) -> None:
+    """With `sockets` 64 its own limits keep it under RLIMIT_NOFILE; with 1,024 accept() fails, then recovers."""
 
     async def test() -> None:
         host, registry, port = await Peer(answer(body=b"served")).start(), Registry(), free_port()
@@ -192,9 +194,9 @@
         }
         path = tmp_path / "config.json"
         path.write_text(json.dumps(config(**more)))
-        process = await start(path, descriptors=64)
-        first = await up(port)
-        first.send(request("first")[:-2])  # a request under way, so that it is not closed as idle
+        process = await start_gateway(path, descriptors=64)
+        first = await connect_when_ready(port)
+        first.send(request("first")[:-2])  # an incomplete request, so that it is not closed as idle
         flood = [Client(*await asyncio.open_connection("127.0.0.1", port)) for _ in range(150)]
         for client in flood:
             client.send(request()[:-2])
@@ -203,7 +205,7 @@
             await soon(process.stderr.readuntil(b"cannot accept"))
         for client in flood:
             client.writer.transport.abort()
-        assert (await (await up(port)).ask(request("after"))).body == b"served"
+        assert (await (await connect_when_ready(port)).ask(request("after"))).body == b"served"
         first.send(b"\r\n")
         assert (await first.receive()).body == b"served"
         process.send_signal(signal.SIGTERM)
@@ -215,8 +217,8 @@
     run(test())
 
 
-def test_sighup_moves_discovery_and_counter_and_disturbs_nobody(tmp_path: Path) -> None:
-    """A bad file changes nothing; a request out at the time is answered; the list moves with its agent."""
+def test_sighup_changes_discovery_and_counter_without_disturbing_requests(tmp_path: Path) -> None:
+    """An invalid file changes nothing, a request in flight is answered, the list follows the new agent."""
 
     async def test() -> None:
         host, other = await Peer().start(), await Peer(answer(body=b"other")).start()
@@ -228,16 +230,16 @@
         path = tmp_path / "config.json"
         more = {"listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{registry.port}", "known": known}
         path.write_text(json.dumps(config(**more)))
-        process = await start(path)
+        process = await start_gateway(path)
         assert process.stderr is not None
-        client = await up(port)
+        client = await connect_when_ready(port)
         client.send(request())
         arrived = await host.next()
         path.write_text("{")
         process.send_signal(signal.SIGHUP)
         await soon(process.stderr.readuntil(b"keeping the old configuration"))
         path.write_text(json.dumps(config(**more)))
-        process.send_signal(signal.SIGHUP)  # nothing is new in it
+        process.send_signal(signal.SIGHUP)  # the file is unchanged
         more |= {"discovery": f"127.0.0.1:{moved.port}", "counter": f"127.0.0.1:{free_port()}"}
         path.write_text(json.dumps(config(**more)))
         process.send_signal(signal.SIGHUP)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""The clients' side over sockets: what is taken, what is turned away, connections and their bounds."""
+"""The HTTP server over sockets: valid and invalid requests, limits and timeouts of connections."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     w.script.on(api.Request, lambda e: [api.Refuse(e.id, 0.25)])
 
 
-def test_a_request_reaches_the_module_as_it_came() -> None:
+def test_request_fields_reach_the_decision_module_unchanged() -> None:
     async def test() -> None:
         async with world() as w:
             refuse_all(w)
@@ -77,7 +77,7 @@
         (request(target="/"), 404),
     ],
 )
-def test_what_is_not_in_the_protocols_form_reaches_nobody(data: bytes, status: int) -> None:
+def test_invalid_request_is_rejected_and_not_passed_to_the_module(data: bytes, status: int) -> None:
     async def test() -> None:
         async with world(entry("s-1", 1)) as w:
             assert (await w.ask(data)).status == status
@@ -86,7 +86,7 @@
     run(test())
 
 
-def test_a_request_may_come_in_pieces_and_a_connection_is_kept() -> None:
+def test_request_in_pieces_is_read_and_connection_is_reused() -> None:
     async def test() -> None:
         async with world() as w:
             refuse_all(w)
@@ -130,7 +130,7 @@
     run(test())
 
 
-def test_a_connection_is_closed_where_the_client_says_so() -> None:
+def test_connection_close_from_the_client_closes_the_connection() -> None:
     async def test() -> None:
         async with world() as w:
             refuse_all(w)
@@ -142,7 +142,7 @@
     run(test())
 
 
-def test_a_client_that_leaves_is_told_to_the_module_once() -> None:
+def test_client_disconnect_is_reported_to_the_module_once() -> None:
     async def test() -> None:
         async with world() as w:
             client = await w.client()
@@ -161,7 +161,7 @@
     run(test())
 
 
-def test_a_second_request_under_an_id_in_use_is_turned_away() -> None:
+def test_request_with_an_id_in_use_is_rejected() -> None:
     async def test() -> None:
         async with world() as w:
             client = await w.client()
@@ -173,7 +173,7 @@
     run(test())
 
 
-def test_the_most_held_is_kept_and_the_surplus_refused_at_once() -> None:
+def test_requests_above_the_limit_in_flight_are_refused_at_once() -> None:
     async def test() -> None:
         async with world(ceilings={"most_held": 2}) as w:
             client = await w.client()
@@ -186,7 +186,7 @@
     run(test())
 
 
-def test_connections_are_bounded_idle_ones_give_way_and_the_surplus_is_refused() -> None:
+def test_idle_connections_are_evicted_at_the_limit_and_further_ones_refused() -> None:
     async def test() -> None:
         async with world() as w:
             refuse_all(w)
@@ -196,7 +196,7 @@
             await second.ask(request("r2"))
             third = await w.client()
             assert (await third.ask(request("r3"))).status == 503
-            assert await first.at_end()  # it had stood idle the longest
+            assert await first.at_end()  # it was idle the longest
             w.script.on(api.Request, lambda e: [])
             second.send(request("r4"))
             third.send(request("r5"))
@@ -209,7 +209,7 @@
     run(test())
 
 
-def test_accepting_goes_on_after_it_has_failed() -> None:
+def test_accepting_resumes_after_a_failed_accept() -> None:
     class Exhausted:
         """A listening socket on a machine that runs out of descriptors once."""
 
@@ -235,7 +235,7 @@
     run(test())
 
 
-def test_idle_clients_and_requests_that_never_come_whole_are_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connections_and_incomplete_requests_time_out(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with world() as w:
             refuse_all(w)
@@ -243,11 +243,13 @@
             slow.send(request()[:-10])
             body.send(request(cls="write", Content_Length="9") + b"x")
             assert (await usual.ask(request("r1"))).status == 503
-            for client in (slow, body):  # they are told why, as nothing was taken of them
+            for client in (slow, body):  # incomplete requests are answered with 408
                 assert (await client.receive()).status == 408
                 assert await client.at_end()
             assert await silent.at_end()
-            assert (await usual.ask(request("r2"))).status == 503  # one that asks is not hurried
+            assert (
+                await usual.ask(request("r2"))
+            ).status == 503  # HEAD_TIMEOUT_S does not apply between requests
             monkeypatch.setattr("coralvale.net.server.IDLE_TIMEOUT_S", 0.01)
             assert await usual.at_end()
             assert len(w.script.of(api.Request)) == 2
@@ -257,7 +259,7 @@
     run(test())
 
 
-def test_idle_connections_are_closed_sooner_when_room_is_short(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_timeout_is_shorter_when_few_connections_are_free(monkeypatch: pytest.MonkeyPatch) -> None:
     async def test() -> None:
         async with world() as w:
             refuse_all(w)
@@ -272,8 +274,8 @@
     run(test())
 
 
-def test_silent_connections_give_way_to_those_that_ask(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Nobody gains by connecting a hundred times and saying nothing."""
+def test_connections_without_a_request_are_evicted_for_new_ones(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A hundred connections without a request must not lock out a client that sends one."""
 
     async def test() -> None:
         async with world() as w:
@@ -288,8 +290,8 @@
     run(test())
 
 
-def test_a_bad_request_is_the_last_of_its_connection() -> None:
-    """Else the same could come again at full speed; what follows it at once is not looked at."""
+def test_invalid_request_closes_its_connection() -> None:
+    """An invalid client must not retry at full speed on one connection; requests pipelined behind are ignored."""
 
     async def test() -> None:
         async with world() as w:
@@ -302,7 +304,7 @@
     run(test())
 
 
-def test_what_comes_behind_a_bad_head_is_not_read_and_the_answer_arrives() -> None:
+def test_body_after_a_rejected_head_is_not_read_and_the_answer_arrives() -> None:
     async def test() -> None:
         async with world() as w:
             bad = await w.client()
@@ -312,12 +314,12 @@
             assert connection.transport is not None and not connection.transport.is_reading()
             bad.send(b"x" * 1_000_000)
             assert await bad.at_end()
-            await until(lambda: not w.node.server.connections)  # it does not stay for good
+            await until(lambda: not w.node.server.connections)  # the connection does not stay open
 
     run(test())
 
 
-def test_only_so_many_connections_wait_for_their_last_answer_to_arrive(
+def test_number_of_lingering_connections_is_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     async def test() -> None:
@@ -331,7 +333,7 @@
     run(test())
 
 
-def test_up_is_told_once_the_list_is_there() -> None:
+def test_up_answers_200_only_after_the_list_of_hosts_is_known() -> None:
     async def up(client: Client) -> int:
         return (await client.ask(b"GET /up HTTP/1.1\r\nHost: x\r\n\r\n")).status
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -17,7 +17,7 @@
 from hypothesis import settings as examples
 from hypothesis import strategies as st
 from net_helpers import LIMIT, Client, Registry, entry, request, run, settings, until
-from test_door import call, operated
+from test_door import call, running_gateway
 
 from coralvale import Gateway, handover
 from coralvale import interface as api
@@ -156,7 +156,7 @@
 def test_a_successor_that_dies_during_the_takeover_changes_nothing(tmp_path: Path) -> None:
     async def test() -> None:
         host = await Host("s-1").start()
-        async with operated(tmp_path, entry("s-1", host.port)) as (node, _, _port):
+        async with running_gateway(tmp_path, entry("s-1", host.port)) as (node, _, _port):
             await until(lambda: node.offer)
             found = await asyncio.to_thread(Successor.find, tmp_path / "takeover")
             assert found
