--- a/coralvale/net/server.py
+++ b/coralvale/net/server.py
@@ -219,7 +219,7 @@
         self.connection.abort()
 
     def reply_and_close(self, status: int, body: bytes = b"") -> None:
-        """Rejects an invalid request and closes the connection, as its next one is likely invalid too."""
+        """Rejects a request and closes the connection, as its next request is likely invalid too."""
         self.close = True
         self.reply(status, body)
 
@@ -243,7 +243,10 @@
 
 
 class ParsedRequest:
-    """The header fields of a request that decisions need, checked. Raises BadRequest if one is invalid."""
+    """The header fields that decisions need, checked; `timeout` in seconds.
+
+    Raises BadRequest if one is missing or invalid.
+    """
 
     __slots__ = (
         "cls",
@@ -344,7 +347,7 @@
         self.size = self.head_size = 0
         self.in_body = False
         self.error_status = 0  # status of the last answer, which closes the connection; 0 if none
-        self.paused = self.write_paused = self.closing = False
+        self.read_paused = self.write_paused = self.closing = False
         self.over_limit = False  # above `max_connections`: answered with 503 and closed
 
     def connection_made(self, transport: Any) -> None:  # noqa: ANN401
@@ -378,15 +381,15 @@
             self.server.handle_request(exchange)
         if self.error_status:
             self._reply_error()
-        elif len(self.exchanges) >= MAX_PIPELINED and self.transport and not self.paused:
-            self.paused = True
+        elif len(self.exchanges) >= MAX_PIPELINED and self.transport and not self.read_paused:
+            self.read_paused = True
             self.transport.pause_reading()
         self.update_idle()
 
     def _reply_error(self) -> None:
         """Queues an error as the last answer. Nothing more is read, as a large body may follow (60 MB)."""
-        if self.transport and not self.paused:
-            self.paused = True
+        if self.transport and not self.read_paused:
+            self.read_paused = True
             self.transport.pause_reading()
         if self.reading:
             self.reading.release_body()
@@ -458,7 +461,7 @@
         self.headers_complete_at = self.server.clock.monotonic()
         length = exchange.fields.get(b"content-length", b"0")
         if b"transfer-encoding" in exchange.fields:
-            # With Content-Length as well it may be request smuggling.
+            # With Content-Length as well, the body may hide a second request (request smuggling).
             coding = exchange.fields[b"transfer-encoding"].strip().lower()
             if b"content-length" in exchange.fields or coding != b"chunked":
                 self.error_status = 400
@@ -531,8 +534,8 @@
                 self.close_after_flush()
                 return
         self.update_idle()
-        if self.paused and len(self.exchanges) < MAX_PIPELINED:
-            self.paused = False
+        if self.read_paused and len(self.exchanges) < MAX_PIPELINED:
+            self.read_paused = False
             self.transport.resume_reading()
 
     def close_after_flush(self) -> None:
@@ -543,8 +546,8 @@
         if self.error_status or self.reading or self.exchanges or self.has_unread():
             # Closing with unread input would reset the connection, and the client could lose the answer.
             self.transport.write_eof()
-            if not self.paused:
-                self.paused = True
+            if not self.read_paused:
+                self.read_paused = True
                 self.transport.pause_reading()
             self.server.linger(self)
         else:
@@ -735,7 +738,7 @@
         )
 
     def _close_silent(self) -> int:
-        """Closes connections that sent no complete request within their grace period; returns how many."""
+        """Closes connections that sent nothing within their grace period; returns how many."""
         now = self.clock.monotonic()
         some = [
             c
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -247,9 +247,7 @@
                 assert (await client.receive()).status == 408
                 assert await client.at_end()
             assert await silent.at_end()
-            assert (
-                await usual.ask(request("r2"))
-            ).status == 503  # HEAD_TIMEOUT_S does not apply between requests
+            assert (await usual.ask(request("r2"))).status == 503  # kept open between requests
             monkeypatch.setattr("coralvale.net.server.IDLE_TIMEOUT_S", 0.01)
             assert await usual.at_end()
             assert len(w.script.of(api.Request)) == 2
