--- a/coralvale/__main__.py
+++ b/coralvale/__main__.py
@@ -1,4 +1,4 @@
-"""Starts one gateway: its configuration, the event loop, the signals."""
+"""Starts a gateway: reads its configuration, builds its subsystems, runs the event loop, handles signals."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 from coralvale.net.logs import RateLimitFilter
 from coralvale.net.node import Node
 
-if TYPE_CHECKING:  # imported only where the operator's file asks for them
+if TYPE_CHECKING:  # imported at run time only if the operator's file enables them
     from coralvale.attempts.service import Recorder
     from coralvale.authorisation.service import Authorisers
     from coralvale.interface import Allowance
@@ -36,7 +36,7 @@
 
 
 def reload(node: Node, path: str) -> None:
-    """SIGHUP: takes the file as it is now; one that cannot be used changes nothing."""
+    """On SIGHUP: reads the configuration file again; an invalid one changes nothing."""
     try:
         config = read_config(path)
     except ConfigError as error:
@@ -47,55 +47,56 @@
     node.request_stats.reloads_ok += 1
 
 
-def reload_parts(path: str, parts: dict[str, Callable[[Operator], object]]) -> None:
-    """SIGHUP: takes the operator's file as it is now; a part that cannot use it keeps what it has."""
+def reload_subsystems(path: str, reloaders: dict[str, Callable[[Operator], object]]) -> None:
+    """On SIGHUP: reads the operator's file again; a subsystem that cannot use it keeps its old settings."""
     from coralvale.operator import OperatorError, read_operator
 
     try:
         operator = read_operator(path)
     except OperatorError as error:
-        for what in parts:
-            log.error("keeping the old %s: %s", what, error)
+        for name in reloaders:
+            log.error("keeping the old %s: %s", name, error)
         return
-    for what, take in parts.items():
+    for name, reload_one in reloaders.items():
         try:
-            take(operator)
+            reload_one(operator)
         except ValueError as error:
-            log.error("keeping the old %s: %s", what, error)
+            log.error("keeping the old %s: %s", name, error)
 
 
-async def serve(config: Config, path: str, operator: Operator | None = None, named: str = "") -> None:
+async def serve(config: Config, path: str, operator: Operator | None = None, operator_path: str = "") -> None:
+    """Runs the gateway until it is stopped by SIGTERM or SIGINT."""
     loop = asyncio.get_running_loop()
     clock = Clock()
-    gate = authorise(config, operator, clock) if operator else None
-    allowance = share(config, operator, clock) if operator else None
-    recorder = record(config, operator, clock) if operator else None
-    sender = tell(config, operator, clock) if operator else None
-    meter = bill(config, operator, clock) if operator else None
-    follower = follow(config, operator, clock) if operator else None
+    gate = build_authorisers(config, operator, clock) if operator else None
+    allowance = build_allowance(config, operator, clock) if operator else None
+    recorder = build_recorder(config, operator, clock) if operator else None
+    sender = build_sender(config, operator, clock) if operator else None
+    meter = build_meter(config, operator, clock) if operator else None
+    follower = build_follower(config, operator, clock) if operator else None
     terms = follower.terms if follower else None
-    carry = speak(config, operator) if operator else None
-    members = meet(config, operator) if operator else None
+    carry = build_transport(config, operator) if operator else None
+    members = build_members(config, operator) if operator else None
     if members and members.table.quotas:
         allowance = members.lend(config.settings.plans, clock.now)
-    node = Node(config, clock, allowance, gate, recorder, own_folder(config), sender, meter, terms, carry)
+    node = Node(config, clock, allowance, gate, recorder, shared_folder(config), sender, meter, terms, carry)
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, node.stop)
 
-    parts: dict[str, Callable[[Operator], object]] = {}
+    reloaders: dict[str, Callable[[Operator], object]] = {}
     if gate:
-        parts["authorisers"] = lambda told: gate.reload(told.authorisation)
+        reloaders["authorisers"] = lambda operator_file: gate.reload(operator_file.authorisation)
     if sender:
-        parts["receivers"] = lambda told: sender.reload(told.syslog)
+        reloaders["receivers"] = lambda operator_file: sender.reload(operator_file.syslog)
     if members:
-        parts["members' keys"] = lambda told: members.reload(told.members)
+        reloaders["members' keys"] = lambda operator_file: members.reload(operator_file.members)
 
-    def again() -> None:
+    def on_sighup() -> None:
         reload(node, path)
-        if parts:
-            reload_parts(named, parts)
+        if reloaders:
+            reload_subsystems(operator_path, reloaders)
 
-    loop.add_signal_handler(signal.SIGHUP, again)
+    loop.add_signal_handler(signal.SIGHUP, on_sighup)
     node.start()
     following = loop.create_task(follower.run()) if follower else None
     meeting = loop.create_task(members.run()) if members else None
@@ -105,7 +106,7 @@
             node.defer = members.hold
         if members.table.hosts:
             members.spread(node.gateway)
-    # What start-up made lives for good: collecting it again and again would only cost time.
+    # Objects made at start-up live as long as the process; exclude them from garbage collection to save time.
     gc.collect()
     gc.freeze()
     await node.stopped
@@ -119,25 +120,28 @@
         await sender.finish()
 
 
-def own_folder(config: Config) -> Path | None:
-    """A folder that the process before this one and the one after it have as well, if the platform gives one."""
+def shared_folder(config: Config) -> Path | None:
+    """Folder shared with the previous and the next process of this gateway, or None.
+
+    It needs TMPDIR and an address for the operators' server.
+    """
     given = os.environ.get("TMPDIR")
     return Path(given, "coralvale-" + quote(config.name, safe="")) if given and config.management else None
 
 
-def share(config: Config, operator: Operator, clock: Clock) -> Allowance | None:
-    """The parts that this gateway shares with others, if the operator's file names any."""
+def build_allowance(config: Config, operator: Operator, clock: Clock) -> Allowance | None:
+    """Allowance shared with other gateways, if the operator's file enables it."""
     if (table := operator.allowance) is None:
         return None
     from coralvale.allowance.shares import Shares
 
     if config.counter is None:
-        log.warning("[allowance] without a counter: every gateway keeps to its even part")
+        log.warning("[allowance] without a counter: every gateway uses an even share")
     return Shares(config.settings, clock.now(), table.window_s, table.quotas, table.calls_per_s)
 
 
-def authorise(config: Config, operator: Operator, clock: Clock) -> Authorisers | None:
-    """The authorisers that the operator's file names, if any."""
+def build_authorisers(config: Config, operator: Operator, clock: Clock) -> Authorisers | None:
+    """Clients of the authorisers in the operator's file, if any."""
     if not operator.authorisation:
         return None
     from coralvale.authorisation.service import Authorisers
@@ -149,8 +153,8 @@
         raise ConfigError(f"operator's file: {error}") from None
 
 
-def record(config: Config, operator: Operator, clock: Clock) -> Recorder | None:
-    """The journal of attempts, if the operator's file names one."""
+def build_recorder(config: Config, operator: Operator, clock: Clock) -> Recorder | None:
+    """The journal of attempts, if the operator's file enables it."""
     if operator.attempts is None:
         return None
     from coralvale.attempts.service import JournalError, Recorder
@@ -161,8 +165,8 @@
         raise ConfigError(f"attempts: {error}") from None
 
 
-def tell(config: Config, operator: Operator, clock: Clock) -> Sender | None:
-    """Whoever sends final answers to syslog, if the operator's file names a receiver."""
+def build_sender(config: Config, operator: Operator, clock: Clock) -> Sender | None:
+    """The sender of final answers to syslog, if the operator's file names receivers."""
     if operator.syslog is None:
         return None
     from coralvale.syslog.service import Sender, SyslogError
@@ -173,8 +177,8 @@
         raise ConfigError(f"operator's file: {error}") from None
 
 
-def bill(config: Config, operator: Operator, clock: Clock) -> Meter | None:
-    """The ledger, if the operator's file names one."""
+def build_meter(config: Config, operator: Operator, clock: Clock) -> Meter | None:
+    """The meter that writes the billing ledger, if the operator's file enables it."""
     if operator.ledger is None:
         return None
     from coralvale.ledger.model import LedgerError
@@ -186,8 +190,8 @@
         raise ConfigError(str(error)) from None
 
 
-def follow(config: Config, operator: Operator, clock: Clock) -> Follower | None:
-    """Whoever follows a plan service, if the operator's file names one."""
+def build_follower(config: Config, operator: Operator, clock: Clock) -> Follower | None:
+    """The follower of a plan service, if the operator's file names one."""
     if operator.plans is None:
         return None
     from coralvale.operator import OperatorError
@@ -202,8 +206,8 @@
         raise ConfigError(f"operator's file: {error}") from None
 
 
-def meet(config: Config, operator: Operator) -> Members | None:
-    """Membership, if the operator's file names it."""
+def build_members(config: Config, operator: Operator) -> Members | None:
+    """Membership of gateways, if the operator's file enables it."""
     if operator.members is None:
         return None
     from coralvale.members.service import Service
@@ -215,8 +219,8 @@
         raise ConfigError(f"operator's file: {error}") from None
 
 
-def speak(config: Config, operator: Operator) -> Callable[[Upstreams], Transport] | None:
-    """HTTP/2 to hosts, if the operator's file names it."""
+def build_transport(config: Config, operator: Operator) -> Callable[[Upstreams], Transport] | None:
+    """Makes the HTTP/2 transport to hosts, if the operator's file enables it."""
     if operator.http2 is None:
         return None
     from coralvale.http2.service import Transport as Http2
@@ -234,29 +238,27 @@
 
 
 def run(operator: str = "") -> int:
-    """The gateway; `operator` names the operator's file, if one is given."""
+    """Runs a gateway; `operator` is the path of the operator's file, or empty. Returns the exit code."""
     logging.basicConfig(level=logging.INFO, format="%(asctime)s %(levelname)s %(message)s", stream=sys.stderr)
     logging.getLogger().handlers[0].addFilter(RateLimitFilter())
-    # libuv's io_uring comes with a kernel thread that polls: with less than a core it used all there was.
+    # libuv's io_uring starts a polling kernel thread, which used all CPU time on less than one core.
     os.environ.setdefault("UV_USE_IO_URING", "0")
-    signal.signal(
-        signal.SIGHUP, signal.SIG_IGN
-    )  # one that comes before the loop runs must not end the program
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # a SIGHUP before the loop runs must not end the program
     path = os.environ.get("LB_CONFIG")
     if not path:
         print("coralvale: LB_CONFIG is not set", file=sys.stderr)
         return 2
-    told: Operator | None = None
+    operator_file: Operator | None = None
     if operator:
         from coralvale.operator import OperatorError, read_operator
 
         try:
-            told = read_operator(operator)
+            operator_file = read_operator(operator)
         except OperatorError as error:
             print(f"coralvale: {error}", file=sys.stderr)
             return 2
     try:
-        uvloop.run(serve(read_config(path), path, told, operator))
+        uvloop.run(serve(read_config(path), path, operator_file, operator))
     except ConfigError as error:
         print(f"coralvale: {error}", file=sys.stderr)
         return 2
@@ -267,7 +269,10 @@
 
 
 def main() -> int:
-    """Without a word the gateway, as the platform starts it; all else is the command line's."""
+    """Runs the gateway, as the platform starts it, or the command line if there are arguments.
+
+    CORALVALE_OPERATOR also selects the command line, with its command `gateway`.
+    """
     if len(sys.argv) > 1 or os.environ.get("CORALVALE_OPERATOR"):
         from coralvale.cli import main as command_line
 
--- a/coralvale/cluster/server/changes.py
+++ b/coralvale/cluster/server/changes.py
@@ -19,7 +19,7 @@
 from coralvale.cluster.server.messages import ConfigurationRequest, Reply, UpdateReply, UpdateRequest
 from coralvale.cluster.server.peers import PeerConnection
 from coralvale.cluster.server.runtime import Runtime
-from coralvale.net.server import Bounds as ClientBounds
+from coralvale.net.server import ClientLimits
 
 LONG_POLL_S = 1.0  # for which a request waits if there is no update
 CONTACT_CHECK_INTERVAL_S = 0.25  # between checks whether the gateway that answers has lost the core itself
@@ -32,7 +32,7 @@
     """The configuration in force at this gateway, and operators' reads and changes of it."""
 
     def __init__(
-        self, runtime: Runtime, router: Router, set_client_bounds: Callable[[ClientBounds], None]
+        self, runtime: Runtime, router: Router, set_client_bounds: Callable[[ClientLimits], None]
     ) -> None:
         """`set_client_bounds`: called with the limits of each new configuration."""
         self.runtime, self.router, self.set_client_bounds = runtime, router, set_client_bounds
@@ -50,7 +50,7 @@
         self.tenants = {crc32(name.encode()): name for name in configuration.tenants()}
         limits = configuration.limits
         self.set_client_bounds(
-            ClientBounds(
+            ClientLimits(
                 limits.HeaderBytes, limits.BodyBytes, limits.HdrReadMs / 1000, limits.IdleMs / 1000, 431
             )
         )
--- a/coralvale/cluster/server/ctl.py
+++ b/coralvale/cluster/server/ctl.py
@@ -18,7 +18,7 @@
 from coralvale.cluster.settings import parse_address
 from coralvale.net.clock import Clock
 from coralvale.net.config import Address
-from coralvale.net.server import Bounds, Exchange, Server
+from coralvale.net.server import ClientLimits, Exchange, Server
 
 BASE_VERSION = b"x-myrtlehatch-base-version"
 STATES = {"up": State.UP, "draining": State.DRAINING}
@@ -107,12 +107,12 @@
     def ready(self) -> bool:
         return self.backend.is_ready()
 
-    def take(self, exchange: Exchange, fields: Any) -> None:  # noqa: ANN401
+    def handle(self, exchange: Exchange, fields: Any) -> None:  # noqa: ANN401
         raise AssertionError("ControlServer does not call take()")
 
-    def turned_away(self, exchange: Exchange, status: int, why: str) -> None: ...
+    def rejected(self, exchange: Exchange, status: int, why: str) -> None: ...
 
-    def client_left(self, exchange: Exchange) -> None: ...
+    def client_disconnected(self, exchange: Exchange) -> None: ...
 
     def call(self, exchange: Exchange) -> None:
         """Handles one HTTP request, and answers it when its task is done."""
@@ -189,16 +189,16 @@
 class ControlServer(Server):
     """Accepts connections of hosts, operators and applications and passes their requests to a `Control`."""
 
-    once = {BASE_VERSION, b"content-length", b"transfer-encoding"}
+    single_value_headers = {BASE_VERSION, b"content-length", b"transfer-encoding"}
 
     def __init__(
         self, address: Address, control: Control, clock: Clock, max_connections: int = MAX_CONNECTIONS
     ) -> None:
         super().__init__(
-            address, None, control, max_connections, 64, most_bodies=2 * MAX_BODY_BYTES, clock=clock
+            address, None, control, max_connections, 64, max_total_body_bytes=2 * MAX_BODY_BYTES, clock=clock
         )
         self.control = control
-        self.bounds = Bounds(body=MAX_BODY_BYTES, partial=5.0, idle=30.0)
+        self.limits = ClientLimits(max_body_bytes=MAX_BODY_BYTES, head_timeout=5.0, idle_timeout=30.0)
 
-    def request(self, exchange: Exchange) -> None:
+    def handle_request(self, exchange: Exchange) -> None:
         self.control.call(exchange)
--- a/coralvale/cluster/server/edge.py
+++ b/coralvale/cluster/server/edge.py
@@ -20,7 +20,7 @@
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
 from coralvale.net.config import Address
-from coralvale.net.server import NOT_PASSED_ON, Exchange, Server, nominated
+from coralvale.net.server import NOT_FORWARDED_HEADERS, Exchange, Server, connection_options
 from coralvale.net.transport import Answer, Attempt, OutgoingRequest, Source
 
 REQUEST_ID, TIME_LEFT = b"x-myrtlehatch-request-id", b"x-myrtlehatch-time-left"
@@ -29,7 +29,7 @@
     b"x-myrtlehatch-want-instance",
     b"authorization",
 )
-NOT_FORWARDED = NOT_PASSED_ON | {TIME_LEFT, TENANT, WANT_INSTANCE, AUTHORIZATION}
+NOT_FORWARDED = NOT_FORWARDED_HEADERS | {TIME_LEFT, TENANT, WANT_INSTANCE, AUTHORIZATION}
 # A client cannot have these removed by naming them in Connection.
 NOT_NOMINABLE = {
     REQUEST_ID,
@@ -78,15 +78,15 @@
 class EdgeServer(Server):
     """Accepts clients' connections and passes their requests to an `Edge`."""
 
-    once = {REQUEST_ID, TIME_LEFT, AUTHORIZATION, b"host", b"content-length", b"transfer-encoding"}
+    single_value_headers = {REQUEST_ID, TIME_LEFT, AUTHORIZATION, b"host", b"content-length", b"transfer-encoding"}
 
     def __init__(
         self, address: Address, edge: Edge, max_connections: int, max_body_bytes: int, clock: Clock
     ) -> None:
-        super().__init__(address, None, edge, max_connections, 32, most_bodies=max_body_bytes, clock=clock)
+        super().__init__(address, None, edge, max_connections, 32, max_total_body_bytes=max_body_bytes, clock=clock)
         self.edge = edge
 
-    def turned_away_by_head(self, exchange: Exchange) -> int:
+    def early_rejection_status(self, exchange: Exchange) -> int:
         """The status that refuses a request bound to another region before its body is read, else 0."""
         router = self.edge.router
         if not router.home.routes:
@@ -96,8 +96,8 @@
         problem = router.check_head(self.edge.clock.monotonic(), host, path)
         return problem.status if problem else 0
 
-    def request(self, exchange: Exchange) -> None:
-        if exchange.connection.surplus:
+    def handle_request(self, exchange: Exchange) -> None:
+        if exchange.connection.over_limit:
             exchange.close = True
             exchange.reply(503, retry_after=0.2)
             return
@@ -126,15 +126,15 @@
 
     # Handler protocol of `Server`
 
-    def take(self, exchange: Exchange, fields: Any) -> None:  # noqa: ANN401
+    def handle(self, exchange: Exchange, fields: Any) -> None:  # noqa: ANN401
         raise AssertionError("EdgeServer does not call take()")
 
-    def turned_away(self, exchange: Exchange, status: int, why: str) -> None:
+    def rejected(self, exchange: Exchange, status: int, why: str) -> None:
         self.answers[status] = self.answers.get(status, 0) + 1
 
-    def client_left(self, exchange: Exchange) -> None:
+    def client_disconnected(self, exchange: Exchange) -> None:
         """Handles the loss of a client's connection before its answer was complete."""
-        request: Request | None = exchange.held
+        request: Request | None = exchange.handler_state
         if request is None:
             return
         request.client_left = True
@@ -160,7 +160,7 @@
             or not host
             or (left and not TIME_LEFT_PATTERN.fullmatch(left))
         ):
-            return exchange.refuse(400, b"a request id, a host and the time left are needed\n")
+            return exchange.reply_and_close(400, b"a request id, a host and the time left are needed\n")
         key = BEARER_PATTERN.fullmatch(fields.get(AUTHORIZATION, b""))
         path = exchange.target.partition(b"?")[0].decode("latin-1")
         job = self.router.admit(
@@ -177,14 +177,14 @@
                 log_event(Event.ANSWERED, id=id_.decode(), status=job.status, ms=0.0, why=why)
             return self._send_problem(exchange, job)
         drop = NOT_FORWARDED | (
-            nominated(fields[b"connection"]) - NOT_NOMINABLE if b"connection" in fields else set()
+            connection_options(fields[b"connection"]) - NOT_NOMINABLE if b"connection" in fields else set()
         )
         headers = [(n, v) for n, v in exchange.headers if n.lower() not in drop]
         if job.tenant:
             headers.append((b"X-Myrtlehatch-Tenant", job.tenant.encode()))
         if RequestEvents.enabled:
             log_event(Event.TAKEN, id=id_.decode(), route=job.route_name, tenant=job.tenant or "nobody")
-        request = exchange.held = Request(exchange, job, headers)
+        request = exchange.handler_state = Request(exchange, job, headers)
         self.open.add(request)
         request.deadline_timer = self.loop.call_later(job.deadline - now, self._deadline_expired, request)
         if job.waits_for_token:
@@ -351,7 +351,7 @@
                 request,
             )
         self._log_bound_answer(request.job, answer.status)
-        request.exchange.begin(answer.headers, length, source)
+        request.exchange.start_stream(answer.headers, length, source)
         return request.exchange
 
     def _log_bound_answer(self, job: Job, status: int) -> None:
--- a/coralvale/cluster/server/node.py
+++ b/coralvale/cluster/server/node.py
@@ -52,8 +52,7 @@
 from coralvale.members import wire as swim_wire
 from coralvale.members.model import MembersError
 from coralvale.net.clock import Clock
-from coralvale.net.server import Bounds as ClientBounds
-from coralvale.net.server import Server
+from coralvale.net.server import ClientLimits, Server
 
 CONNECT_TIMEOUT_S = 0.4  # to a host
 HOST_IDLE_S = 8.0  # for which an idle connection to a host is kept, unless the host announces less
@@ -405,8 +404,8 @@
                         log_event(Event.HOST_ABROAD, id=name, service=service, bound=bound, zone=entry.row.az)
         self.logged_hosts_abroad = abroad
 
-    def _set_client_bounds(self, bounds: ClientBounds) -> None:
-        self.edge_server.bounds = bounds
+    def _set_client_bounds(self, bounds: ClientLimits) -> None:
+        self.edge_server.limits = bounds
 
     def _retire(self, row: Row) -> None:
         self.hosts.retire((row.id, 0.0, (row.ip, row.port)))
--- a/coralvale/net/counter.py
+++ b/coralvale/net/counter.py
@@ -1,4 +1,7 @@
-"""Calls to the shared counter: pipelined on a few kept connections, answered in order."""
+"""Client of the shared counter: pipelined calls on a few persistent connections, answered in order.
+
+Times and timeouts are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -15,18 +18,20 @@
 from coralvale.interface import CounterReply
 from coralvale.net.config import Address
 
-LINES = 2  # connections; a name keeps to one, so that its answers come in the order of its calls
-IDLE = 4.0  # s after which an idle one is closed here, well before the counter does at up to 10 s
-MAX_BODY = 64  # bytes of a total
-MAX_ANSWER = 4096  # bytes without a whole answer: a head that does not end would fill the memory
-STUCK = 0.5  # s without the answer to the oldest call after which a connection is given up
+CONNECTIONS = 2  # calls for one name use the same connection, so that they are answered in order
+IDLE_TIMEOUT_S = 4.0  # well before the counter closes idle connections, which it does at up to 10 s
+MAX_BODY_BYTES = 64  # of a response, which is one number
+MAX_RESPONSE_BYTES = 4096  # without a complete response; bounds memory for a head that does not end
+STALL_TIMEOUT_S = 0.5  # without the answer to the oldest call, after which its connection is closed
 
 
-NUMBER = re.compile(rb"\s*-?\d{1,15}(\.\d{0,15})?([eE][-+]?\d{1,2})?\s*")  # float() takes 1_0 and inf as well
+NUMBER = re.compile(rb"\s*-?\d{1,15}(\.\d{0,15})?([eE][-+]?\d{1,2})?\s*")  # float() also accepts 1_0 and inf
 
 
 @dataclass(slots=True, eq=False)
 class Call:
+    """A call to the counter and its HTTP request."""
+
     name: int | str
     text: bytes
     timer: asyncio.TimerHandle | None = None
@@ -34,69 +39,79 @@
     done: bool = False
 
 
-class Counter:
-    """`on_reply` gets exactly one reply for each call, in time or as maybe added."""
+class CounterClient:
+    """Adds to numbers of the counter; `on_reply` gets exactly one reply for each call.
+
+    A call without an answer within `timeout` gets a reply that says whether it may have been added.
+    """
 
     def __init__(
         self,
         address: Address,
-        time_out: float,
+        timeout: float,
         connect_timeout: float,
         on_reply: Callable[[CounterReply], None],
-        stuck: float = STUCK,
+        stall_timeout: float = STALL_TIMEOUT_S,
     ) -> None:
-        self.address, self.time_out, self.connect_timeout = address, time_out, connect_timeout
-        self.on_reply, self.stuck = on_reply, stuck
+        self.address, self.timeout, self.connect_timeout = address, timeout, connect_timeout
+        self.on_reply, self.stall_timeout = on_reply, stall_timeout
         self.loop = asyncio.get_running_loop()
-        self.lines: list[Line | None] = [None] * LINES
+        self.connections: list[CounterConnection | None] = [None] * CONNECTIONS
         self.tasks: set[asyncio.Task[None]] = set()
 
     def add(self, name: int | str, amount: float, lifetime: float) -> None:
+        """Adds `amount` to the number `name`, which the counter keeps for `lifetime` seconds."""
         keep = min(60_000, max(1, round(lifetime * 1000)))
         host, port = self.address
         text = f"POST /tally/{name}?n={amount:.6f}&keep_ms={keep} HTTP/1.1\r\nHost: {host}:{port}\r\n"
         call = Call(name, f"{text}Content-Length: 0\r\n\r\n".encode())
-        number = name % LINES if isinstance(name, int) else zlib.crc32(name.encode()) % LINES
-        line = self.lines[number]
-        if line is None or line.closed:
-            line = self.lines[number] = Line(self)
-            task = self.loop.create_task(self._connect(line))
+        number = name % CONNECTIONS if isinstance(name, int) else zlib.crc32(name.encode()) % CONNECTIONS
+        connection = self.connections[number]
+        if connection is None or connection.closed:
+            connection = self.connections[number] = CounterConnection(self)
+            task = self.loop.create_task(self._connect(connection))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
-        call.timer = self.loop.call_later(self.time_out, self._late, line, call)
-        line.add(call)
+        call.timer = self.loop.call_later(self.timeout, self._on_timeout, connection, call)
+        connection.add(call)
 
     def close(self) -> None:
+        """Closes all connections."""
         for task in self.tasks:
             task.cancel()
-        for line in self.lines:
-            if line:
-                line.close()
-
-    def retire(self) -> None:
-        """Takes no more calls; those in hand end as ever, each with its one reply; then it closes."""
-        for line in self.lines:
-            if line:
-                line.last = True
-                line.rest()
-        self.loop.call_later(max(self.stuck, self.time_out), self.close)
-
-    async def _connect(self, line: Line) -> None:
+        for connection in self.connections:
+            if connection:
+                connection.close()
+
+    def drain(self) -> None:
+        """Closes once the calls in flight have their replies; no calls may be added any more."""
+        for connection in self.connections:
+            if connection:
+                connection.draining = True
+                connection.update_idle()
+        self.loop.call_later(max(self.stall_timeout, self.timeout), self.close)
+
+    async def _connect(self, connection: CounterConnection) -> None:
         try:
             async with asyncio.timeout(self.connect_timeout):
-                await self.loop.create_connection(lambda: line, *self.address)
+                await self.loop.create_connection(lambda: connection, *self.address)
         except (OSError, TimeoutError):
-            line.close()
-            line.connection_lost(None)
+            connection.close()
+            connection.connection_lost(None)
 
-    def _late(self, line: Line, call: Call) -> None:
-        """No answer in time: it may have been added, unless the call was never written."""
+    def _on_timeout(self, connection: CounterConnection, call: Call) -> None:
+        """The call has no answer in time; it may have been added unless it was never written."""
         self.reply(call, CounterReply(call.name, False, 0.0, maybe_added=call.written_at is not None))
-        first = line.calls[0] if line.calls else None
-        if first and first.written_at is not None and self.loop.time() - first.written_at > self.stuck:
-            line.close()
+        first = connection.calls[0] if connection.calls else None
+        if (
+            first
+            and first.written_at is not None
+            and self.loop.time() - first.written_at > self.stall_timeout
+        ):
+            connection.close()
 
     def reply(self, call: Call, reply: CounterReply) -> None:
+        """Delivers a reply, unless the call has had one."""
         if not call.done:
             call.done = True
             if call.timer:
@@ -104,66 +119,70 @@
             self.on_reply(reply)
 
 
-class Line(asyncio.Protocol):
-    """One connection. A call that has run out of time keeps its place, so that its late answer finds it."""
+class CounterConnection(asyncio.Protocol):
+    """A connection. A call that timed out stays queued, so that its late answer is matched to it."""
 
-    def __init__(self, owner: Counter) -> None:
+    def __init__(self, owner: CounterClient) -> None:
         self.owner, self.closed, self.body = owner, False, b""
         self.calls: deque[Call] = deque()
         self.transport: asyncio.Transport | None = None
-        self.idle: asyncio.TimerHandle | None = None
+        self.idle_timer: asyncio.TimerHandle | None = None
         self.size = 0
-        self.last = False  # closed as soon as its calls are answered
+        self.draining = False  # closes as soon as its calls are answered
 
     def add(self, call: Call) -> None:
+        """Queues a call and writes it if the connection is established."""
         self.calls.append(call)
         if self.transport:
             self._write(call)
 
     def _write(self, call: Call) -> None:
         assert self.transport is not None
-        if self.idle:
-            self.idle.cancel()
-            self.idle = None
+        if self.idle_timer:
+            self.idle_timer.cancel()
+            self.idle_timer = None
         call.written_at = self.owner.loop.time()
         self.transport.write(call.text)
 
     def connection_made(self, transport: Any) -> None:  # noqa: ANN401
         self.transport = transport
         self.parser = httptools.HttpResponseParser(self)
-        self.calls = deque(call for call in self.calls if not call.done)  # the others are not made any more
+        self.calls = deque(
+            call for call in self.calls if not call.done
+        )  # calls that timed out meanwhile are dropped
         for call in self.calls:
             self._write(call)
-        self.rest()
+        self.update_idle()
 
-    def rest(self) -> None:
-        if self.last and not self.calls and self.transport:
+    def update_idle(self) -> None:
+        """Without calls: closes the connection if draining, else starts its idle timeout."""
+        if self.draining and not self.calls and self.transport:
             self.close()
-        elif not self.calls and not self.idle:
-            self.idle = self.owner.loop.call_later(IDLE, self.close)
+        elif not self.calls and not self.idle_timer:
+            self.idle_timer = self.owner.loop.call_later(IDLE_TIMEOUT_S, self.close)
 
     def data_received(self, data: bytes) -> None:
-        if not self.calls:  # nothing was asked
+        if not self.calls:  # unsolicited data
             self.close()
             return
         self.size += len(data)
-        if self.size > MAX_ANSWER:
+        if self.size > MAX_RESPONSE_BYTES:
             self.close()
             return
         try:
             self.parser.feed_data(data)
         except httptools.HttpParserError:
             self.close()
-        self.rest()
+        self.update_idle()
 
     def on_body(self, body: bytes) -> None:
         self.body += body
-        if len(self.body) > MAX_BODY:
-            raise ValueError("a total without end")
+        if len(self.body) > MAX_BODY_BYTES:
+            raise ValueError("response body too long")
 
     def on_message_begin(self) -> None:
-        if not self.calls:  # more than belongs to the last call
-            raise ValueError("an answer that nobody asked for")
+        if not self.calls:  # more responses than calls
+            raise ValueError("a response without a call")
 
     def on_message_complete(self) -> None:
         self.size = 0
@@ -173,10 +192,10 @@
         call = self.calls.popleft()
         if status == 200 and NUMBER.fullmatch(body):
             self.owner.reply(call, CounterReply(call.name, True, float(body)))
-        else:  # 503, 400 and 404 have added nothing; anything else may have
+        else:  # 503, 400 and 404 mean that nothing was added; with anything else it may have been
             plain = status in (503, 400, 404)
             self.owner.reply(call, CounterReply(call.name, False, 0.0, maybe_added=not plain))
-            if not plain:  # an answer without a number: nothing on this connection can be relied on
+            if not plain:  # the connection cannot be trusted after an invalid answer
                 self.close()
         if not self.parser.should_keep_alive():
             self.close()
@@ -188,8 +207,8 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.closed = True
-        if self.idle:
-            self.idle.cancel()
+        if self.idle_timer:
+            self.idle_timer.cancel()
         while self.calls:
             call = self.calls.popleft()
             maybe = call.written_at is not None
--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -20,14 +20,14 @@
 from coralvale import interface as api
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
-from coralvale.net.config import Address, Config, Place
-from coralvale.net.counter import Counter
+from coralvale.net.config import Address, Config, HostInstance
+from coralvale.net.counter import CounterClient
 from coralvale.net.discovery import Discovery, Endpoint
-from coralvale.net.door import MOST as MAX_MANAGEMENT_CONNECTIONS
-from coralvale.net.door import Door
+from coralvale.net.door import MAX_CONNECTIONS as MAX_MANAGEMENT_CONNECTIONS
+from coralvale.net.door import ManagementServer
 from coralvale.net.figures import RequestStats
 from coralvale.net.marks import MaintenanceSet
-from coralvale.net.server import NOT_PASSED_ON, Arrival, Exchange, Server, nominated
+from coralvale.net.server import NOT_FORWARDED_HEADERS, Exchange, ParsedRequest, Server, connection_options
 from coralvale.net.sockets import Sockets
 from coralvale.net.takeover import Predecessor, TakeoverServer
 from coralvale.net.transport import Answer, Attempt, OutgoingRequest, Source, Transport
@@ -83,12 +83,12 @@
 class RequestAuthoriser(Protocol):
     """External authorisation: it is asked before a request that needs it is sent."""
 
-    def needs(self, arrival: Arrival) -> bool:
+    def needs(self, arrival: ParsedRequest) -> bool:
         """Whether the request must be allowed by an authoriser."""
 
     def ask(
         self,
-        arrival: Arrival,
+        arrival: ParsedRequest,
         exchange: Exchange,
         time_left: float,
         done: Callable[[AuthorisationResult], None],
@@ -115,7 +115,12 @@
         """Whether requests of this class must be refused at once, because they could not be recorded."""
 
     def record_intent(
-        self, arrival: Arrival, exchange: Exchange, attempt: int, node: str, told: Callable[[bool], None]
+        self,
+        arrival: ParsedRequest,
+        exchange: Exchange,
+        attempt: int,
+        node: str,
+        told: Callable[[bool], None],
     ) -> None:
         """Records that an attempt is about to be sent.
 
@@ -139,7 +144,7 @@
     Times are in seconds; `time` is Unix time.
     """
 
-    arrival: Arrival | None  # None: rejected before the request was parsed
+    arrival: ParsedRequest | None  # None: rejected before the request was parsed
     # Without an arrival: those of LOGGED_HEADERS that were present, cut to MAX_LOGGED_HEADER_BYTES.
     fields: dict[bytes, bytes]
     target: bytes
@@ -165,7 +170,7 @@
     def refuses(self) -> bool:
         """Whether requests must be refused at once, because they could not be recorded."""
 
-    def try_started(self, arrival: Arrival) -> bool:
+    def try_started(self, arrival: ParsedRequest) -> bool:
         """Records that the first attempt of a request is about to be made; returns whether it may be."""
 
     def try_ended(self, request: str, arrived: bool) -> None:
@@ -201,7 +206,9 @@
         "timed_out",
     )
 
-    def __init__(self, exchange: Exchange, arrival: Arrival, received_at: float, expires_at: float) -> None:
+    def __init__(
+        self, exchange: Exchange, arrival: ParsedRequest, received_at: float, expires_at: float
+    ) -> None:
         self.exchange, self.arrival = exchange, arrival
         self.received_at, self.expires_at = received_at, expires_at
         self.attempts: list[Attempt] = []
@@ -249,7 +256,7 @@
         self.predecessor = Predecessor.find(self.folder / "takeover") if self.folder else None
         self.takeover_started = self.handed_over = False
         self.takeover_server: TakeoverServer | None = None
-        self.door: Door | None = None
+        self.management_server: ManagementServer | None = None
         self.pending: dict[str, PendingRequest] = {}
         self.ready = False
         # Called with each new request before the decision module gets it. True: the request is deferred until
@@ -326,7 +333,7 @@
         self.discovery_task = self.loop.create_task(self.discovery.run())
         self.server.start(accept=self.predecessor is None)
         if self.config.management:
-            self.door = Door(self.config.management, self)
+            self.management_server = ManagementServer(self.config.management, self)
         if self.folder:
             self.loop.call_later(MAINTENANCE_POLL_S, self._refresh_maintenance)
         self.discovery.on_answer = self._on_discovery_answer
@@ -365,7 +372,7 @@
             except ValueError as error:
                 log.warning("taken over without the state received: %s", error)
         if self.ends_at is None:
-            self.server.resume()
+            self.server.resume_accepting()
         await predecessor.confirm()
         self.takeover_started, self.predecessor = False, None
         self._start_serving()
@@ -373,7 +380,7 @@
     def _hand_over(self) -> dict[str, Any]:
         """Stops accepting clients and returns the state for the next process, which is ready."""
         log.info("handing over")
-        self.server.pause()
+        self.server.pause_accepting()
         self.server.drain()
         return handover.export_state(self.gateway, self.clock.now())
 
@@ -384,17 +391,17 @@
             handover.resume(self.gateway, self.clock.now())
             if self.ends_at is None:
                 self.server.closing = False
-                self.server.resume()
+                self.server.resume_accepting()
             return
         # Idle connections stay open until SIGTERM: the answer to their next request tells the client to
         # connect again, while closing one now could reject a request that is already on its way.
         self.handed_over = self.accepting_stopped = True
-        self.server.hand_on()
+        self.server.release_listener()
         self.loop.call_later(EXIT_AFTER_HANDOVER_S, self.stop)
 
     # Operators (the `Operated` protocol of the management port)
 
-    def serves(self) -> bool:
+    def can_serve(self) -> bool:
         return self.ready
 
     def stats(self) -> str:
@@ -404,7 +411,7 @@
         lines = self.request_stats.lines(len(self.discovery.endpoints), self.gateway.fleet.avoided(now))
         return lines + self.upstreams.stats()
 
-    def maintain(self, host: str, out: bool) -> tuple[int, str]:
+    def set_maintenance(self, host: str, out: bool) -> tuple[int, str]:
         """Puts a host into maintenance or back into service; returns status and text of the answer."""
         if not (
             host in self.discovery.endpoints or host in self.listed_hosts or host in self.maintenance.hosts
@@ -421,7 +428,7 @@
         log.info("host %s is %s", host, "taken out by hand" if out else "given back by hand")
         self.feed(api.Maintained(host, out))
         if out and (endpoint := self.discovery.endpoints.get(host)):
-            self.upstreams.retire(endpoint.place)
+            self.upstreams.retire(endpoint.instance)
 
     def _refresh_maintenance(self) -> None:
         """Applies maintenance changes that another process of this gateway has written."""
@@ -436,44 +443,44 @@
         """
         if config.discovery != self.discovery.address:
             log.info("discovery is now at %s", config.discovery)
-            self.discovery.move(config.discovery)
+            self.discovery.change_address(config.discovery)
         if config.counter == (self.counter.address if self.counter else None):
             return
         log.info("the counter is now at %s", config.counter)
         if self.counter:
-            self.counter.retire()
+            self.counter.drain()
         self.counter = self._make_counter(config.counter)
         if self.background_counter:
-            self.background_counter.retire()
+            self.background_counter.drain()
         self.background_counter = self._make_background_counter(config.counter)
 
-    def _make_counter(self, address: Address | None) -> Counter | None:
+    def _make_counter(self, address: Address | None) -> CounterClient | None:
         if address is None:
             return None
         reply_timeout = REPLY_TIMEOUTS * self.settings.counter_timeout
-        return Counter(address, reply_timeout, self.config.connect_timeout, self.feed)
+        return CounterClient(address, reply_timeout, self.config.connect_timeout, self.feed)
 
-    def _make_background_counter(self, address: Address | None) -> Counter | None:
+    def _make_background_counter(self, address: Address | None) -> CounterClient | None:
         """A counter client for calls that no request waits for.
 
         It has connections of its own, so that slow calls do not delay those that requests wait for.
         """
         if address is None or self.allowance is None:
             return None
-        return Counter(
+        return CounterClient(
             address,
             BACKGROUND_REPLY_TIMEOUT_S,
             self.config.connect_timeout,
             self.feed,
-            stuck=BACKGROUND_REPLY_TIMEOUT_S,
+            stall_timeout=BACKGROUND_REPLY_TIMEOUT_S,
         )
 
     def close(self) -> None:
         """Closes all sockets at once."""
         self.discovery_task.cancel()
         self.server.close()
-        if self.door:
-            self.door.close()
+        if self.management_server:
+            self.management_server.close()
         if self.takeover_server:
             self.takeover_server.close()
         self.upstreams.close()
@@ -574,17 +581,19 @@
             attempts = tuple(
                 [(a.server, a.zone, a.outcome, a.delay or now - a.sent_at) for a in pending.attempts]
             )
-            time_left = arrival.time_out - took
+            time_left = arrival.timeout - took
             target = pending.exchange.target[:MAX_LOGGED_TARGET_BYTES]
             record = AccessRecord(
                 arrival, {}, target, now, status, reason, took, time_left, attempts, outcome
             )
             self.access_log.record(record)
 
-    def turned_away(self, exchange: Exchange, status: int, why: str, arrival: Arrival | None = None) -> None:
+    def rejected(
+        self, exchange: Exchange, status: int, why: str, arrival: ParsedRequest | None = None
+    ) -> None:
         """Logs a request that was answered without the decision module."""
         if self.access_log:
-            time_left = arrival.time_out if arrival else 0.0
+            time_left = arrival.timeout if arrival else 0.0
             # There may be 64 KB of headers: only what is logged is kept.
             fields = {
                 name: exchange.fields[name][:MAX_LOGGED_HEADER_BYTES]
@@ -608,32 +617,32 @@
             if self.meter and pending.metered:
                 arrived = any(attempt.outcome not in UNWRITTEN for attempt in pending.attempts)
                 self.meter.try_ended(pending.arrival.id, arrived)
-            pending.exchange.held = None  # breaks the reference cycle: the garbage collector is not needed
+            pending.exchange.handler_state = None  # breaks the reference cycle: the garbage collector is not needed
             pending.attempts.clear()
             if self.ends_at is not None:
                 self._finish_if_drained()
 
     # Clients
 
-    def take(self, exchange: Exchange, arrival: Arrival) -> None:
+    def handle(self, exchange: Exchange, arrival: ParsedRequest) -> None:
         """Takes a complete request from the server and passes it to the decision module."""
         if arrival.id in self.pending:  # two requests under one id cannot be told apart
-            exchange.refuse(400, b"x-request-id: in use\n")
+            exchange.reply_and_close(400, b"x-request-id: in use\n")
             self.request_stats.rejected(arrival.cls, 400)
-            self.turned_away(exchange, 400, "x-request-id in use", arrival)
+            self.rejected(exchange, 400, "x-request-id in use", arrival)
             return
         full = len(self.pending) >= self.config.most_held
         unrecorded = self.attempt_journal and self.attempt_journal.refuses(arrival.cls)
         if full or unrecorded or (self.meter and self.meter.refuses()):
             exchange.reply(503, retry_after=self.settings.max_advice)
             self.request_stats.rejected(arrival.cls, 503)
-            self.turned_away(exchange, 503, "too many held" if full else "not to be recorded", arrival)
+            self.rejected(exchange, 503, "too many held" if full else "not to be recorded", arrival)
             return
         now = self.clock.now()
         if self.terms:
             self._apply_plan(now, arrival)
         cls = self.settings.classes[arrival.cls]
-        time_limit = min(arrival.time_out, cls.give_up)
+        time_limit = min(arrival.timeout, cls.give_up)
         # The client's time runs from when it sent the request, which may be when this process began to start.
         if now - self.started_at < STARTUP_PERIOD_S:
             time_limit = max(min(time_limit, cls.aim), time_limit - (now - self.started_at + MAX_BOOT_S))
@@ -641,18 +650,18 @@
         if self.ends_at is not None:
             expires_at = min(expires_at, self.ends_at)
         pending = PendingRequest(exchange, arrival, now, expires_at)
-        exchange.held = pending
+        exchange.handler_state = pending
         self.pending[arrival.id] = pending
         self.request_stats.started()
         request = api.Request(
             id=arrival.id,
             cls=arrival.cls,
-            plan=arrival.named,
+            plan=arrival.named_plan,
             customer=arrival.customer,
-            entry_gateways=arrival.entries,
+            entry_gateways=arrival.entry_gateways,
             expires_at=expires_at,
             units=arrival.units,
-            first=arrival.first,
+            first=arrival.first_gateway,
             check=self.authoriser is not None and self.authoriser.needs(arrival),
             retried=arrival.retried,
         )
@@ -663,16 +672,16 @@
         if not pending.answered:  # under overload most requests are refused at once and need no timer
             pending.timer = self.loop.call_later(max(0.0, expires_at - now), self._on_deadline, pending)
 
-    def _apply_plan(self, now: float, arrival: Arrival) -> None:
+    def _apply_plan(self, now: float, arrival: ParsedRequest) -> None:
         """Sets the plan that applies to the request now, whichever plan the request names."""
         if self.terms:
-            name = self.terms.plan(now, arrival.customer, arrival.named).name
+            name = self.terms.plan(now, arrival.customer, arrival.named_plan).name
             if name != arrival.plan_name:
                 arrival.plan_name, arrival.plan = name, self.terms.numbers[name.encode()]
 
-    def client_left(self, exchange: Exchange) -> None:
+    def client_disconnected(self, exchange: Exchange) -> None:
         """Handles a client that closed its connection before its answer was complete."""
-        pending = exchange.held
+        pending = exchange.handler_state
         if pending is not None and pending.streaming:
             pending.streaming = False
             self.request_stats.finished(pending.arrival.cls, 499)
@@ -762,9 +771,9 @@
     def _may_send(self, chosen: Endpoint) -> bool:
         """Whether the chosen host is still listed as it was, in service, and not draining for too long."""
         endpoint = self.discovery.endpoints.get(chosen.server.id)
-        if endpoint is None or endpoint.place != chosen.place or chosen.server.id in self.maintenance.hosts:
+        if endpoint is None or endpoint.instance != chosen.instance or chosen.server.id in self.maintenance.hosts:
             return False
-        since = endpoint.leaving_since
+        since = endpoint.draining_since
         return since is None or self.clock.now() - since < self.settings.drain_grace / 2
 
     @staticmethod
@@ -775,7 +784,7 @@
             other = authorisation.remove | {name.lower() for name, _ in authorisation.headers}
             headers = [h for h in headers if h[0].lower() not in other] + list(authorisation.headers)
         named = exchange.fields.get(b"connection")
-        dropped = NOT_PASSED_ON | nominated(named) if named else NOT_PASSED_ON
+        dropped = NOT_FORWARDED_HEADERS | connection_options(named) if named else NOT_FORWARDED_HEADERS
         headers = [h for h in headers if h[0].lower() not in dropped]
         return OutgoingRequest(exchange.method, exchange.target, headers, exchange.parts, time_left)
 
@@ -788,7 +797,7 @@
         pending.answered = pending.streaming = True
         if pending.timer:
             pending.timer.cancel()
-        pending.exchange.begin(answer.headers, length, source)
+        pending.exchange.start_stream(answer.headers, length, source)
         delay = self.clock.now() - attempt.sent_at
         self.feed(api.StreamStarted(pending.arrival.id, attempt.number, delay, answer.usage))
         self.feed(api.Handed(pending.arrival.id))
@@ -918,7 +927,7 @@
     # The server list
 
     def _on_server_list(
-        self, kind: api.ListKind, servers: tuple[api.Server, ...], stale: list[Place]
+        self, kind: api.ListKind, servers: tuple[api.Server, ...], stale: list[HostInstance]
     ) -> None:
         for place in stale:
             self.upstreams.retire(place)
--- a/coralvale/net/transport.py
+++ b/coralvale/net/transport.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 from coralvale.interface import Outcome
-from coralvale.net.config import Address, Place
+from coralvale.net.config import Address, HostInstance
 
 MAX_JOINED_BODY_BYTES = 64 * 1024  # larger bodies are not copied into one write with the head
 
@@ -99,7 +99,7 @@
     delay: float = 0.0  # s, set at the end
 
     @property
-    def place(self) -> Place:
+    def place(self) -> HostInstance:
         """Identifies the host: a host that restarts or moves gets another place."""
         return self.server, self.started_at, self.address
 
@@ -134,7 +134,7 @@
         The attempt ends as CANCELLED if cancelling it does not cost a connection; otherwise it goes on.
         """
 
-    def retire(self, place: Place) -> None:
+    def retire(self, place: HostInstance) -> None:
         """Called when a host drains, has gone, restarted or moved.
 
         Attempts in flight end normally; nothing new is sent over its connections.
--- a/coralvale/net/upstream.py
+++ b/coralvale/net/upstream.py
@@ -19,7 +19,7 @@
 
 from coralvale.interface import Outcome
 from coralvale.net.clock import Clock
-from coralvale.net.config import Address, Place
+from coralvale.net.config import Address, HostInstance
 from coralvale.net.sockets import Sockets
 from coralvale.net.transport import Answer, Attempt
 
@@ -456,7 +456,7 @@
         self.report_fields = report_fields
         self.open = 0  # connections that are open or being opened
         self.written = 0  # number of attempts whose last byte has been written
-        self.pools: dict[Place, Pool] = {}
+        self.pools: dict[HostInstance, Pool] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.connections: set[Connection] = set()
         self.loop = asyncio.get_running_loop()
@@ -529,7 +529,7 @@
                 return
         pool.release(connection)
 
-    def retire(self, place: Place) -> None:
+    def retire(self, place: HostInstance) -> None:
         """Stops keeping connections to a host that drains, has gone, restarted or moved."""
         if pool := self.pools.pop(place, None):
             pool.retire()
