--- a/coralvale/authorisation/service.py
+++ b/coralvale/authorisation/service.py
@@ -143,7 +143,11 @@
         return None
 
     def ask(
-        self, arrival: ParsedRequest, exchange: Exchange, left: float, done: Callable[[AuthorisationResult], None]
+        self,
+        arrival: ParsedRequest,
+        exchange: Exchange,
+        left: float,
+        done: Callable[[AuthorisationResult], None],
     ) -> None:
         loop, line, now = asyncio.get_running_loop(), self._line(arrival), self.clock.now()
         if line is None:  # a reload has taken its authoriser away while it waited for its quota
--- a/coralvale/cluster/server/edge.py
+++ b/coralvale/cluster/server/edge.py
@@ -78,12 +78,21 @@
 class EdgeServer(Server):
     """Accepts clients' connections and passes their requests to an `Edge`."""
 
-    single_value_headers = {REQUEST_ID, TIME_LEFT, AUTHORIZATION, b"host", b"content-length", b"transfer-encoding"}
+    single_value_headers = {
+        REQUEST_ID,
+        TIME_LEFT,
+        AUTHORIZATION,
+        b"host",
+        b"content-length",
+        b"transfer-encoding",
+    }
 
     def __init__(
         self, address: Address, edge: Edge, max_connections: int, max_body_bytes: int, clock: Clock
     ) -> None:
-        super().__init__(address, None, edge, max_connections, 32, max_total_body_bytes=max_body_bytes, clock=clock)
+        super().__init__(
+            address, None, edge, max_connections, 32, max_total_body_bytes=max_body_bytes, clock=clock
+        )
         self.edge = edge
 
     def early_rejection_status(self, exchange: Exchange) -> int:
--- a/coralvale/net/node.py
+++ b/coralvale/net/node.py
@@ -617,7 +617,9 @@
             if self.meter and pending.metered:
                 arrived = any(attempt.outcome not in UNWRITTEN for attempt in pending.attempts)
                 self.meter.try_ended(pending.arrival.id, arrived)
-            pending.exchange.handler_state = None  # breaks the reference cycle: the garbage collector is not needed
+            pending.exchange.handler_state = (
+                None  # breaks the reference cycle: the garbage collector is not needed
+            )
             pending.attempts.clear()
             if self.ends_at is not None:
                 self._finish_if_drained()
@@ -771,7 +773,11 @@
     def _may_send(self, chosen: Endpoint) -> bool:
         """Whether the chosen host is still listed as it was, in service, and not draining for too long."""
         endpoint = self.discovery.endpoints.get(chosen.server.id)
-        if endpoint is None or endpoint.instance != chosen.instance or chosen.server.id in self.maintenance.hosts:
+        if (
+            endpoint is None
+            or endpoint.instance != chosen.instance
+            or chosen.server.id in self.maintenance.hosts
+        ):
             return False
         since = endpoint.draining_since
         return since is None or self.clock.now() - since < self.settings.drain_grace / 2
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -230,7 +230,9 @@
 def test_no_operators_server_without_an_address() -> None:
     async def test() -> None:
         async with world() as w:
-            assert isinstance(w, World) and w.node.management_server is None and w.node.takeover_server is None
+            assert (
+                isinstance(w, World) and w.node.management_server is None and w.node.takeover_server is None
+            )
             assert not w.script.of(api.Maintained)
 
     run(test())
