--- a/coralvale/cluster/consensus/election.py
+++ b/coralvale/cluster/consensus/election.py
@@ -18,7 +18,8 @@
 
     pre_votes: set[str] | None = None  # ids that would vote for this replica; None while it does not ask
     votes: set[str] | None = None  # ids that voted for this replica; None while it is no candidate
-    vote_write_number = 0  # number of the write with this replica's own vote
+    # Number of the write with this replica's own vote: the vote counts only once that is on disk.
+    vote_write_number = 0
 
     def _enter_view(self, now: float, view: int, leader: str) -> None:
         """Enters a newer view, or follows its leader; ends an own leadership or candidacy."""
@@ -109,14 +110,15 @@
 
     def _handle_vote_request(self, now: float, request: VoteRequest) -> None:
         as_new = (request.last_view, request.last_seq) >= (self._view_of(self.last_seq) or 0, self.last_seq)
-        followed = self.in_contact(now)
+        # A replica in contact with a leader refuses other candidates, except one that a leader has named.
+        hears_leader = self.in_contact(now)
         if request.pre_vote:
-            granted = as_new and request.view > self.view and not followed
+            granted = as_new and request.view > self.view and not hears_leader
             self._reply(
                 request.sender, VoteReply(request.view if granted else self.view, self.me.id, granted, True)
             )
             return
-        if request.view > self.view and (request.transferred or not followed):
+        if request.view > self.view and (request.transferred or not hears_leader):
             self._enter_view(now, request.view, "")
         if as_new and request.view == self.view and self.vote in ("", request.sender) and not self.leader:
             self.vote, self.leader_heard_at = request.sender, now
@@ -138,5 +140,6 @@
         if reachable:
             self.actions.append(Send(voters[max(reachable)[1]], TransferLeadership(self.view, self.me.id)))
 
-    def _is_leaving(self, name: str) -> bool:
+    def _is_leaving(self, member_id: str) -> bool:
+        """Whether the replica with this id has asked to leave; `Membership` keeps track of that."""
         return False
--- a/coralvale/cluster/consensus/membership.py
+++ b/coralvale/cluster/consensus/membership.py
@@ -32,6 +32,7 @@
     stop."""
 
     learners: dict[str, tuple[Member, float]]  # by id, with the time of the last join request
+    # Unlike `leaving`, which says that this replica itself is being stopped:
     departing: dict[str, float]  # ids of replicas that ask to leave, with the time of the last request
     safe_to_stop = False  # this replica is leaving, and all that is committed is safe without it
     leave_requested_at = -1e9
@@ -47,8 +48,8 @@
         self.learners.clear()
         self.departing.clear()
 
-    def _is_leaving(self, name: str) -> bool:
-        return name in self.departing
+    def _is_leaving(self, member_id: str) -> bool:
+        return member_id in self.departing
 
     # Learners
 
@@ -63,21 +64,21 @@
         self.learners[member.id] = (member, now)
 
     def _expire_requests(self, now: float) -> None:
-        for name, (_, asked) in list(self.learners.items()):
+        for member_id, (_, asked) in list(self.learners.items()):
             if now - asked > LEARNER_TIMEOUT_S:
-                del self.learners[name]
-                if name not in self.voters.all():
-                    self.peers.pop(name, None)
-        for name, asked in list(self.departing.items()):
+                del self.learners[member_id]
+                if member_id not in self.voters.all():
+                    self.peers.pop(member_id, None)
+        for member_id, asked in list(self.departing.items()):
             if now - asked > LEAVE_TIMEOUT_S:
-                del self.departing[name]
+                del self.departing[member_id]
 
     def _ready_learners(self, now: float) -> list[Member]:
         """Learners that hold all that is committed, and reply."""
         ready = []
-        for name, (member, _) in self.learners.items():
-            progress = self.peers.get(name)
-            if progress is None or name in self.departing:
+        for member_id, (member, _) in self.learners.items():
+            progress = self.peers.get(member_id)
+            if progress is None or member_id in self.departing:
                 continue
             holds_all = progress.match_seq >= self.commit and progress.match_seq > 0
             if (
@@ -111,8 +112,8 @@
         """Ends a joint configuration once it is committed; a leader that has lost its vote by it steps
         down."""
         voters = self.voters
-        for name in [name for name in self.learners if name in voters.all()]:
-            del self.learners[name]
+        for member_id in [member_id for member_id in self.learners if member_id in voters.all()]:
+            del self.learners[member_id]
         if not self.leading or self._voters_at(self.commit) != voters:
             return
         if voters.old:
@@ -143,8 +144,9 @@
         safe = self._safe_without(request.sender)
         self.actions.append(Send(member, LeaveReply(self.view, self.me.id, safe)))
 
-    def _safe_without(self, name: str) -> bool:
-        """Whether all that is committed is on disk at a majority of the voters that stay."""
+    def _safe_without(self, member_id: str) -> bool:
+        """Whether all that is committed is on disk at a majority of the voters that stay, which are those
+        that have not asked to leave."""
         if self._voters_changing():
             return False
         remaining = [m.id for m in self.voters.new if m.id not in self.departing]
--- a/coralvale/cluster/consensus/messages.py
+++ b/coralvale/cluster/consensus/messages.py
@@ -2,6 +2,13 @@
 
 Messages between replicas are encoded as msgspec arrays, so a field added by a newer version must come last
 and have a default. Times are seconds of a monotonic clock.
+
+Terms:
+
+- view: a numbered period with at most one leader (Raft: term);
+- seq: the position of an entry in the log, counted from 1;
+- commit index (`commit`): the seq of the last entry known to be committed;
+- round: the number of a leader's broadcast, by which a reply tells the broadcast that it answers.
 """
 
 from __future__ import annotations
@@ -9,14 +16,17 @@
 import msgspec
 from attrs import frozen
 
-# Kinds of entries. Earlier versions wrote READ for each read; it has no effect.
+# Kinds of entries. Earlier versions wrote READ for each read; such entries are still delivered, but change
+# no state.
 NO_OP, CHANGE, VOTERS, READ, SHARES, COORDINATION = 0, 1, 2, 3, 4, 5
-ROUND_UNKNOWN = -1  # stands for the round in replies from a version that does not send it
+ROUND_UNKNOWN = -1  # stands for the round in replies from a version that does not send the round
 
 
 class Member(msgspec.Struct, frozen=True, array_like=True):
-    """A replica's identity. `id` is drawn when an empty disk is first used, so the id of a lost disk is never
-    used again."""
+    """A replica's identity: the id of its disk, and the name and address of its machine.
+
+    `id` is drawn when an empty disk is first used, so the id of a lost disk is never used again.
+    """
 
     id: str
     name: str
@@ -58,7 +68,7 @@
     body: bytes
 
 
-# Messages. `sender` is the id of the sending replica, `view` the view that it is in.
+# Messages. `sender` is the id of the sending replica, `view` the view that it is in. No message has tag 5.
 
 
 class VoteRequest(msgspec.Struct, frozen=True, array_like=True, tag=1):
@@ -87,7 +97,8 @@
 class Append(msgspec.Struct, frozen=True, array_like=True, tag=3):
     """From the leader: the entries after `before_seq`, and the commit index.
 
-    `round` counts the leader's broadcasts in its view: a reply that echoes it was made after that broadcast.
+    `round`: number of the leader's newest broadcast; a reply that echoes it was made after that broadcast. It
+    is not reset when a view begins.
     """
 
     view: int
@@ -102,8 +113,9 @@
 class AppendReply(msgspec.Struct, frozen=True, array_like=True, tag=4):
     """Answers an `Append`.
 
-    `seq`: the sender's disk agrees with the leader's log up to here; if not `accepted`, the position to retry
-    from. `round`: that of the `Append`, 0 for none, `ROUND_UNKNOWN` if the sender's version does not send it.
+    `seq`: the sender's disk agrees with the leader's log up to here; if not `accepted`, a hint: the leader
+    should go on with the entries after it. `round`: that of the `Append`, 0 for none, `ROUND_UNKNOWN` if the
+    sender's version does not send it.
     """
 
     view: int
@@ -218,8 +230,11 @@
 
 @frozen
 class Settled:
-    """The result of a proposal or a barrier. If it is not `accepted`, a proposal may still be committed
-    later."""
+    """The result of a proposal or a barrier.
+
+    If it is not `accepted`, the proposal was refused and is in no log, or its outcome is unknown here and it
+    may still be committed later; the action does not tell which.
+    """
 
     token: int
     accepted: bool
--- a/coralvale/cluster/consensus/replica.py
+++ b/coralvale/cluster/consensus/replica.py
@@ -1,11 +1,24 @@
 """One replica of the replicated log, as a state machine without I/O.
 
+The parts of a replica are a chain of classes, each of which extends the one before: `ReplicaState` (log and
+volatile state), `Elections`, `Replication`, `Membership`, and `Replica` with the public methods. A method
+that an earlier class needs and a later one provides is declared in the earlier one, abstract or with a
+default.
+
+Entries are committed once the leader has found them on disk at a majority, those of earlier views only
+together with a later entry of its own view; `commit` is the seq of the last entry that this replica knows to
+be committed. An entry is delivered when it is passed to the caller in a `Deliver` action, after its commit
+and in order of seq; entries that concern only the protocol (NO_OP, VOTERS) are skipped. `applied` is the seq
+of the last entry that was delivered, skipped or replaced by a snapshot.
+
 Sources: K. Birman, T. Joseph, "Exploiting virtual synchrony in distributed systems" (SOSP 1987), for view
-changes that stop, discard what is unfinished and go on; B. Liskov, J. Cowling, "Viewstamped Replication
-Revisited" (2012) and D. Ongaro, J. Ousterhout, "In search of an understandable consensus algorithm" (ATC
-2014), for the comparison of logs when a view ends, the pre-vote, joint majorities, and the read index.
+changes, which stop the processing, discard unfinished work and continue in the new view; B. Liskov,
+J. Cowling, "Viewstamped Replication Revisited" (2012) and D. Ongaro, J. Ousterhout, "In search of an
+understandable consensus algorithm" (ATC 2014), for the comparison of logs when a view ends, the pre-vote,
+joint majorities, and the read index.
 
-Invariants. Each has a section in docs/design/control-state.md, a test and a mutant:
+Invariants. Each has a section in docs/design/control-state.md, a test, and a mutant: a variant of the code
+that breaks the invariant, which the tests must detect.
 
 1. A view has at most one leader: a vote is written to disk before it is sent, and any two majorities overlap.
 2. What was delivered is in the log of every later leader: an entry is committed only once it is on disk at a
@@ -88,7 +101,9 @@
         return self._take_actions()
 
     def propose(self, now: float, token: int, kind: int, body: bytes) -> list[Action]:
-        """Proposes an entry. Exactly one `Settled(token)` action tells whether it was committed.
+        """Proposes an entry. Exactly one `Settled(token)` action follows: accepted once the entry is
+        committed and delivered here, not accepted if it was refused at once or this replica steps down
+        before.
 
         It is refused at once if this replica is not the leader, if too many entries are in flight, or, for
         the kinds CHANGE, SHARES and COORDINATION, if there are fewer voters than `Timing.min_voters`.
@@ -176,6 +191,7 @@
         elif isinstance(message, JoinRequest):
             self._handle_join_request(now, message)
         elif message.sender != self.me.id:
+            # When full, all are dropped: each is known again from its next message.
             if len(self.known_senders) >= MAX_KNOWN_SENDERS:
                 self.known_senders.clear()
             self.known_senders[message.sender] = Member(message.sender, "", ip)
--- a/coralvale/cluster/consensus/replication.py
+++ b/coralvale/cluster/consensus/replication.py
@@ -40,7 +40,7 @@
 
     kept_entries = KEPT_ENTRIES
     snapshot_every = SNAPSHOT_EVERY_ENTRIES
-    round = 0  # number of the leader's last broadcast
+    round = 0  # number of this replica's last broadcast as a leader; not reset at a new view
     read_rounds: deque[tuple[int, int]]  # read barriers: the round that a majority must answer, the token
     round_times: deque[tuple[int, float]]  # recent rounds and when they were sent
     download: SnapshotDownload
@@ -63,8 +63,8 @@
         self._replicate(now, heartbeat=True)
 
     def _replicate(self, now: float, heartbeat: bool = False) -> None:
-        for name, member in self._other_replicas().items():
-            progress = self.peers.setdefault(name, Progress(self.last_seq + 1, last_reply_at=now))
+        for member_id, member in self._other_replicas().items():
+            progress = self.peers.setdefault(member_id, Progress(self.last_seq + 1, last_reply_at=now))
             self._replicate_to(now, member, progress, heartbeat)
 
     def _replicate_to(self, now: float, member: Member, progress: Progress, heartbeat: bool) -> None:
@@ -129,11 +129,12 @@
             progress.next_seq = progress.match_seq + 1
             self._advance_commit(now)
         else:
+            # Back by at least one entry, or at once to the entry after the follower's hint.
             progress.next_seq = max(1, min(progress.next_seq - 1, reply.seq + 1))
         self._replicate_after_reply(now, reply.sender, progress)
 
-    def _replicate_after_reply(self, now: float, name: str, progress: Progress) -> None:
-        member = self._other_replicas().get(name)
+    def _replicate_after_reply(self, now: float, member_id: str, progress: Progress) -> None:
+        member = self._other_replicas().get(member_id)
         if member is None or not self.leading:
             return
         if progress.next_seq <= self.last_seq:
@@ -145,7 +146,8 @@
         """Notes which broadcast a reply answers.
 
         Contact counts from the time when that broadcast was sent, so that old replies which a suspended
-        process reads late prove nothing.
+        process reads late prove nothing. A reply from a version that sends no round cannot be checked in
+        this way: it counts as contact when it arrives, but never confirms a read.
         """
         if number == ROUND_UNKNOWN:
             progress.contact_at = now
@@ -155,8 +157,8 @@
             self._confirm_reads()
 
     def _advance_commit(self, now: float) -> None:
-        """Commits what is on disk at a majority. Entries of earlier views are committed only by one of this
-        view."""
+        """Commits what is on disk at a majority. Entries of earlier views are committed only together with a
+        later entry of this view."""
         for seq in range(self.last_seq, self.commit, -1):
             if self._view_of(seq) != self.view:
                 return
@@ -200,6 +202,8 @@
             self._answer_append(append, True, min(self.commit, self.durable_seq))
             return
         if own_view is None or own_view != append.before_view:
+            # The hint lets the leader go back by more than one entry: this log ends before `before_seq`, or
+            # differs there, and then only its committed entries are known to agree with the leader's log.
             hint = min(self.last_seq, append.before_seq - 1) if own_view is None else self.commit
             self._answer_append(append, False, hint)
             return
--- a/coralvale/cluster/consensus/state.py
+++ b/coralvale/cluster/consensus/state.py
@@ -36,7 +36,11 @@
 
 @frozen
 class Timing:
-    """Timeouts and intervals, in seconds, and the smallest number of voters."""
+    """Timeouts and intervals, in seconds. Only `min_voters` is a count.
+
+    The fault budget is the number of voters whose simultaneous loss must be tolerated:
+    (min_voters - 1) // 2.
+    """
 
     heartbeat_interval: float = 0.15  # between the leader's broadcasts
     # Without a message from the leader until a replica campaigns; drawn at random, up to twice this.
@@ -90,7 +94,9 @@
         self.leader = ""  # id of this view's leader, "" while there is none
         self.leading = False
         self.leaving = False  # this process is being stopped
-        self.leader_heard_at = now  # time of the last message from the leader
+        # When the wait for a leader last (re)started: at a message from the leader, a vote granted, the start
+        # of an election here, or a step-down.
+        self.leader_heard_at = now
         # The first wait after a start is short: if there is a leader, a pre-vote does no harm.
         self.election_wait = timing.election_timeout * (0.2 + 0.5 * rng.random())
         self.known_senders: dict[str, Member] = {}  # senders of recent messages, by id
@@ -106,8 +112,8 @@
     def _load_log(self, entries: list[Entry]) -> None:
         """Sets up the log.
 
-        If the entries begin at or before the snapshot, the first one only gives the view that precedes the
-        second.
+        If the entries begin at or before the snapshot, the first one is only an anchor: its seq and view tell
+        where the log starts, so that an append after it can be compared, and it is not part of the log.
         """
         self.entries = deque(entries)
         self.log_start, self.log_start_view = self.snapshot.seq, self.snapshot.view
@@ -250,8 +256,8 @@
         self._write([], entries=(entry,))
         self._replicate(now)
 
-    def _member(self, name: str) -> Member | None:
-        return self.voters.all().get(name) or self.known_senders.get(name)
+    def _member(self, member_id: str) -> Member | None:
+        return self.voters.all().get(member_id) or self.known_senders.get(member_id)
 
     def _reply(self, to: str, message: Message) -> None:
         if member := self._member(to):
--- a/coralvale/cluster/consensus/voters.py
+++ b/coralvale/cluster/consensus/voters.py
@@ -2,7 +2,8 @@
 
 The number of voters is odd at rest: an even number needs as large a majority as the next odd number, and
 tolerates no more losses. A further replica is kept up to date as a learner, and replaces a voter that is lost
-or leaves.
+or leaves. The fault budget is the number of voters whose simultaneous loss must be tolerated:
+(min_voters - 1) // 2.
 """
 
 from __future__ import annotations
@@ -56,12 +57,12 @@
     absent = sorted(
         (m for m in voters if silent.get(m.id, 0.0) > limits.replace_after), key=lambda m: -silent[m.id]
     )
-    departing = [m for m in voters if m.id in leaving] + absent
-    if learners and departing:
-        return _replace(voters, departing[0], learners[0])
+    replaceable = [m for m in voters if m.id in leaving] + absent  # those that leave come first
+    if learners and replaceable:
+        return _replace(voters, replaceable[0], learners[0])
     if learners and (len(voters) < limits.min_voters or len(voters) % 2 == 0):
         return (*voters, learners[0])
-    if len(learners) >= 2:
+    if len(learners) >= 2:  # two at a time, so that the number of voters stays odd
         return (*voters, *learners[:2])
     if len(voters) > limits.min_voters:
         return _remove_spare(voters, silent, leaving, limits)
@@ -95,6 +96,7 @@
         quietest = max(voters, key=lambda m: (m.id in leaving, silent.get(m.id, 0.0)))
         return tuple(m for m in voters if m.id != quietest.id)
     budget = (limits.min_voters - 1) // 2
+    # Without one voter that leaves and `budget` further ones, less than a majority of `voters` would stay.
     too_few_stay = len(voters) - 1 - budget < len(voters) // 2 + 1
     for voter in voters:
         if (voter.id in leaving and too_few_stay) or silent.get(voter.id, 0.0) > limits.remove_spare_after:
--- a/coralvale/cluster/coordination/desk.py
+++ b/coralvale/cluster/coordination/desk.py
@@ -5,8 +5,15 @@
 arrived. A turn without operations is a read barrier, which proves the same. Reads of a turn are evaluated
 after that proof, so every read is linearizable: its answer is at least as recent as the call's arrival.
 
-Some answers need no proof and are sent at once: that another owner may hold the lock, that a put is already
-stored, and that the key's revision is past the expected one. None of these is ever revoked.
+Some outcomes are answered at once, without that proof, from the state delivered here. It contains only
+committed entries, so nothing in it is undone, and fences and revisions only rise:
+
+- `Held`: another owner may hold the lock;
+- `Released`: the lock is not held under the fence of the call, or the release is ignored (`Lock.reacquired`);
+- `Stored`: the put is stored already;
+- `Conflict`: the key's revision is past the expected one, or the same put is remembered as refused;
+- `Watched` with events, and `Compacted`: the group has puts above the revision of the watch;
+- `Full`: too many calls or watches wait at this gateway, which says nothing about the state.
 
 `Unavailable` and `Full` mean that nothing was done; they are given only to calls that were not proposed or
 that changed nothing. A call whose log entry is not known to be committed is answered `Unknown`.
@@ -63,7 +70,7 @@
 EVENT_RETENTION_MARGIN_MS = 10_000  # added to twice the promised retention of events
 SWEEP_INTERVAL_S = 10.0  # between scans for abandoned locks
 SWEEP_DELAY_S = 60.0  # from the end of a lease until its lock is removed
-MAX_SWEPT_LOCKS = 64  # locks removed by one sweep
+MAX_SWEPT_LOCKS = 64  # a sweep fills its turn up to this many operations above MAX_CALLS_PER_TURN
 
 
 @frozen
@@ -76,7 +83,7 @@
 
 @frozen
 class PendingCall:
-    """A queued call and the time, in s of the steady clock, at which it arrived."""
+    """A queued call and the time, in s of the monotonic clock, at which it arrived."""
 
     token: int
     call: Call
@@ -114,7 +121,7 @@
     """Answers coordination calls at the leader and applies coordination entries at every replica.
 
     The caller passes each `Settled` action of the replica to `settled`, committed entries to `deliver`,
-    snapshots to `restore`, and calls `tick` regularly. Times are in s of the steady clock.
+    snapshots to `restore`, and calls `tick` regularly. Times are in s of the monotonic clock.
     """
 
     def __init__(
@@ -192,6 +199,8 @@
     # Leadership and time
 
     def _may_answer(self, now: float) -> bool:
+        """Whether this replica leads, has delivered what was committed before its view, and is in contact
+        with a majority. The first time in a view, begins the view here, with new leases."""
         replica = self.replica
         if not replica.leading or not replica.caught_up or not replica.in_contact(now):
             return False
@@ -254,6 +263,8 @@
             case Acquire() as call:
                 return self._classify_acquire(now, call)
             case Renew() as call:
+                # Leases are not replicated, so only a longer hold time changes the state. Other renewals are
+                # answered as reads; the lease was extended when the call arrived.
                 lock = self.state.held(call.name, call.owner, call.fence)
                 return call if lock and call.hold_ms > lock.hold_ms else None
             case Release() as call:
@@ -317,7 +328,9 @@
         )
         last = self.replica.last_seq
         actions = self.replica.propose(now, turn.token, consensus.COORDINATION, pack_batch(batch))
-        if self.replica.last_seq == last:  # rejected: the entry is in no log
+        # `Settled` does not tell a refusal from an unknown outcome. Here the log did not grow: the proposal
+        # was refused, and the entry is in no log.
+        if self.replica.last_seq == last:
             self.turn = None
             refused = Unavailable("the log takes nothing at the moment")
             return [*actions, *self._answer_all(turn, refused, refused)]
--- a/coralvale/cluster/coordination/leases.py
+++ b/coralvale/cluster/coordination/leases.py
@@ -1,4 +1,4 @@
-"""Lock leases, measured by the steady clock of the leader of one view.
+"""Lock leases, measured by the monotonic clock of the leader of one view.
 
 Leases are neither stored nor replicated. A caller counts its hold time from sending its call, the leader from
 the call's arrival, so the lease at the leader never ends first. A newly elected leader counts from the time
@@ -10,7 +10,7 @@
 
 from coralvale.cluster.coordination.state import Lock
 
-CLOCK_DRIFT_MARGIN_S = 0.05  # drift allowed between the steady clocks of two machines during one hold
+CLOCK_DRIFT_MARGIN_S = 0.05  # drift allowed between the monotonic clocks of two machines during one hold
 
 
 class Leases:
--- a/coralvale/cluster/coordination/model.py
+++ b/coralvale/cluster/coordination/model.py
@@ -69,7 +69,8 @@
 
 
 class Watch(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Waits up to `poll_ms` for puts in a group above revision `after`; 0: asks only for its revision."""
+    """Waits up to `poll_ms` for puts in a group above revision `after`. With `after` 0, only asks for the
+    group's current revision, without waiting."""
 
     group: str
     after: int
@@ -111,7 +112,8 @@
     """One log entry: operations that are applied in order.
 
     `number`: random id chosen by the proposing handler. `time_ms`: the log's own time, which leaders advance
-    by their steady clocks. Events and puts older than their horizons are dropped.
+    by their monotonic clocks. `events_horizon_ms`, `puts_horizon_ms`: absolute points of the log's time;
+    older events, and the memory of older puts by which retries are recognised, are dropped.
     """
 
     number: int
@@ -147,7 +149,9 @@
 
 @frozen
 class Released:
-    """The caller does not hold the lock, whether or not it held it before."""
+    """The answer to a `Release`: the owner does not hold the lock under this fence, whether or not it did
+    before, or the release was ignored, as it may be a delayed one of an earlier hold (see `Lock.reacquired`).
+    Also the answer to an `Expire` from the log: the lock is not held under its fence."""
 
 
 @frozen
@@ -209,8 +213,8 @@
 
 @frozen
 class LockRow:
-    """A lock in a list. `renewed_s`: s since its last grant or renewal, None where an earlier leader answered
-    that. `left_s`: s until its lease ends; negative: s since it ended."""
+    """A lock in a list. `renewed_s`: s since its last grant or renewal, None if that was not in the leader's
+    present view. `left_s`: s until its lease ends; negative: s since it ended."""
 
     name: str
     owner: str
--- a/coralvale/cluster/coordination/state.py
+++ b/coralvale/cluster/coordination/state.py
@@ -11,7 +11,7 @@
 3. A put takes effect once: repeating the same value for the same key returns its first revision for as long
    as the put may be retried.
 4. A group's revision rises by one with each put; exactly the events above `compacted` are kept.
-5. A rejected operation has changed nothing, and copies of it are rejected as well.
+5. A rejected operation has changed nothing, and delayed duplicates of it are rejected as well.
 """
 
 from __future__ import annotations
@@ -152,14 +152,17 @@
         state."""
         self.replace(_decode_image(body) if body else Image())
 
-    def skip_ahead(self, numbers: int) -> None:
-        """Advances all fences, numbers and revisions by `numbers`, because a lost log may already have issued
-        the values in between. Drops all events."""
-        self.last_fence += numbers
-        self.numbers = {name: value + numbers for name, value in self.numbers.items()}
+    def skip_ahead(self, amount: int) -> None:
+        """Advances the last fence, each counter and each group's revision by `amount`, because a lost log may
+        already have issued the values in between. Drops all events.
+
+        Held locks with their fences, keys with their values and revisions, and remembered puts stay.
+        """
+        self.last_fence += amount
+        self.numbers = {name: value + amount for name, value in self.numbers.items()}
         self.events_by_age.clear()
         for group in self.groups.values():
-            group.revision += numbers
+            group.revision += amount
             group.compacted = group.revision
             self.stored_bytes -= sum(_size(event.key, event.value) for event in group.events)
             group.events.clear()
@@ -244,7 +247,7 @@
 
     def _reject_put(self, operation: Put, revision: int) -> Outcome:
         """Refuses a put whose expected revision differs. If it expects a later revision than the current one,
-        a delayed copy of it could match once the key has reached that revision, so it is remembered as
+        a delayed duplicate of it could match once the key has reached that revision, so it is remembered as
         refused."""
         assert operation.expected is not None
         if operation.expected > revision:
@@ -256,6 +259,7 @@
     def _check_capacity(self, operation: Put) -> Full | None:
         if operation.key not in self.values and len(self.values) >= MAX_KEYS:
             return Full("too many keys are kept")
+        # Twice the size: the value itself and its event.
         if (
             len(self.puts) >= MAX_PUTS
             or self.stored_bytes + 2 * _size(operation.key, operation.value) > MAX_STORED_BYTES
@@ -272,7 +276,7 @@
         self.values[key] = Value(value, group.revision)
         group.events.append(Event(key, value, group.revision, self.time_ms))
         self.events_by_age.append((self.time_ms, name))
-        self.stored_bytes += 2 * _size(key, value)
+        self.stored_bytes += 2 * _size(key, value)  # the value and its event
         self.puts[_digest(key, value)] = (group.revision, self.time_ms)
         return group.revision
 
@@ -306,7 +310,7 @@
         return current.revision if current and current.value == value else 0
 
     def was_refused(self, key: str, value: str) -> bool:
-        """Whether a put of this value to this key was refused, and its copies have to be refused too."""
+        """Whether a put of this value to this key was refused, and duplicates have to be refused too."""
         known = self.puts.get(_digest(key, value))
         return known is not None and known[0] == REFUSED_REVISION
 
--- a/coralvale/cluster/coordination/watches.py
+++ b/coralvale/cluster/coordination/watches.py
@@ -9,7 +9,7 @@
 
 @frozen
 class WaitingWatch:
-    """A waiting watch. `deadline`: in s of the steady clock, when it is answered without events."""
+    """A waiting watch. `deadline`: in s of the monotonic clock, when it is answered without events."""
 
     token: int
     group: str
--- a/coralvale/cluster/storage/keeper.py
+++ b/coralvale/cluster/storage/keeper.py
@@ -30,8 +30,8 @@
 from coralvale.cluster.storage.store import DATABASE_FILE, Store, StoreError
 
 EXPORT_FORMAT = 1
-VIEW_SKIP = 1000  # added to the exported view, so that a restored core is ahead of the lost one
-# Added to fences, counters and revisions: more than the lost core can have given out since the export.
+VIEW_SKIP = 1000  # added to the exported view, so that the restored log is ahead of the lost one
+# Added to fences, counters and revisions: more than the lost log can have given out since the export.
 COUNTER_SKIP = 2**32
 ENTRY_KIND_NAMES = {
     NO_OP: "opening",
@@ -121,7 +121,7 @@
 
 
 def _image_for_restore(body: bytes) -> bytes:
-    """The image for a new core, with fences, counters and revisions that the lost core may have given out
+    """The image for a new log, with fences, counters and revisions that the lost log may have given out
     skipped.
 
     Raises ValueError or msgspec.MsgspecError if the image cannot be used.
@@ -135,10 +135,10 @@
 
 
 def restore(exported: dict[str, Any], folder: Path, hostname: str, ip: str) -> str:
-    """Makes an empty disk the only member of a new core that starts from an export; returns the disk's id.
+    """Makes an empty disk the only voter of a new log that starts from an export; returns the disk's id.
 
-    `exported`: the decoded output of `export`. Only for losses beyond the fault budget: surviving members of
-    the old core would not know of the new one.
+    `exported`: the decoded output of `export`. Only for losses beyond the fault budget, the number of voters
+    whose simultaneous loss is tolerated: surviving voters of the old log would not know of the new one.
     """
     if exported.get("format") != EXPORT_FORMAT:
         raise DiskStateError(f"format: {exported.get('format')!r}, expected {EXPORT_FORMAT}")
--- a/coralvale/cluster/storage/store.py
+++ b/coralvale/cluster/storage/store.py
@@ -5,8 +5,8 @@
 - `host`: a recent copy of the host register, so that after the loss of all processes hosts are known before
   their next heartbeats;
 - `entry`: the entries of the replicated log;
-- `fact`: the id of the disk, the layout number, the view and the vote in it, the commit index, and the
-  snapshot that replaces older entries.
+- `fact`: single values by name: `id` of the disk, `layout` number, `view` and the `vote` in it, `commit`
+  index, and as `saved` the snapshot that replaces older entries.
 
 A `Write` is applied within one transaction: after a loss of power it is there as a whole or not at all.
 """
@@ -23,7 +23,7 @@
 from coralvale.cluster.consensus.state import DurableState
 from coralvale.cluster.registry.register import Row
 
-DATABASE_FILE = "orchard.sqlite"
+DATABASE_FILE = "orchard.sqlite"  # the name on existing disks; under another, they would count as empty
 # Number of the tables' layout. Older layouts are read, layouts newer than this program are refused.
 # 2: entries may begin before the snapshot. 3: entries and the snapshot contain the table of quota shares.
 # 4: entries and the snapshot also contain locks, counters and keys.
@@ -46,6 +46,8 @@
     number = 1 + len(list(path.parent.glob(f"{DATABASE_FILE}.refused-*")))
     aside = path.with_name(f"{DATABASE_FILE}.refused-{number}")
     path.rename(aside)
+    # The write-ahead log and the shared-memory file belong to the renamed database, not to one that is
+    # created under the old name.
     for more in ("-wal", "-shm"):
         path.with_name(DATABASE_FILE + more).unlink(missing_ok=True)
     return str(aside)
@@ -73,8 +75,8 @@
         db = sqlite3.connect(self.path, isolation_level=None, check_same_thread=False, timeout=1.0)
         db.execute("PRAGMA locking_mode=EXCLUSIVE")  # avoids the shared-memory file
         db.execute("PRAGMA journal_mode=WAL")
-        db.execute("PRAGMA synchronous=FULL")
-        db.execute("PRAGMA wal_autocheckpoint=200")
+        db.execute("PRAGMA synchronous=FULL")  # syncs the write-ahead log at each commit
+        db.execute("PRAGMA wal_autocheckpoint=200")  # pages in the write-ahead log
         return db
 
     def _prepare(self) -> str:
@@ -93,13 +95,13 @@
         elif int(str(layout)) < LAYOUT_VERSION:
             # Older data needs no conversion; older versions of the program refuse the file from now on.
             self._set_fact("layout", LAYOUT_VERSION)
-        name = self._get_fact("id")
-        if name is None:
-            name = os.urandom(8).hex()
-            self._set_fact("id", name)
+        disk_id = self._get_fact("id")
+        if disk_id is None:
+            disk_id = os.urandom(8).hex()
+            self._set_fact("id", disk_id)
         db.execute("COMMIT")
         self._sync_folder()
-        return str(name)
+        return str(disk_id)
 
     def _sync_folder(self) -> None:
         fd = os.open(self.path.parent, os.O_RDONLY | os.O_DIRECTORY)
--- a/tests/cluster/consensus_world.py
+++ b/tests/cluster/consensus_world.py
@@ -1,6 +1,6 @@
 """A simulation of replicas on a virtual clock: their disks, the messages between them, operators, and faults.
 
-The schedule follows from a seed. Operators send orders and reads to any replica and retry until they get a
+The schedule follows from a seed. Operators send changes and reads to any replica and retry until they get a
 clear answer, as the protocol requires. Each replica has a real `ChangeRequestHandler` and `ChangeHistory`.
 After each step the invariants are checked only against what was delivered and what was answered.
 """
@@ -87,7 +87,7 @@
 
 @define(eq=False)
 class Call:
-    """One call by an operator: an order, or a read if `change` is None."""
+    """One call by an operator: a change, or a read if `change` is None."""
 
     change: Change | None
     begun: float
@@ -106,7 +106,8 @@
     def __init__(
         self, seed: int, members: int, replica_class: Callable[..., Replica] = Replica, **more: Any
     ) -> None:
-        """`more`: `desk`: class of the order desks; `keeps_ids`: a lost disk comes back under the same id."""
+        """`more`: `desk`: class of the handlers of change requests; `keeps_ids`: a lost disk comes back under
+        the same id."""
         self.env, self.chance = simpy.Environment(), random.Random(seed)
         # In every second world the log is short, so that snapshots are taken and transferred.
         short = {"snapshot_every": 12, "kept_entries": 4} if seed % 2 else {}
--- a/tests/cluster/mutants.py
+++ b/tests/cluster/mutants.py
@@ -1,4 +1,5 @@
-"""Mutants: replicas and order desks that break an invariant listed in `consensus/replica.py`."""
+"""Mutants: variants of the replica and of the handler of change requests, each of which breaks an invariant
+listed in `consensus/replica.py`. The tests must detect each of them."""
 
 from __future__ import annotations
 
@@ -129,7 +130,7 @@
 
 
 class ForgetsOrders(ChangeRequestHandler):
-    """Does not recognise the repetition of an order that was accepted."""
+    """Does not recognise the repetition of a change request that was accepted."""
 
     def _begin(self, now: float, order: ChangeRequest) -> Result:
         if order.change.base != self.history.configuration.version and self.replica.caught_up:
@@ -138,14 +139,14 @@
 
 
 class AnswersBeforeCommit(ChangeRequestHandler):
-    """Acknowledges an order when it is proposed."""
+    """Acknowledges a change request when it is proposed."""
 
     def _propose(self, now: float, order: ChangeRequest) -> Result:
         return [*super()._propose(now, order), ChangeAnswer(order.token, change=order.change)]
 
 
 class JudgesTogether(ChangeRequestHandler):
-    """Proposes orders on the same base concurrently, and acknowledges each once it is in the log."""
+    """Proposes changes on the same base concurrently, and acknowledges each once it is in the log."""
 
     def _begin(self, now: float, order: ChangeRequest) -> Result:
         done = super()._begin(now, order)
--- a/tests/cluster/test_consensus.py
+++ b/tests/cluster/test_consensus.py
@@ -1,5 +1,6 @@
 """The replicated log under kills, wiped disks, partitions, suspended processes and replaced members, with
-operators that retry until they get a clear answer. A mutant for each invariant must be detected."""
+operators that retry until they get a clear answer. For each invariant there is a mutant, a variant of the
+code that breaks it, which must be detected."""
 
 from __future__ import annotations
 
@@ -38,7 +39,7 @@
         except InvariantViolation as error:
             raise AssertionError(f"World({seed}, {members}).play({SECONDS}): {error}") from error
         steps, reads, refusals = steps + world.steps, reads + world.reads, refusals + world.refusals
-    print(f"{members} members: {steps} steps, {acknowledged} orders, {reads} readings, {refusals} refusals")
+    print(f"{members} members: {steps} steps, {acknowledged} changes, {reads} reads, {refusals} refusals")
     assert acknowledged > SEEDS * 20 and reads > SEEDS * 20 and refusals > SEEDS * 20
 
 
@@ -58,7 +59,9 @@
     return m.Entry(seq, view, m.CHANGE, body)
 
 
-A, B, C, LOST = (m.Member(name, name, f"10.0.0.{i}") for i, name in enumerate(("a", "b", "c", "a-again")))
+A, B, C, A_NEW_DISK = (
+    m.Member(name, name, f"10.0.0.{i}") for i, name in enumerate(("a", "b", "c", "a-again"))
+)
 VOTERS = m.Entry(1, 1, m.VOTERS, encode_voters(m.VoterSet((A, B, C))))
 
 
@@ -80,10 +83,10 @@
     lags, has = replica_with(C, [VOTERS]), replica_with(B, [VOTERS, entry(2)])
     assert grants_vote(lags, B, last=2)
     assert not grants_vote(has, C, last=1)
-    wiped = Replica(LOST, DurableState(), TIMING, random.Random(1), 0.0)
+    wiped = Replica(A_NEW_DISK, DurableState(), TIMING, random.Random(1), 0.0)
     assert not wiped.is_voter
     assert wiped.tick(50.0) == []  # it starts no election
-    assert not lags.voters.majority({C.id, LOST.id})
+    assert not lags.voters.majority({C.id, A_NEW_DISK.id})
 
 
 def recovered(world: World) -> World:
@@ -200,12 +203,12 @@
 def test_joint_configuration_needs_majorities_of_old_and_new_voters() -> None:
     """a is cut off and not lost: if b and the new disk alone could complete the change, a and c could still
     decide on their own."""
-    changing = m.Entry(2, 1, m.VOTERS, encode_voters(m.VoterSet((LOST, B, C), (A, B, C))))
+    changing = m.Entry(2, 1, m.VOTERS, encode_voters(m.VoterSet((A_NEW_DISK, B, C), (A, B, C))))
     leader = replica_with(B, [VOTERS, changing])
-    assert not leader.voters.majority({B.id, LOST.id})  # of the old voters only b
+    assert not leader.voters.majority({B.id, A_NEW_DISK.id})  # of the old voters only b
     assert not leader.voters.majority({A.id, B.id})  # of the new voters only b
     assert leader.voters.majority({B.id, C.id})
-    assert m.VoterSet((LOST, B, C)).majority({B.id, LOST.id})
+    assert m.VoterSet((A_NEW_DISK, B, C)).majority({B.id, A_NEW_DISK.id})
 
 
 def test_partition_during_a_change_of_voters_loses_nothing() -> None:
@@ -214,7 +217,8 @@
         world = World(seed, 3)
         went_on += world.check_partition_during_change()
         assert acknowledged_while_asking(world, 3.0), seed  # after the partition has healed
-    assert went_on >= 20  # the side with two old voters, unless the change had reached both sides
+    # The side with two of the old voters goes on, unless the change of voters had reached both sides.
+    assert went_on >= 20
 
 
 @pytest.mark.parametrize("leads", [True, False])
@@ -394,14 +398,14 @@
 
 
 def test_message_for_a_lost_disk_is_ignored_by_its_successor() -> None:
-    replica = Replica(LOST, DurableState(), TIMING, random.Random(1), 0.0)
+    replica = Replica(A_NEW_DISK, DurableState(), TIMING, random.Random(1), 0.0)
     append = m.Append(3, B.id, 0, 0, 0, (VOTERS,))
     assert (
         replica.receive(0.1, append, B.ip, A.id) == []
         and replica.stale_messages == 1
         and not replica.last_seq
     )
-    replica.receive(0.2, append, B.ip, LOST.id)
+    replica.receive(0.2, append, B.ip, A_NEW_DISK.id)
     assert replica.last_seq == 1
 
 
