--- a/coralvale/cluster/rate_limit/limiter.py
+++ b/coralvale/cluster/rate_limit/limiter.py
@@ -2,7 +2,7 @@
 
 Two limits apply to each request. The first is the restrictor of the design (NICC ND1621,
 `coralvale.restrictor`): a leaky bucket per tenant that is charged one unit per request and refuses above a
-threshold that no class may fill beyond the burst. Once per second its leak rate is set to what was admitted
+threshold of at most the burst (`TenantBucket`). Once per second its leak rate is set to what was admitted
 here times the quota over the metered use of all gateways; it is no lower than the quota divided by the number
 of gateways, and its rise per update is bounded.
 
@@ -79,6 +79,8 @@
         bucket = tenant.bucket
         bucket.seen_at = now
         bucket.drain(now)
+        # Raises the threshold, up to the burst, to what the local tokens cover, and to one request at least:
+        # a bucket below the burst does not refuse the request before a token is looked for.
         bucket.level = bucket.fill + max(1.0, tenant.escrow.available(now))
         if wait := bucket.wait(1.0):
             return self._refuse(tenant, wait)
--- a/coralvale/cluster/rate_limit/quota.py
+++ b/coralvale/cluster/rate_limit/quota.py
@@ -26,9 +26,10 @@
 
 GRANT_LIFETIME_S = 0.25  # a granted token may be used for this time after it was asked for
 SAFETY_FACTOR = 0.99  # fraction of what the rule allows that is given out
-# Fraction of a capacity without the slack that goes to the fill rate: 0.9 of the rate if there is no burst.
+# Fraction of a cell's capacity, without its slack, that goes to its fill rate: 0.9 of the rate if there is no
+# burst.
 FILL_FRACTION = 0.868
-ALLOWANCE_FRACTION = 0.35  # fraction for the allowance of what does not go to the fill rate
+ALLOWANCE_FRACTION = 0.35  # fraction of the rest of that capacity, slack included, that is the allowance
 CELL_DEPTH = 3.0  # tokens; a shallower cell would seldom hold a whole token
 _RANK_BITS = CELLS.bit_length() - 1
 # Every prefix of this order is spread evenly over the cells (van der Corput sequence).
--- a/coralvale/cluster/rate_limit/tenant.py
+++ b/coralvale/cluster/rate_limit/tenant.py
@@ -19,10 +19,14 @@
 
 
 class TenantBucket(Restrictor):
-    """The leaky bucket of the design (NICC ND1621), with a threshold that follows the local tokens."""
+    """The leaky bucket of the design (NICC ND1621), with a threshold that follows the local tokens.
+
+    The threshold is the burst scaled with the leak rate, raised to `level` up to the burst: this first limit
+    refuses nothing below the burst for which this gateway has tokens.
+    """
 
     def __init__(self, plan: api.Plan, entries: int, now: float) -> None:
-        self.level = 0.0  # fill level that the available tokens allow
+        self.level = 0.0  # the fill after using all tokens available here, or one if there are none
         super().__init__(plan, entries, now, now)
 
     def threshold(self, units: float) -> float:
--- a/coralvale/cluster/rate_limit/usage.py
+++ b/coralvale/cluster/rate_limit/usage.py
@@ -1,8 +1,8 @@
 """Metered use of tenants by all gateways, from their usage reports.
 
 Each gateway reports to all others, every `PERIOD` seconds, what it admitted in the rule's window and since
-its previous report, so lost or duplicate reports do no harm. The readings set the leak rates of the
-restrictors; no limit depends on them.
+its previous report, so lost or duplicate reports do no harm. The readings set the leak rates of the leaky
+buckets. The limit that keeps all gateways within the quota, the tokens (`limiter`), does not depend on them.
 """
 
 from __future__ import annotations
--- a/coralvale/cluster/routing/budget.py
+++ b/coralvale/cluster/routing/budget.py
@@ -21,8 +21,8 @@
 
 from coralvale.cluster.rate_limit.holding import FleetShare
 
-USABLE_FRACTION = 0.8  # of the budget, since the rule holds for sliding windows
-DEPTH_FRACTION = 0.6  # of the extra: capacity of a bucket; the rest is its refill per window
+USABLE_FRACTION = 0.8  # of `RetryRatio` and `RetryExtra`, since the rule holds for sliding windows
+DEPTH_FRACTION = 0.6  # of the usable extra: capacity of all buckets; the rest is their refill per window
 
 
 class RetryTokenBucket:
--- a/coralvale/cluster/routing/router.py
+++ b/coralvale/cluster/routing/router.py
@@ -35,7 +35,8 @@
 FAILURE_BACKOFF_S = 0.5  # that a failing instance is avoided; doubles with each failure in a row
 WRONG_HOST_BACKOFF_S = 4.0  # that an instance is avoided when another answers at its address (421)
 FULL_LOAD_FACTOR = 1.5  # load per slot from which failures may be those of overload
-MAX_SLOWNESS_WEIGHT = 0.3  # upper bound of one answer's weight in an instance's slowness
+# Upper bound of one answer's weight in an instance's slowness; without effect, as that weight is always 0.1.
+MAX_SLOWNESS_WEIGHT = 0.3
 HOST_FAILURES = range(500, 600)  # HTTP statuses
 
 
--- a/coralvale/cluster/share_desk.py
+++ b/coralvale/cluster/share_desk.py
@@ -26,7 +26,8 @@
 STARTUP_S = 10.0  # for this time after its start, a leader assumes that other processes have started too
 ALLOWANCE_GRANT_S = 4.0  # after the allowance was spent, processes that start in this time receive it
 MAX_ANSWER_AGE_S = 1.0  # from a claim to its answer; a later answer grants no allowance
-RENEWAL_MARGIN_S = 5.0  # added to these two and the quota window, until the allowance may be spent again
+# The allowance is renewed after `ALLOWANCE_GRANT_S`, `MAX_ANSWER_AGE_S`, the quota window and this margin.
+RENEWAL_MARGIN_S = 5.0
 
 
 @frozen
@@ -43,9 +44,9 @@
 class ShareAnswer:
     """Answer to a claim.
 
-    `settled`: False if this replica cannot answer. `table`: snapshot; empty if the claim's version is
-    current. `age`: seconds, at least, for which the claimer's address has owned all that it owns now.
-    `allowed`: its process may start with its allowance.
+    `settled`: whether the claim was decided; False if this replica cannot answer: the other fields are empty
+    then. `table`: snapshot; empty if the claim's version is current. `age`: seconds, at least, for which the
+    claimer's address has owned all that it owns now. `allowed`: its process may start with its allowance.
     """
 
     token: int
@@ -61,7 +62,8 @@
 class ShareClaimHandler:
     """Answers share claims and proposes table changes.
 
-    Call `settled` with each `Settled` action of the replica, and `tick` periodically.
+    Call the method `settled` with each `Settled` action of the replica (the end of a proposal or a barrier;
+    not that of a claim), and `tick` periodically.
     """
 
     def __init__(
@@ -81,7 +83,8 @@
         self.allowance_proposed = False  # a proposal to spend the allowance is in flight
         self.first_start: bool | None = None  # there was no table when this replica first led; None before
         self.planner_view = 0  # of the replica when the planner was made
-        # What is on disk at the start was in force by then; for later entries the time of delivery is known.
+        # Cells in the log or snapshot on disk are taken to be owned since the start at the latest; for later
+        # entries the time of delivery is recorded in `gained_at`.
         self.started_at = self.restored_at = now
         self.renewal_delay = window + ALLOWANCE_GRANT_S + MAX_ANSWER_AGE_S + RENEWAL_MARGIN_S
         self.spent_at = now  # latest time at which the allowance was spent
@@ -117,7 +120,7 @@
         self.gained_at = {}
 
     def claim(self, now: float, claim: ShareClaim) -> Result:
-        """Handles a gateway's claim; the answer is returned here or by `settled`."""
+        """Handles a gateway's claim; its answer is returned here or by a later call of `settled`."""
         if not self._may_answer(now) or len(self.waiting_claims) >= MAX_WAITING_CLAIMS:
             return [ShareAnswer(claim.token, settled=False)]
         self.waiting_claims.append(claim)
@@ -136,7 +139,10 @@
         return [*self.replica.barrier(now, self.barrier)]
 
     def settled(self, now: float, token: int, accepted: bool) -> Result:
-        """Handles the replica's decision on a proposal or a barrier."""
+        """Handles the end of a proposal or a barrier; `token` and `accepted` as in `Settled`.
+
+        The end of the barrier in flight answers the claims that it was started for.
+        """
         if token == self.proposal:
             self.proposal = 0
             self.allowance_proposed = False
--- a/coralvale/handover.py
+++ b/coralvale/handover.py
@@ -1,11 +1,13 @@
 """The state that one process of a gateway hands to the next, so that both together keep one gateway's limits.
 
-No input or output here. `export_state` takes the state out of a gateway that keeps serving requests on its
-open connections for a while; `import_state` puts it into the one that follows. What is left of a ceiling is
-split in halves: the old process spends its half, gets no refill and loses the rest after `HOLD_S`; the new
-process has the other half and the whole refill, and its store is smaller by the old one's half for as long. So
-at every moment the stores of all processes together hold at most one burst and fill at one rate, and they never
-admit more than one process would. A quota, which is soft, is copied to both as it stands.
+No input or output here. `export_state` takes the state out of the old process's gateway, which keeps serving
+requests on its open connections for a while; `import_state` puts it into the new process's gateway. The
+ceiling tokens that are left are split in halves. The old process spends its half, gets no refill and loses
+what it has not spent after `HOLD_S`. The new process gets the other half and the whole refill; until `HOLD_S`
+is over, it may hold the burst less the old process's half. So at every moment all processes together hold at
+most one burst of ceiling tokens and are refilled at one rate, and they never admit more than one process
+would. The leaky buckets of quotas, which are soft limits, are copied: both processes continue with the same
+fill.
 """
 
 from __future__ import annotations
@@ -20,15 +22,16 @@
 from coralvale.restrictor import Restrictor
 
 VERSION = 3  # version 2 had no `known`, version 1 no `lent`
-RETAINED_SHARE = 0.5  # of each ceiling, kept by the old process for requests that still reach it
-HOLD_S = 12.0  # time for which the old process may spend that; it lives no longer (net/node.py)
+RETAINED_SHARE = 0.5  # of each ceiling's tokens, kept by the old process for requests that still reach it
+HOLD_S = 12.0  # time for which the old process may spend those; it lives no longer (net/node.py)
 # Attributes by position: the state holds no names, so that the order is part of its format.
 CUSTOMER = (
-    "rate", "fill", "drained_at", "seen_at", "passed", "own", "own_late", "metered_rate", "reading", "reading_at",
-    "demand", "demand_at", "ceiling", "check_fill", "known", "known_at", "lent", "lent_until", "left", "left_at",
+    "rate", "fill", "drained_at", "seen_at", "passed", "own", "own_late", "metered_fraction", "reading",
+    "reading_at", "demand", "demand_at", "ceiling", "check_fill", "known", "known_at", "lent", "lent_until",
+    "left", "left_at",
 )  # fmt: skip
 HOST = ("delay_ratio", "answered_at", "failures", "retry_at", "breaks", "back_at")
-MAX_CUSTOMERS = 200_000  # taken over: the input is another process's and must not exhaust memory
+MAX_CUSTOMERS = 200_000  # customers taken over: another process's state must not exhaust the memory
 
 
 def export_state(gateway: Gateway, now: float) -> dict[str, Any]:
@@ -40,14 +43,14 @@
         kept = max(0.0, restrictor.ceiling) * RETAINED_SHARE if restrictor.plan.ceiling_rate else 0.0
         mine = kept + restrictor.reserved
         given = {
-            "ceiling": restrictor.ceiling - kept,  # a debt is handed over whole
+            "ceiling": restrictor.ceiling - kept,  # a ceiling below 0 is handed over whole
             "lent": mine + (restrictor.lent if now < restrictor.lent_until else 0.0),
             "lent_until": now + HOLD_S,
         }
         row = [given.get(field, getattr(restrictor, field)) for field in CUSTOMER]
         restrictor.lent, restrictor.lent_until = given["lent"] - mine, now + HOLD_S
         restrictor.ceiling, restrictor.retained = kept, mine
-        if (plan := plans.get(id(restrictor.plan))) is None:  # not a plan of the settings: its values
+        if (plan := plans.get(id(restrictor.plan))) is None:  # no plan of the settings: all values
             plan = plans[id(restrictor.plan)] = astuple(restrictor.plan)
         customers.append([name, plan, restrictor.entries, *row])
     hosts = [
@@ -66,7 +69,9 @@
         "hosts": hosts,
         "out": list(gateway.fleet.in_maintenance.items()),
     }
-    gateway.started_at = math.inf  # new customers get their ceiling at the next process alone
+    # A restrictor made from now on starts with a ceiling of -inf, if its plan has one: only the next process
+    # gives new customers their ceiling.
+    gateway.started_at = math.inf
     return state
 
 
@@ -85,7 +90,7 @@
     """
     try:
         if state["version"] != VERSION:
-            raise ValueError(f"version {state['version']!r}")
+            raise ValueError(f"unsupported version {state['version']!r}")
         classes = len(gateway.settings.classes)
         usual, calm = ([_number(value) for value in state[name]] for name in ("usual", "calm"))
         if len(usual) != classes or len(calm) != classes or min(usual + calm) <= 0:
@@ -103,7 +108,7 @@
         out = {str(name): _number(since) for name, since in state["out"]}
         gap, at = (_number(value, True) for value in state["done"])
     except (KeyError, TypeError, ValueError, IndexError, AttributeError, OverflowError) as error:
-        raise ValueError(f"a usable state: {error!r}") from None
+        raise ValueError(f"invalid handover state: {error!r}") from None
     gateway.delays, gateway.base_delays, gateway.started_at, gateway.retries = usual, calm, born, retries
     gateway.mean = sum(usual) / len(usual)
     gateway.counter.trust, gateway.counter.trust_at = trust, told_at
@@ -113,7 +118,8 @@
         host = gateway.fleet.hosts.get(name)
         if host and host.info.started_at == started and len(row) == len(HOST):
             _set(host, HOST, row)
-    for name in gateway.fleet.in_maintenance.keys() & out.keys():  # which are out is for the marks to say
+    for name in gateway.fleet.in_maintenance.keys() & out.keys():
+        # Only the time is taken over: `api.Maintained` events say which servers are out.
         gateway.fleet.in_maintenance[name] = out[name]
     gateway.classify_at = -math.inf
     return len(customers)
@@ -134,14 +140,14 @@
     elif 0 <= stored < len(gateway.settings.plans):
         plan = gateway.settings.plans[stored]
     else:
-        raise ValueError(f"plan {stored!r}")
+        raise ValueError(f"unknown plan {stored!r}")
     restrictor = Restrictor(plan, int(entries), now, now)
     _set(restrictor, CUSTOMER, [_number(value, True) for value in row])
     restrictor.rate = max(restrictor.floor, min(restrictor.rate, restrictor.plan.rate))
     restrictor.lent_until = min(restrictor.lent_until, now + HOLD_S)
     restrictor.known = min(restrictor.known, restrictor.plan.burst)
     restrictor.known_at = min(restrictor.known_at, now)
-    restrictor.drained_at = min(restrictor.drained_at, now)  # another clock must not stop a store's refill
+    restrictor.drained_at = min(restrictor.drained_at, now)  # another clock must not stop a refill
     return restrictor
 
 
--- a/coralvale/interface.py
+++ b/coralvale/interface.py
@@ -50,16 +50,16 @@
 
 
 class Outcome(Enum):
-    """How an attempt ended, as the gateway saw it."""
+    """How an attempt ended, as the gateway saw it. After FULL, CONNECT_FAILED and NOT_SENT it has not run."""
 
-    OK = "ok"
-    ERROR = "error"
-    FULL = "full"
-    TIMEOUT = "timeout"
-    CONNECT_FAILED = "connect_failed"
-    RESET = "reset"
-    CANCELLED = "cancelled"
-    NOT_SENT = "not_sent"
+    OK = "ok"  # the server answered
+    ERROR = "error"  # an error, or no whole answer; the request may have run
+    FULL = "full"  # the server answered that it did not run the request
+    TIMEOUT = "timeout"  # no answer until the attempt's deadline; the request may have run
+    CONNECT_FAILED = "connect_failed"  # no connection, so nothing was sent
+    RESET = "reset"  # the connection broke; the request may have run
+    CANCELLED = "cancelled"  # by the gateway; the request may have run
+    NOT_SENT = "not_sent"  # nothing was sent, or a request without its end
 
 
 class Verdict(Enum):
@@ -85,12 +85,12 @@
     name: str
     aim: float  # s in which an answer is to come
     give_up: float  # s after which the client gives up
-    worth: float
+    worth: float  # of a unit answered within the aim, relative to other classes; no decision uses it
     repeat: Repeat
     group: Group = Group.ALL
     key_window: float = 0.0  # s for which servers deduplicate a key
     streamed: bool = False
-    late_worth: float = 0.0
+    late_worth: float = 0.0  # of an answer after the aim; if above 0, retries go on until the request expires
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,12 +104,12 @@
     rate: float
     burst: float
     open_limit: float = 0.0  # attempts in flight
-    price: float = 1.0
-    excess_worth: float = 0.0
-    excess_cost: float = 0.0
+    price: float = 1.0  # worth of a unit within the quota, as a factor on its class's worth
+    excess_worth: float = 0.0  # gained by a unit beyond the quota, in multiples of its worth
+    excess_cost: float = 0.0  # lost by a unit beyond the quota, in multiples of its worth
     ceiling_rate: float = 0.0
     ceiling_burst: float = 0.0
-    ceiling_slack: float = 0.0
+    ceiling_slack: float = 0.0  # units by which the ceiling may be exceeded; no decision uses it
 
 
 @dataclass(frozen=True, slots=True)
@@ -120,26 +120,27 @@
     zone: int  # of this gateway
     classes: tuple[RequestClass, ...]
     plans: tuple[Plan, ...]
-    drain_grace: float
+    drain_grace: float  # s after a drain notice in which new requests may still go to the server
     cold_share: float  # of its capacity that a server has at its start
     warm_after: float  # s after its start at which a server has its full capacity
+    # A cold server may be sent this many times what it can do within `fall_window`; no decision uses them.
     fall_multiple: float
-    fall_window: float
-    max_attempts: int
-    answer_slack: float = 0.0
-    second_copies: bool = False
-    may_cancel: bool = False
-    may_probe: bool = False
-    may_count: bool = False
+    fall_window: float  # s
+    max_attempts: int  # of one request, the first included
+    answer_slack: float = 0.0  # s; no decision uses it
+    second_copies: bool = False  # no decision uses it
+    may_cancel: bool = False  # an attempt that nobody waits for may be cancelled
+    may_probe: bool = False  # no decision uses it
+    may_count: bool = False  # requests may be counted on the shared counter
     counter_timeout: float = 0.0  # s
-    meter_period: float = 0.0
-    settles_after: bool = False
-    ask_for_list: bool = False
-    ask_within: float = 0.0
-    report_via: ReportVia = ReportVia.NONE
-    report_fields: tuple[str, ...] = ()
-    advice: bool = True
-    max_advice: float = 0.0  # s
+    meter_period: float = 0.0  # s; no decision uses it
+    settles_after: bool = False  # the true units of a request are known, and charged, after its attempt
+    ask_for_list: bool = False  # changes of the server list are delivered only after `FollowList`
+    ask_within: float = 0.0  # s; no decision uses it
+    report_via: ReportVia = ReportVia.NONE  # no decision uses it
+    report_fields: tuple[str, ...] = ()  # names of the values in `report` of an event
+    advice: bool = True  # whether refusals say when to retry
+    max_advice: float = 0.0  # s; longest time until a retry that a refusal gives
     most_units: float = math.inf  # of one request
     me: int = 0  # this gateway's number, from 0
 
--- a/coralvale/logic.py
+++ b/coralvale/logic.py
@@ -28,8 +28,8 @@
 UNHEALTHY_FACTOR = 4.0  # weight on the wait at an unhealthy server, as most of a fleet may be unhealthy
 SUBSET_SIZE = 8  # servers that a gateway sends to, so that its few attempts tell something of each
 MIN_CANDIDATES = 3  # servers compared for a request; both are larger where few gateways share the fleet
-MAX_QUOTA_ADVICE = 0.25  # longest Retry-After for a quota, as a share of the aim: later would be too late
-EWMA_WEIGHT = 0.05  # weight of the newest own event: a memory of twenty events gives a mean to a fifth
+MAX_QUOTA_ADVICE = 0.25  # longest Retry-After for a quota, as a share of the aim: a retry must be in time
+EWMA_WEIGHT = 0.05  # weight of the newest own event: twenty events give a mean within about 20 %
 MIN_DELAYS = 5.0  # shortest attempt timeout, in usual delays: one attempt in a hundred takes longer by chance
 RETRY_RESERVE_DELAYS = 3.0  # usual delays before the aim that are kept for a retry of a late attempt
 NOT_RUN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
@@ -53,7 +53,7 @@
         self.requests: dict[str, HeldRequest] = {}
         self.pending_checks: dict[str, HeldCheck] = {}
         self.delays = [c.aim / 5 for c in settings.classes]  # usual delay by class, s, learned from answers
-        self.base_delays = list(self.delays)  # the lowest that the usual delay has been lately
+        self.base_delays = list(self.delays)  # lowest recent usual delay by class, s
         self.mean = sum(self.delays) / len(self.delays)
         self.completions = RateEstimate(EWMA_WEIGHT)
         self.retries = 1.0  # the retry budget, in attempts
@@ -118,7 +118,7 @@
         return False
 
     def _on_counter_reply(self, now: float, event: api.CounterReply) -> None:
-        """Admits a request that the store has room for; without a total in time the bucket alone decides."""
+        """Admits a request if the shared bucket has room; without a total in time the own bucket decides."""
         if (call := self.counter.take_reply(now, event)) is None:
             self.actions += self.allowance.reply(now, event) if self.allowance else []
             return
@@ -215,7 +215,7 @@
         """
         self._classify_servers(now)  # before the first send the lists would be empty
         usual, aim = self.delays[request.cls], self.settings.classes[request.cls].aim
-        cap = min(WAIT_RATIO * min(aim, request.expires_at - now), MAX_QUEUE * self.base_delays[request.cls])
+        top = min(WAIT_RATIO * min(aim, request.expires_at - now), MAX_QUEUE * self.base_delays[request.cls])
         counts = {h: len(h.pending(now, self.mean)) for h in self.busy}
         healthy = [
             n for h, n in counts.items()
@@ -223,14 +223,14 @@
         ]  # fmt: skip
         if 2 * len(healthy) < len(self.busy):  # most do not hang by chance: that is a queue
             healthy = list(counts.values())
-        rate, lost = self.completions.rate(now), len(self.busy) - len(healthy)
-        servers = len(self.warm) + sum(h.warmup(self.settings, now) for h in self.cold) - lost
+        rate, stalled = self.completions.rate(now), len(self.busy) - len(healthy)
+        servers = len(self.warm) + sum(h.warmup(self.settings, now) for h in self.cold) - stalled
         wait = (sum(healthy) + 1) / (rate + 1 / self.mean)
-        # Answers later than forecast (others' load, thrashing servers, abandoned work) lower both limits.
-        tight = min(1.0, cap / usual)
-        if usual < cap / 2 or wait * rate < UNQUEUED_REQUESTS * tight * servers / self.settings.gateways:
+        # Below 1 if answers are later than forecast (others' load, thrashing servers, abandoned work).
+        factor = min(1.0, top / usual)  # lowers the unqueued requests and `top`, the longest expected wait
+        if usual < top / 2 or wait * rate < UNQUEUED_REQUESTS * factor * servers / self.settings.gateways:
             return 0.0
-        return max(0.0, wait - cap * tight)
+        return max(0.0, wait - top * factor)
 
     def _on_server_list(self, now: float, event: api.ServerList) -> None:
         if event.kind is api.ListKind.FAILED:
@@ -428,7 +428,7 @@
         if self.list_retry_at and now >= self.list_retry_at:
             self.list_retry_at = 0.0
             self.actions.append(api.FollowList() if self.settings.ask_for_list else api.FetchList())
-        self.base_delays = [c * (1 + 0.01 * TICK_S) for c in self.base_delays]
+        self.base_delays = [c * (1 + 0.01 * TICK_S) for c in self.base_delays]  # rise by 1 % a second
         for name, _ in self.counter.overdue(now):  # a lost reply must not lose the request
             self._on_counter_reply(now, api.CounterReply(name, False, 0.0))
         if now >= self.step_at:
--- a/coralvale/restrictor.py
+++ b/coralvale/restrictor.py
@@ -1,6 +1,8 @@
 """One customer's quota at one gateway: the leaky bucket of NICC ND1621, its leak rate, part of a ceiling.
 
-Units are those of requests; rates are units per second; times are seconds.
+Units are those of requests; rates are units per second; times are seconds. A customer's limits are kept in
+three places: the leaky bucket of each gateway, the shared bucket on the counter (`coralvale.tally`), and the
+tokens of a ceiling.
 """
 
 from __future__ import annotations
@@ -22,41 +24,61 @@
 LIGHT_DEMAND, HEAVY_DEMAND = 0.4, 1.0
 IDLE_TIMEOUT_S = 60.0  # after which an idle customer's restrictor is dropped, once its bucket is empty
 SCATTERED_REQUESTS = 3.0  # requests in a gateway's part of a burst by which it can apply a quota uncounted
-SMALL_SET = 4  # gateways of a set whose parts the meter can still tell apart
+# Gateways in a set up to which no request is counted: the meter can still tell apart the gateways' parts.
+SMALL_SET = 4
 
 
 class Restrictor:
-    """One customer's leaky bucket, its leak rate, and this gateway's share of the ceiling."""
+    """One customer's leaky bucket, its leak rate, and this gateway's share of the ceiling.
+
+    `ceiling` is the share times the number of gateways, in units of the whole set: it has the plan's ceiling
+    rate and burst, and each request is charged its units times `entries`.
+    """
 
     def __init__(self, plan: api.Plan, entries: int, now: float, started_at: float) -> None:
         self.set_plan(plan, entries)
         self.rate = self.floor
         self.fill, self.drained_at, self.seen_at = 0.0, now, now
         self.passed, self.open = 0.0, 0  # units admitted since the last step; attempts in flight
-        self.own = self.own_late = self.metered_rate = 0.0  # own_late lags own as readings lag use
+        # Admitted rate here, smoothed; `own_late` is smoothed once more, because a meter reading lags the use
+        # that it reports and must be compared with admissions of the same age. `metered_fraction`: use at all
+        # gateways over the quota's rate, smoothed.
+        self.own = self.own_late = self.metered_fraction = 0.0
         self.reading, self.reading_at = 0.0, -math.inf
         self.demand, self.demand_at = 0.0, now  # units per second requested here, refused ones too
         # Units that an authoriser was asked about: a bucket of its own, which denials do not empty.
         self.check_fill = 0.0
-        self.known, self.known_at = 0.0, now  # least fill of all gateways' store, from the counter
-        # Of the ceiling's burst: what this process may hold once another has taken over from it, and what
-        # processes before it may hold. Both end at the same time, so that together they never exceed it.
+        self.known, self.known_at = 0.0, now  # least fill of the shared bucket, by the counter's last reply
+        # Ceiling tokens, reserved ones included, that this process may hold after another has taken over
+        # from it; None before.
         self.retained: float | None = None
+        # Ceiling tokens that processes before this one may hold until `lent_until`. What this process retains
+        # ends then too, so that all processes together never hold more than the ceiling's burst.
         self.lent, self.lent_until = 0.0, -math.inf
-        self.left, self.left_at = 0.0, started_at  # of the ceiling, on the last plan that had one
-        # Units of the ceiling reserved for requests that wait for an authoriser: until they reach a
-        # server they keep their place in the burst. A lower ceiling begins an epoch: earlier ones are void.
+        # Ceiling tokens left, and when, at the last switch from a plan with a ceiling to one without.
+        # Before any such switch: none, at the gateway's start.
+        self.left, self.left_at = 0.0, started_at
+        # `reserved`: ceiling tokens of requests that wait for an authoriser, which keep their place in the
+        # burst until they reach a server. `epoch`: number of the ceiling in force (not the epoch of a name on
+        # the counter); a new or lower ceiling begins the next, in which charges and reservations of earlier
+        # ones are void.
         self.reserved, self.epoch = 0.0, 0
         # A restart must not refill the ceiling, so the share starts empty and fills from then on.
         self.ceiling = min(plan.ceiling_burst, plan.ceiling_rate * (now - started_at))
 
     def set_plan(self, plan: api.Plan, entries: int) -> None:
-        """Sets the plan and gateway set that a request names: a wrong one must not bind later requests."""
+        """Sets the plan and the number of gateways when a request names others than the last one did.
+
+        They are taken from each request, so that a wrong one does not bind later requests.
+        """
         self.plan, self.entries = plan, max(1, entries)
         self.floor = plan.rate / self.entries
 
     def switch_plan(self, now: float, plan: api.Plan) -> None:
-        """Switches to another plan: the leak rate keeps its share of the quota, and no store is refilled."""
+        """Adapts rate and ceiling to another plan in force, before `set_plan` sets it; only with `api.Terms`.
+
+        The leak rate keeps its share of the quota; neither the bucket nor the ceiling is refilled.
+        """
         old = self.plan
         lower = plan.ceiling_rate < old.ceiling_rate or plan.ceiling_burst < old.ceiling_burst
         if plan.ceiling_rate and (lower or not old.ceiling_rate):
@@ -83,14 +105,15 @@
             now = self.drained_at
         # A plan without a ceiling, named by mistake, leaves the customer's ceiling as it was.
         if self.plan.ceiling_rate:
-            # What others retain is theirs until `lent_until`; this store grows into it only after that.
+            # Earlier processes may spend what they retain until `lent_until`; the ceiling here grows into
+            # that part only afterwards.
             top = self._ceiling_limit(self.drained_at) if self.retained is None else self._ceiling_limit(now)
             risen = self.ceiling + self.plan.ceiling_rate * elapsed * (self.retained is None)
             self.ceiling = min(top, risen)
         self.drained_at = now
 
     def _ceiling_limit(self, now: float) -> float:
-        """The largest number of units of the ceiling that this process may hold."""
+        """The largest number of ceiling tokens that this process may hold, without reserved ones."""
         alone = now >= self.lent_until
         if self.retained is not None:
             return 0.0 if alone else self.retained - self.reserved
@@ -99,11 +122,13 @@
 
     def threshold(self, units: float) -> float:
         """Bucket size: the burst scaled with the leak rate, at least a request; more if excess costs less."""
-        # A wrong admission costs c, a wrong refusal the request's worth; the factor is 1 if both are equal.
+        # A wrong admission costs `cost` times the request's worth, a wrong refusal its worth. The factor
+        # 2 / (1 + cost) is 1 if both are equal.
         cost = max(0.0, self.plan.excess_cost - self.plan.excess_worth)
         rate = max(self.plan.rate, 1e-9)
         # A customer of low overall demand has the whole burst at each gateway: its even part of it would be a
-        # request or two, and by chance two requests that belong together reach the same gateway.
+        # request or two, and if requests that belong together reach the same gateway by chance, one would be
+        # refused wrongly.
         asks = (
             self.demand * math.exp((self.demand_at - self.drained_at) / DEMAND_WINDOW_S) * self.entries / rate
         )
@@ -124,15 +149,22 @@
 
     def ceiling_wait(self, units: float) -> float:
         """Seconds until this gateway's share of the ceiling has room, 0 if it has now."""
-        short = units * self.entries - self.ceiling  # shares are even, so a request is charged to all
+        # The ceiling is in units of the whole set and shares are even, so a request counts `entries` times.
+        short = units * self.entries - self.ceiling
         return max(0.0, short / self.plan.ceiling_rate) if self.plan.ceiling_rate else 0.0
 
     def sparse(self, units: float) -> bool:
-        """Whether this gateway's part of the burst is under a request, in a large set: it sees too little."""
+        """Whether this gateway's part of the burst is less than a request, in a set above `SMALL_SET`.
+
+        It then sees too few of the customer's requests to apply the quota alone.
+        """
         return self.plan.rate > 0 and self.entries > SMALL_SET and self.plan.burst < units * self.entries
 
     def scattered(self, units: float) -> bool:
-        """Whether its part of the burst is a few requests, which chance and an uneven split soon use up."""
+        """Whether this gateway's part of the burst is a few requests, in a set above `SMALL_SET`.
+
+        Chance and an uneven split of the requests soon use up so few.
+        """
         return (
             self.plan.rate > 0
             and self.entries > SMALL_SET
@@ -140,11 +172,11 @@
         )
 
     def known_full(self, now: float, units: float) -> bool:
-        """Whether the store of all gateways was full by the counter's last reply, if that is recent."""
+        """Whether the shared bucket was full by the counter's last reply, if that is recent."""
         return now - self.known_at < DEMAND_WINDOW_S and self.known + units > self.plan.burst
 
     def known_wait(self, now: float, units: float) -> float:
-        """Seconds until the store of all gateways may have room, 0 if it may have now."""
+        """Seconds until the shared bucket may have room, 0 if it may have now."""
         short = self.known - max(0.0, self.plan.burst - units) - self.plan.rate * (now - self.known_at)
         return max(0.0, short / self.plan.rate) if self.plan.rate else 0.0
 
@@ -179,7 +211,11 @@
             self.reserved = max(0.0, self.reserved - units * self.entries)
 
     def cap_refill(self, units: float) -> int:
-        """Drops what was refilled while charged units had reached no server, as too much; the epoch."""
+        """Limits the ceiling before charged units reach a server late; returns the epoch for the request.
+
+        What was refilled while they had reached no server would be too much: the ceiling becomes at most what
+        this process may hold, less these units.
+        """
         if self.plan.ceiling_rate:
             self.ceiling = min(self.ceiling, self._ceiling_limit(self.drained_at) - units * self.entries)
         return self.epoch
@@ -198,7 +234,10 @@
             self.reading, self.reading_at = usage, now
 
     def step(self, now: float) -> None:
-        """Sets the leak rate: own use times the quota over metered use, both of the same, past, time."""
+        """Sets the leak rate: the rate admitted here over the metered fraction of the quota's rate.
+
+        Both are of the same age, see `own_late`. Without a fresh reading the rate returns towards the floor.
+        """
         self.drain(now)
         self.own_late += EWMA_WEIGHT * (self.own - self.own_late)
         self.own += EWMA_WEIGHT * (self.passed / STEP_S - self.own)
@@ -206,9 +245,9 @@
         if now - self.reading_at > MAX_READING_AGE_S:
             self.rate += FLOOR_RETURN * (self.floor - self.rate)
             return
-        self.metered_rate += EWMA_WEIGHT * (self.reading - self.metered_rate)
+        self.metered_fraction += EWMA_WEIGHT * (self.reading - self.metered_fraction)
         grown = self.rate * (1 + MAX_GROWTH)
-        wanted = self.own_late / self.metered_rate if self.metered_rate > 0 else grown
+        wanted = self.own_late / self.metered_fraction if self.metered_fraction > 0 else grown
         self.rate += DAMPING * (max(self.floor, min(wanted, grown, self.plan.rate)) - self.rate)
 
 
--- a/coralvale/tally.py
+++ b/coralvale/tally.py
@@ -1,13 +1,15 @@
 """Quotas kept on the shared counter, for customers of whom each gateway sees too few requests.
 
-The counter only adds, so the number under a name represents the leaky bucket of NICC ND1621 as follows:
+The counter only adds, so the number under a name represents a leaky bucket of NICC ND1621 that all gateways
+share, here called the shared bucket:
 
     fill(t) = number + INITIAL_FILL x burst - rate x (t - when the name's epoch began)
 
 One call adds a request's units and returns the number, hence the fill. A fill below 0 means that the customer
 has been idle: the overflow is added, or the customer could save it up. If there is no room the units are
-subtracted again. Names change with epochs, as the counter forgets them; a new name starts at INITIAL_FILL of
-the burst.
+subtracted again. A name is used for one epoch of `EPOCH_S`, as the counter forgets names; a new one starts
+at INITIAL_FILL of the burst. These epochs are not those of `Restrictor.epoch`, which numbers a customer's
+ceilings.
 """
 
 from __future__ import annotations
@@ -20,7 +22,7 @@
 from coralvale import interface as api
 from coralvale.restrictor import STEP_S, Restrictor
 
-EPOCH_S = 40.0  # time for which a name is used: the counter keeps it for 60 s at most
+EPOCH_S = 40.0  # time for which a name is used: the counter keeps it for `LIFETIME_S` at most
 LIFETIME_S = 60.0  # time for which the counter keeps a name, from its first call
 INITIAL_FILL = 0.5  # of the burst at the start of an epoch: at most half of it too much or too little
 CORRECTION_REQUESTS = 0.5  # requests by which a number may be wrong before a call corrects it
@@ -29,20 +31,26 @@
 TRUST_LOSS = 0.4  # share of the calls that one without a reply in time takes away
 RETRY_CALL_SHARE = 0.1  # calls for clients' retries over those for first tries: most retries are over quota
 RATE_WINDOW_S = 8.0  # averaging time of the rate at which a plan's customers are admitted
-UNCOUNTED_FACTOR = 1.0  # on that rate, for uncounted admissions
-BURST_S = 2.0  # seconds of that rate admitted at once while the counter replies, which corrects the stores
-OUTAGE_BURST_S = 1.0  # seconds of that rate admitted at once while it does not
+UNCOUNTED_FACTOR = 1.0  # rate of uncounted admissions, as a multiple of the rate over `RATE_WINDOW_S`
+# Uncounted admissions at once, in seconds of that rate: while the counter replies, which corrects the shared
+# buckets, and while it does not.
+BURST_S = 2.0
+OUTAGE_BURST_S = 1.0
 ALIVE_S = 1.0  # time after its last reply for which the counter counts as reachable
 MIN_CALL_SHARE = 0.1  # share of the calls that is always made, to notice a recovery
 OPEN_DELAYS = 2.0  # usual delays after which an attempt is no longer taken to be in flight
-LEEWAY_REQUESTS = 0.25  # of a request that a store may lack: about what drains while calls are on their way
+# Requests by which the shared bucket may lack room and still admit: about what drains while calls are on
+# their way.
+LEEWAY_REQUESTS = 0.25
 LOSS_SILENCE_S = 2.0  # time without a reply, with failed calls, after which a counter may come back empty
-# Share of the burst that then counts as used under a new name, and for how long, in times to drain a burst.
+# Share of the burst that counts as used under a name that is new after such a loss, and for how long from the
+# first reply after it, in times to drain a burst.
 LOST_FILL, LOST_BURSTS = 0.55, 2.0
 TICK_S = 0.1  # interval between checks for overdue calls: well under any delay that a client would notice
 REPLY_TIMEOUTS = 4.0  # counter time-outs that a reply is waited for: a late one was added too
 LATE_TIMEOUTS = 1.5  # counter time-outs after which a reply is a sign of overload
-MAX_OVERFILL_REQUESTS = 2.0  # requests over its burst by which a store may be, before calls count as lost
+# Requests over the burst in the shared bucket up to which other calls explain them; above, calls were lost.
+MAX_OVERFILL_REQUESTS = 2.0
 
 
 @dataclass(slots=True)
@@ -53,19 +61,22 @@
     amount: float = 0.0  # units
     request: api.Request | None = None
     restrictor: Restrictor | None = None
-    epoch_start: float = 0.0  # when the name's epoch began
+    epoch_start: float = 0.0  # when the epoch of the counter's name began
 
 
 @dataclass(slots=True)
 class UncountedBucket:
-    """The rate at which a plan's sparse customers were admitted here by the counter, and a bucket at it."""
+    """Limits the uncounted admissions of a plan's sparse customers here: a leaky bucket.
+
+    It leaks at the rate at which the counter admitted such customers, times `UNCOUNTED_FACTOR`.
+    """
 
     drained_at: float
     admitted: float = 0.0  # units, forgotten over `RATE_WINDOW_S` while the counter replies
     time: float = 0.0  # s, forgotten in the same way: `admitted / time` is the rate
     fill: float = 0.0  # of the leaky bucket (NICC ND1621) at that rate
-    asked: float = 0.0  # units that the counter was asked about; `found`: those that it had room for
-    found: float = 0.0
+    asked: float = 0.0  # units that the counter was asked about, forgotten in the same way
+    found: float = 0.0  # those of them for which the shared bucket had room
     alive: bool = True  # whether the counter replies
 
     def drain(self, now: float, alive: bool) -> None:
@@ -86,7 +97,10 @@
         return (BURST_S if self.alive else OUTAGE_BURST_S) * UNCOUNTED_FACTOR * self.rate()
 
     def wait(self, units: float) -> float:
-        """Seconds until one more may be admitted uncounted, 0 if it may now or if too little is known."""
+        """Seconds until a request of these units may be admitted uncounted; 0 if it may now.
+
+        Also 0 until the rate has been observed for a third of `RATE_WINDOW_S`.
+        """
         if self.time < RATE_WINDOW_S / 3:
             return 0.0
         rate = max(UNCOUNTED_FACTOR * self.rate(), 1e-3)
@@ -118,7 +132,7 @@
         return customer << 24 | int(place) & 0xFFFFFF, now - place % 1 * EPOCH_S
 
     def ask(self, now: float, request: api.Request, restrictor: Restrictor) -> api.Count | None:
-        """The call that tells whether the store has room; None if none is to be made."""
+        """The call that tells whether the shared bucket has room; None if none is to be made."""
         self.trust, self.trust_at = min(1.0, self.trust + TRUST_RECOVERY_PER_S * (now - self.trust_at)), now
         # Costliest mistakes first, by the plan in force, which need not be one of the settings'.
         rank = sum(other > self._mistake_cost(restrictor.plan) for other in self.mistake_costs)
@@ -140,6 +154,8 @@
         During a counter outage a gateway mostly gets customers that it has not seen, and cannot tell who is
         over quota. But it knows the rate at which the counter admitted customers of that plan: the gateways
         together continue at that rate, even if all customers ask for more at once.
+
+        While the counter replies, this also adds to that rate the units that it would probably have admitted.
         """
         if not (self.settings.may_count and restrictor.sparse(request.units)):
             return 0.0
@@ -147,7 +163,7 @@
         if request.retried:
             return STEP_S
         uncounted = self._uncounted(now, restrictor)
-        # Admitted or not, uncounted requests are taken to fit as often as counted ones.
+        # Whether this request is admitted or not, it is taken to fit as often as counted ones do.
         if now - self.answered_at < ALIVE_S:
             uncounted.admitted += request.units * (1 + uncounted.found) / (1 + uncounted.asked)
         return uncounted.wait(request.units)
@@ -196,26 +212,32 @@
     def settle(
         self, now: float, call: Call, total: float, usual: float, not_sent: bool
     ) -> tuple[float, list[api.Action]]:
-        """From the total found: seconds until there is room, 0 if there is, and calls to correct it."""
+        """Decides by a reply's total: seconds until there is room, 0 if there is, and calls to correct it.
+
+        `usual`: usual delay of the request's class, s; `not_sent`: another limit has refused the request.
+        """
         request, restrictor = call.request, call.restrictor
         assert request is not None and restrictor is not None
         plan = restrictor.plan
-        found = total - call.amount + INITIAL_FILL * plan.burst - plan.rate * (now - call.epoch_start)
-        idle, room = max(0.0, found), max(0.0, plan.burst - request.units)
+        # The shared bucket's fill before this call: `raw_fill` as the number gives it, below 0 after an idle
+        # time, and `before` as it counts. `room`: the largest fill at which the request is admitted.
+        raw_fill = total - call.amount + INITIAL_FILL * plan.burst - plan.rate * (now - call.epoch_start)
+        before, room = max(0.0, raw_fill), max(0.0, plan.burst - request.units)
         if total == call.amount and now - self.recovered_at < LOST_BURSTS * plan.burst / plan.rate:
-            # A name that is new since the loss: its store was hardly empty.
-            idle = max(idle, LOST_FILL * plan.burst)
-        # At its rate the customer has `out` attempts in flight, of those that it may have.
+            # The name is new since the counter lost its numbers: the lost bucket was hardly empty.
+            before = max(before, LOST_FILL * plan.burst)
+        # The quota's rate alone keeps `in_flight` attempts in flight. An open limit of no more than these
+        # leaves no room beyond that rate, one of twice as many leaves the whole burst.
         if plan.open_limit:
-            out = OPEN_DELAYS * plan.rate * usual
-            room = min(room, plan.burst * max(0.0, plan.open_limit / out - 1)) if out else room
+            in_flight = OPEN_DELAYS * plan.rate * usual
+            room = min(room, plan.burst * max(0.0, plan.open_limit / in_flight - 1)) if in_flight else room
         wait = 0.0
-        if not_sent or idle > room + LEEWAY_REQUESTS * request.units:
-            wait = max((idle - room) / plan.rate, 1e-3)
+        if not_sent or before > room + LEEWAY_REQUESTS * request.units:
+            wait = max((before - room) / plan.rate, 1e-3)
             # Subtracts only its own units: other calls subtract theirs. A larger excess is due to lost calls.
-            fill = idle if idle <= plan.burst + MAX_OVERFILL_REQUESTS * request.units else plan.burst
+            fill = before if before <= plan.burst + MAX_OVERFILL_REQUESTS * request.units else plan.burst
         else:
-            fill = idle + request.units
+            fill = before + request.units
         restrictor.known, restrictor.known_at = min(fill, plan.burst), now
         if not request.retried:
             uncounted = self._uncounted(now, restrictor)
@@ -223,9 +245,10 @@
                 uncounted.asked + request.units,
                 uncounted.found + request.units * (not wait),
             )
-        correction = fill - found - call.amount
+        correction = fill - raw_fill - call.amount
         if abs(correction) <= CORRECTION_REQUESTS * request.units:
             return wait, []
+        # The name of the corrected call, even if the next epoch has begun.
         name, _ = self.epoch(call.epoch_start + EPOCH_S / 2, request.customer)
         self.calls.setdefault(name, deque()).append(Call(now))
         return wait, [api.Count(name, correction, LIFETIME_S)]
--- a/tests/test_restrictor.py
+++ b/tests/test_restrictor.py
@@ -1,4 +1,8 @@
-"""The leaky bucket against values computed by hand."""
+"""The leaky bucket against values computed by hand.
+
+`Bench` has one plan (`helpers.PLAN`): a rate of 4 units per second, a burst of 8 units, and an excess cost of
+1, so that the threshold is not scaled by cost.
+"""
 
 from helpers import Bench
 
--- a/tests/test_takeover.py
+++ b/tests/test_takeover.py
@@ -55,7 +55,7 @@
 
 
 HOLD_S = handover.HOLD_S
-FULL = [(0.0, 0, 1), (9.9, 0, 0)]  # a store that is full when it is handed over
+FULL = [(0.0, 0, 1), (9.9, 0, 0)]  # a ceiling whose tokens are all left when it is handed over
 AT_ONCE = [(0.0, 0, 1), (0.0, 0, 1), (0.0, 1, 1), (0.0, 1, 1), (0.0, 2, 1), (0.0, 2, 1)]
 
 
@@ -107,7 +107,7 @@
                 assert j - i + 1 <= room + 1e-6
 
 
-def test_the_next_process_continues_with_the_fill_of_each_store() -> None:
+def test_the_next_process_continues_with_what_is_left_of_each_ceiling() -> None:
     old, new = Gateway(SETTINGS, 1), Gateway(SETTINGS, 2)
     old.handle(0.0, LIST)
     assert sum(admitted(old, 60.0, f"a{i}", 7) for i in range(30)) == 10  # the ceiling's burst
