--- a/benchmarks/attempts.py
+++ b/benchmarks/attempts.py
@@ -31,9 +31,9 @@
 sys.path.insert(0, str(ROOT))
 
 from coralvale.attempts.journal import Journal  # noqa: E402
-from coralvale.attempts.main import records  # noqa: E402
+from coralvale.attempts.main import read_records  # noqa: E402
 from coralvale.attempts.model import End, Ended, Intent, Verdict  # noqa: E402
-from coralvale.attempts.query import bookmarks  # noqa: E402
+from coralvale.attempts.query import request_histories  # noqa: E402
 from coralvale.attempts.store import Folder  # noqa: E402
 from coralvale.standins.clients import Client, request  # noqa: E402
 from coralvale.standins.demo import CLASSES, settings  # noqa: E402
@@ -124,14 +124,14 @@
 
 def storage(count: int, folder: Path) -> dict[str, Any]:
     lent = Folder(str(folder / "log"))
-    journal, other = Journal(lent, time.time(), segment=1 << 40), Sqlite(folder / "attempts.db")
+    journal, other = Journal(lent, time.time(), segment_bytes=1 << 40), Sqlite(folder / "attempts.db")
     times: dict[str, list[float]] = {"log": [], "sqlite": []}
     for first in range(0, count, BATCH):
         both = pairs(first, BATCH)
         for rows in ([intent for intent, _ in both], [end for _, end in both]):
             begun = time.perf_counter()
             for row in rows:
-                journal.put(row)
+                journal.enqueue(row)
             assert journal.flush(time.time())
             times["log"].append(time.perf_counter() - begun)
             begun = time.perf_counter()
@@ -159,11 +159,11 @@
     journal = Journal(lent, time.time())
     for first in range(0, count // 2, 5000):
         for intent, end in pairs(first, min(5000, count // 2 - first)):
-            journal.put(intent)
-            journal.put(end)
+            journal.enqueue(intent)
+            journal.enqueue(end)
         journal.flush(time.time())
     for intent, _ in pairs(10**9, 100):
-        journal.put(intent)
+        journal.enqueue(intent)
     journal.flush(time.time())
     lent.close()
     begun = time.perf_counter()
@@ -222,7 +222,7 @@
         ran += host.ran
         host.stop()
     roster.stop()
-    found = {b.request: b for b in bookmarks({"g": records(str(folder / "kills"))})}
+    found = {b.request: b for b in request_histories({"g": read_records(str(folder / "kills"))})}
     verdicts = Counter(b.verdict for b in found.values())
     wrong = [n for n, b in found.items() if b.verdict is Verdict.NOT_SENT and ran[n]]
     assert max(ran.values()) == 1 and set(ran) <= set(found) and not wrong
--- a/coralvale/attempts/journal.py
+++ b/coralvale/attempts/journal.py
@@ -43,7 +43,7 @@
 Told = Callable[[bool], None]
 
 
-def segments(names: list[str]) -> list[str]:
+def segment_names(names: list[str]) -> list[str]:
     """Names of segments, oldest first."""
     return sorted(name for name in names if name.endswith(SUFFIX) and name[: -len(SUFFIX)].isdecimal())
 
@@ -64,9 +64,9 @@
     """
 
     def __init__(
-        self, files: Files, now: float, segment: int = SEGMENT, keep: float = KEEP, most: int = 1 << 30
+        self, files: Files, now: float, segment_bytes: int = SEGMENT, keep: float = KEEP, most: int = 1 << 30
     ) -> None:
-        self.files, self.segment, self.keep, self.most = files, segment, keep, most
+        self.files, self.segment_bytes, self.keep, self.most = files, segment_bytes, keep, most
         self.open: dict[Key, Intent] = {}
         self.waiting: list[tuple[Record, Told | None]] = []
         self.bytes = 0  # that wait
@@ -83,7 +83,7 @@
         for name in names:
             if name.endswith(NEW):
                 self.files.remove(name)
-        told = segments(names)
+        told = segment_names(names)
         self.number = max((int(name[: -len(SUFFIX)]) for name in told), default=0)
         for name in told:
             self.sizes[name] = (self.files.size(name), now)
@@ -115,7 +115,7 @@
 
     # Records
 
-    def put(self, record: Record, told: Told | None = None) -> bool:
+    def enqueue(self, record: Record, told: Told | None = None) -> bool:
         """Takes a record for the next batch; False if too much waits already, and then nothing was taken."""
         if self.bytes > WAITING or (isinstance(record, Intent) and len(self.open) >= OPEN):
             return False
@@ -134,7 +134,7 @@
             elif isinstance(record, Ended):
                 self.open.pop((record.request, record.attempt), None)
         try:
-            if self.file is None or self.size >= self.segment:
+            if self.file is None or self.size >= self.segment_bytes:
                 self._rotate(now)
             data = b"".join(frame(record) for record, _ in batch)
             assert self.file is not None
@@ -189,7 +189,7 @@
 
     def _retire(self, now: float) -> None:
         """Removes segments that are too old, or the oldest while all together are too large."""
-        for name in segments(list(self.sizes))[:-1]:
+        for name in segment_names(list(self.sizes))[:-1]:
             size, newest = self.sizes[name]
             total = sum(size for size, _ in self.sizes.values())
             if now - newest <= self.keep and total <= self.most:
--- a/coralvale/attempts/main.py
+++ b/coralvale/attempts/main.py
@@ -12,9 +12,9 @@
 from typing import Any
 
 from coralvale.attempts.frames import Scan, scan
-from coralvale.attempts.journal import segments
+from coralvale.attempts.journal import segment_names
 from coralvale.attempts.model import JournalError, Record
-from coralvale.attempts.query import Bookmark, Chain, Filter, bookmarks, chains, unresolved
+from coralvale.attempts.query import Bookmark, Chain, Filter, chains, request_histories, unresolved
 from coralvale.attempts.store import Folder
 
 POLL = 0.2  # s between looks of `tail`
@@ -56,7 +56,7 @@
     """The segments of a journal, oldest first; an error in place of one that cannot be read."""
     folder = Folder(directory, lock=False)
     try:
-        names = segments(folder.names())
+        names = segment_names(folder.names())
     except OSError as error:
         raise JournalError(f"{directory}: {error.strerror}") from None
     for name in names:
@@ -68,7 +68,7 @@
             yield name, error
 
 
-def records(directory: str) -> list[Record]:
+def read_records(directory: str) -> list[Record]:
     found: list[Record] = []
     for _, read in scans(directory):
         if isinstance(read, JournalError):
@@ -112,10 +112,10 @@
 
 
 def show(chain: Chain) -> str:
-    if len(chain.bookmarks) == 1:
-        return line(chain.bookmarks[0])
-    head = f"{len(chain.bookmarks)} requests, {chain.certainty}: {chain.verdict.value}"
-    return "\n".join([head, *(f"    {line(b)}" for b in chain.bookmarks)])
+    if len(chain.requests) == 1:
+        return line(chain.requests[0])
+    head = f"{len(chain.requests)} requests, {chain.certainty}: {chain.verdict.value}"
+    return "\n".join([head, *(f"    {line(b)}" for b in chain.requests)])
 
 
 def run(asked: argparse.Namespace) -> int:
@@ -129,11 +129,11 @@
             asked.request, asked.station, asked.node, getattr(asked, "class"),
             moment(asked.since, float("-inf")), moment(asked.until, float("inf")),
         )  # fmt: skip
-        journals = {Path(d).name or d: records(d) for d in asked.directory}
+        journals = {Path(d).name or d: read_records(d) for d in asked.directory}
     except (JournalError, ValueError) as error:
         print(f"coralvale: {error}", file=sys.stderr)
         return 2
-    found = [b for b in bookmarks(journals) if wanted.takes(b)]  # type: ignore[arg-type]
+    found = [b for b in request_histories(journals) if wanted.takes(b)]  # type: ignore[arg-type]
     if asked.word == "merge":
         for bookmark in found:
             print(json.dumps(told(bookmark)))
@@ -145,7 +145,7 @@
     made = chains(found)
     if asked.json:
         rows = [
-            {"verdict": c.verdict.value, "certainty": c.certainty, "requests": [told(b) for b in c.bookmarks]}
+            {"verdict": c.verdict.value, "certainty": c.certainty, "requests": [told(b) for b in c.requests]}
             for c in made
         ]
         print(json.dumps(rows))
--- a/coralvale/attempts/query.py
+++ b/coralvale/attempts/query.py
@@ -58,12 +58,12 @@
 class Chain:
     """Requests that are taken for tries of one bookmark, oldest first."""
 
-    bookmarks: list[Bookmark]
+    requests: list[Bookmark]
     certainty: str = "alone"
 
     @property
     def verdict(self) -> Verdict:
-        return min((b.verdict for b in self.bookmarks), key=ORDER.index)
+        return min((b.verdict for b in self.requests), key=ORDER.index)
 
 
 @dataclass(frozen=True)
@@ -88,7 +88,7 @@
         )
 
 
-def bookmarks(journals: dict[str, Iterable[Record]]) -> list[Bookmark]:
+def request_histories(journals: dict[str, Iterable[Record]]) -> list[Bookmark]:
     """The requests of several gateways' records, oldest first."""
     found: dict[tuple[str, str], Bookmark] = {}
     for gateway, records in journals.items():
@@ -118,12 +118,12 @@
         first = bookmark.first
         key = first.station, first.cls, first.method, first.target, first.digest
         chain = last.get(key) if first.digest else None
-        gap = bookmark.at - chain.bookmarks[-1].at if chain else math.inf
+        gap = bookmark.at - chain.requests[-1].at if chain else math.inf
         if chain is None or gap > GAP:
             last[key] = chain = Chain([bookmark])
             made.append(chain)
             continue
-        chain.bookmarks.append(bookmark)
+        chain.requests.append(bookmark)
         likely = gap <= NEAR and chain.certainty != "possibly one bookmark"
         chain.certainty = "likely one bookmark" if likely else "possibly one bookmark"
     return made
--- a/coralvale/attempts/service.py
+++ b/coralvale/attempts/service.py
@@ -169,7 +169,7 @@
             while self.queue:
                 record, told = self.queue.popleft()
                 last.append(record)
-                if not self.journal.put(record, told):
+                if not self.journal.enqueue(record, told):
                     self.lost += told is None
                     if told:
                         told(False)
@@ -187,7 +187,7 @@
 
     def _probe(self) -> None:
         """Tries a disk that failed, so that requests are taken again once it is well."""
-        self.journal.put(Answered("", self.clock.now(), 0), self._probed)
+        self.journal.enqueue(Answered("", self.clock.now(), 0), self._probed)
         self.wake.set()
 
     def _probed(self, ok: bool) -> None:
--- a/tests/attempts/test_journal.py
+++ b/tests/attempts/test_journal.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from coralvale.attempts.frames import HEAD, MAGIC, MOST, frame, header, scan
-from coralvale.attempts.journal import OPEN, SUFFIX, WAITING, Journal, segments
+from coralvale.attempts.journal import OPEN, SUFFIX, WAITING, Journal, segment_names
 from coralvale.attempts.model import Answered, Checkpoint, End, Ended, Intent, JournalError, Record
 
 AT = 1000.0
@@ -34,7 +34,7 @@
         self.told: set[int] = set()
         self.ending: set[int] = set()
         self.closed: set[int] = set()
-        self.journal = Journal(disk, AT, segment=700)
+        self.journal = Journal(disk, AT, segment_bytes=700)
 
     def run(self, batches: int = 12) -> None:
         number = self.first
@@ -42,11 +42,11 @@
             for _ in range(self.lots.randint(1, 3)):
                 n, number = number, number + 1
                 self.begun.add(n)
-                self.journal.put(intent(n), lambda ok, n=n: self.told.add(n) if ok else None)  # type: ignore[misc]
+                self.journal.enqueue(intent(n), lambda ok, n=n: self.told.add(n) if ok else None)  # type: ignore[misc]
             ending = {n for n in self.told - self.closed if self.lots.random() < 0.5}
             self.ending |= ending
             for n in ending:
-                self.journal.put(ended(n))
+                self.journal.enqueue(ended(n))
             if self.journal.flush(AT + batch):
                 self.closed |= ending
 
@@ -64,7 +64,7 @@
 def test_at_every_operation_a_crash_loses_nothing_that_was_told() -> None:
     disk = Disk()
     Workload(disk, 1).run()
-    assert disk.operations > 40 and len(segments(disk.names())) > 3
+    assert disk.operations > 40 and len(segment_names(disk.names())) > 3
     for stop in range(disk.operations):
         for variant in range(4):
             broken = Disk(stop_at=stop)
@@ -113,11 +113,11 @@
     disk, told = Disk(), list[bool]()
     journal = Journal(disk, AT)
     disk.bad = True
-    assert journal.put(intent(1), told.append) and not journal.flush(AT) and told == [False]
+    assert journal.enqueue(intent(1), told.append) and not journal.flush(AT) and told == [False]
     disk.bad = False
-    before = segments(disk.names())
-    assert journal.put(intent(2), told.append) and journal.flush(AT) and told == [False, True]
-    assert len(segments(disk.names())) == len(before) + 1
+    before = segment_names(disk.names())
+    assert journal.enqueue(intent(2), told.append) and journal.flush(AT) and told == [False, True]
+    assert len(segment_names(disk.names())) == len(before) + 1
     assert {i.request for i in Journal(disk, AT).recovered.unresolved} == {
         "r1",
         "r2",
@@ -171,11 +171,11 @@
 
 def test_what_waits_and_what_is_open_is_bounded_and_large_records_are_refused() -> None:
     journal = Journal(Disk(), AT)
-    taken = sum(journal.put(Answered(f"r{n}", AT, 200)) for n in range(WAITING // 256 + 100))
+    taken = sum(journal.enqueue(Answered(f"r{n}", AT, 200)) for n in range(WAITING // 256 + 100))
     assert WAITING // 256 <= taken <= WAITING // 256 + 1
-    journal = Journal(Disk(), AT, segment=1 << 30)
+    journal = Journal(Disk(), AT, segment_bytes=1 << 30)
     for n in range(10_000):  # ten thousand open at once
-        assert journal.put(intent(n))
+        assert journal.enqueue(intent(n))
     assert journal.flush(AT) and len(journal.open) == 10_000 < OPEN
     with pytest.raises(ValueError, match="a record of"):
         frame(Intent("r", 0, AT, "1", "c", "s", "POST", "x" * MOST))
@@ -183,22 +183,22 @@
 
 def test_segments_are_retired_by_age_and_size_and_what_is_open_stays_for_its_time() -> None:
     disk = Disk()
-    journal = Journal(disk, AT, segment=400, keep=100.0, most=3000)
-    journal.put(intent(0, at=AT))
+    journal = Journal(disk, AT, segment_bytes=400, keep=100.0, most=3000)
+    journal.enqueue(intent(0, at=AT))
     for n in range(1, 60):
-        journal.put(intent(n, at=AT + n))
-        journal.put(ended(n))
+        journal.enqueue(intent(n, at=AT + n))
+        journal.enqueue(ended(n))
         journal.flush(AT + n)
-    assert sum(disk.size(name) for name in segments(disk.names())) <= 3400
+    assert sum(disk.size(name) for name in segment_names(disk.names())) <= 3400
     assert [i.request for i in Journal(disk, AT + 60, keep=100.0).recovered.unresolved] == ["r0"]
     later = Journal(disk, AT + 150, keep=100.0)
-    assert "r0" not in {i.request for i in later.open.values()} and len(segments(disk.names())) >= 1
+    assert "r0" not in {i.request for i in later.open.values()} and len(segment_names(disk.names())) >= 1
 
 
 def test_clocks_that_step_back_change_nothing() -> None:
     disk = Disk()
-    journal = Journal(disk, AT, segment=300)
+    journal = Journal(disk, AT, segment_bytes=300)
     for n in range(20):
-        journal.put(intent(n, at=AT - n))
+        journal.enqueue(intent(n, at=AT - n))
         assert journal.flush(AT - n)
     assert len(Journal(disk, AT - 30).recovered.unresolved) == 20
--- a/tests/attempts/test_kills.py
+++ b/tests/attempts/test_kills.py
@@ -15,9 +15,9 @@
 from net_helpers import run, until
 
 from coralvale import interface as api
-from coralvale.attempts.main import records
+from coralvale.attempts.main import read_records
 from coralvale.attempts.model import Verdict
-from coralvale.attempts.query import bookmarks
+from coralvale.attempts.query import request_histories
 from coralvale.attempts.service import Recorder
 from coralvale.net.clock import Clock
 from coralvale.operator import Attempts
@@ -93,7 +93,7 @@
             ran += host.ran
             host.stop()
         roster.stop()
-        found = {b.request: b for b in bookmarks({"g": records(str(journal))})}
+        found = {b.request: b for b in request_histories({"g": read_records(str(journal))})}
         verdicts = Counter(b.verdict for b in found.values())
         assert ran and max(ran.values()) == 1
         assert set(ran) <= set(found), set(ran) - set(found)
--- a/tests/attempts/test_model.py
+++ b/tests/attempts/test_model.py
@@ -14,16 +14,16 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from coralvale.attempts.frames import scan
-from coralvale.attempts.journal import Journal, segments
+from coralvale.attempts.journal import Journal, segment_names
 from coralvale.attempts.model import NOT_RUN, End, Ended, Intent, Record, Verdict
-from coralvale.attempts.query import bookmarks
+from coralvale.attempts.query import request_histories
 from coralvale.attempts.store import Folder
 
 AT = 1_700_000_000.0
 
 
 def read(disk: Disk) -> list[Record]:
-    return [record for name in segments(disk.names()) for record in scan(name, disk.read(name)).records]
+    return [record for name in segment_names(disk.names()) for record in scan(name, disk.read(name)).records]
 
 
 class Model(RuleBasedStateMachine):
@@ -32,7 +32,7 @@
     def __init__(self) -> None:
         super().__init__()
         self.disk, self.serial = Disk(), 0
-        self.journal = Journal(self.disk, AT, segment=600)
+        self.journal = Journal(self.disk, AT, segment_bytes=600)
         self.sent: dict[str, bool] = {}  # request to whether its end is durable
         self.ends: dict[str, End] = {}
         self.waiting: dict[str, End] = {}
@@ -50,7 +50,7 @@
                 self.unsent.discard(name)
 
         self.unsent.add(name)
-        assert self.journal.put(told, durable)
+        assert self.journal.enqueue(told, durable)
 
     @precondition(lambda self: any(not done for done in self.sent.values()))
     @rule(end=st.sampled_from(End), lot=st.integers(0, 10**6))
@@ -59,7 +59,7 @@
         if left:
             name = left[lot % len(left)]
             self.waiting[name] = end
-            self.journal.put(Ended(name, 0, AT, end))
+            self.journal.enqueue(Ended(name, 0, AT, end))
 
     @rule()
     def flush(self) -> None:
@@ -75,12 +75,12 @@
     @rule(seed=st.integers(0, 10**6))
     def crash(self, seed: int) -> None:
         self.disk = self.disk.after(random.Random(seed))
-        self.journal = Journal(self.disk, AT, segment=600)
+        self.journal = Journal(self.disk, AT, segment_bytes=600)
         self.waiting.clear()  # their ends may be there or not: both are true of them
 
     @invariant()
     def verdicts_are_true(self) -> None:
-        found = {b.request: b for b in bookmarks({"g": read(self.disk)})}
+        found = {b.request: b for b in request_histories({"g": read(self.disk)})}
         for name, done in self.sent.items():
             assert name in found, f"{name} was sent, and the journal knows nothing of it"
             verdict = found[name].verdict
@@ -100,9 +100,9 @@
 
 def test_tail_shows_what_becomes_durable_from_now_on(tmp_path: Path) -> None:
     folder = Folder(str(tmp_path))
-    journal = Journal(folder, AT, segment=700)
+    journal = Journal(folder, AT, segment_bytes=700)
     old = Intent("old", 0, AT, "101", "bookmark-add", "s-0")
-    assert journal.put(old) and journal.flush(AT)
+    assert journal.enqueue(old) and journal.flush(AT)
     tail = subprocess.Popen(
         [sys.executable, "-m", "coralvale", "attempts", "tail", str(tmp_path)],
         cwd=Path(__file__).resolve().parent.parent.parent, stdout=subprocess.PIPE, text=True,
@@ -112,8 +112,8 @@
     try:
         assert tail.stdout.readline() == '{"kind": "tail", "directories": 1}\n'
         for n in range(12):  # over several segments, each of which carries the old one
-            journal.put(Intent(f"n{n}", 0, AT, "101", "bookmark-add", "s-0"))
-            journal.put(Ended(f"n{n}", 0, AT, End.OK))
+            journal.enqueue(Intent(f"n{n}", 0, AT, "101", "bookmark-add", "s-0"))
+            journal.enqueue(Ended(f"n{n}", 0, AT, End.OK))
             assert journal.flush(AT)
         while len(told) < 24:
             told.append(tail.stdout.readline())
--- a/tests/attempts/test_query.py
+++ b/tests/attempts/test_query.py
@@ -13,7 +13,7 @@
 
 from coralvale.attempts.journal import SUFFIX, Journal
 from coralvale.attempts.model import NOT_RUN, Answered, End, Ended, Intent, JournalError, Record, Verdict
-from coralvale.attempts.query import GAP, NEAR, Filter, bookmarks, chains, unresolved
+from coralvale.attempts.query import GAP, NEAR, Filter, chains, request_histories, unresolved
 from coralvale.attempts.store import Folder
 
 AT = 1_700_000_000.0
@@ -38,7 +38,7 @@
         if end is not None:
             records.append(Ended(f"r{n}", number, AT, end))
     lots.shuffle(records)  # type: ignore[attr-defined]
-    found = {b.request: b for b in bookmarks({"g": records})}
+    found = {b.request: b for b in request_histories({"g": records})}
     assert set(found) == set(model)
     for name, told in model.items():
         verdict = found[name].verdict
@@ -59,8 +59,8 @@
 def test_a_retry_through_another_gateway_is_shown_as_a_chain_with_its_certainty() -> None:
     first = [intent("a")]  # its gateway was killed
     second = [intent("b", at=AT + 5), Ended("b", 0, AT + 5, End.OK), Answered("b", AT + 5, 200)]
-    (chain,) = chains(bookmarks({"g1": first, "g2": second}))
-    assert [b.request for b in chain.bookmarks] == ["a", "b"] and chain.certainty == "likely one bookmark"
+    (chain,) = chains(request_histories({"g1": first, "g2": second}))
+    assert [b.request for b in chain.requests] == ["a", "b"] and chain.certainty == "likely one bookmark"
     assert chain.verdict is Verdict.SAVED
     apart = {
         "late": intent("b", at=AT + NEAR + 1),
@@ -69,10 +69,10 @@
         "another body": intent("b", at=AT + 5, digest="e"),
     }
     for why, other in apart.items():
-        made = chains(bookmarks({"g1": first, "g2": [other]}))
+        made = chains(request_histories({"g1": first, "g2": [other]}))
         assert len(made) == (1 if why == "late" else 2), why
         assert why != "late" or made[0].certainty == "possibly one bookmark"
-    everything = bookmarks({"g1": first, "g2": second})
+    everything = request_histories({"g1": first, "g2": second})
     assert [b.request for b in everything if Filter(node="s-0", since=AT + 1).takes(b)] == ["b"]
 
 
@@ -88,10 +88,10 @@
     for path, name in ((one, "a"), (two, "b")):
         folder = Folder(str(path))
         journal = Journal(folder, AT)
-        journal.put(intent(name, at=AT + (name == "b")))
+        journal.enqueue(intent(name, at=AT + (name == "b")))
         if name == "b":
-            journal.put(Ended("b", 0, AT + 1, End.OK))
-            journal.put(Answered("b", AT + 1, 200))
+            journal.enqueue(Ended("b", 0, AT + 1, End.OK))
+            journal.enqueue(Answered("b", AT + 1, 200))
         assert journal.flush(AT)
         with pytest.raises(JournalError, match="another gateway has this journal"):
             Folder(str(path))
