--- a/coralvale/attempts/__init__.py
+++ b/coralvale/attempts/__init__.py
@@ -1,5 +1,5 @@
-"""A journal of attempts that must not run twice: what was sent where, how it ended, what must not be sent again.
+"""Journal of attempts that must not run twice: where each was sent, how it ended, which must not be resent.
 
-`model`, `frames`, `journal` and `query` decide and do no I/O: files come as an argument, so that a test can stop
-them at any operation. docs/design/attempts.md holds the ways weighed.
+`model`, `frames`, `journal` and `query` do no I/O of their own: files are passed as an argument, so that a test
+can interrupt them at any operation. docs/design/attempts.md compares the alternatives.
 """
--- a/coralvale/attempts/journal.py
+++ b/coralvale/attempts/journal.py
@@ -1,20 +1,21 @@
-"""The journal: records in, batches made durable, what is open carried from segment to segment. No I/O of its own.
+"""The journal: makes records durable in batches, and copies open intents to each new segment. No I/O of its own.
 
-Rules:
+An attempt is open while it has an intent and no recorded end. Rules:
 
-  1. An intent is *told* (its waiter is called with True) only when a sync that came after its write has
-     succeeded.
-  2. A segment is written under the name `N.new`, begins with all that is open and a checkpoint, is synced, and
-     only then renamed to `N.attempts`. So a segment that has its name is whole up to its checkpoint, and recovery
-     reads the newest one alone. An old segment is never written to again, whatever its tail looks like.
-  3. After a write or sync that failed nothing that the segment holds since its last good sync is relied on: the
-     next batch begins a new segment, which carries all that is open anew (a page that failed to sync may be lost
+  1. The callback of an intent is called with True only after a successful sync that came after the write of the
+     intent.
+  2. A segment is written under the name `N.new`, begins with all open intents and a checkpoint, is synced, and
+     only then renamed to `N.attempts`. So a segment with its final name is complete up to its checkpoint, and
+     recovery reads only the newest one. An old segment is never written to again, even if its tail is torn.
+  3. After a failed write or sync, nothing written to the segment since its last successful sync is relied on: the
+     next batch starts a new segment, which contains all open intents again (a page whose sync failed may be lost
      although a later sync succeeds).
-  4. What is recovered with an intent and no end is open, and stays open in every later segment, for `keep`
-     seconds: it may have run. Nobody but `Ended` closes it.
-  5. Segments are retired by age and size, oldest first, never the newest.
+  4. An intent that is recovered without an end stays open in every later segment for `retention_s` seconds,
+     since the attempt may have run. Only an `Ended` record closes it.
+  5. Segments are deleted by age and total size, oldest first, never the newest.
 
-Crashes between any two operations leave rule 2's files: a `N.new` that was not renamed is removed at the start.
+A crash between any two operations leaves only the files of rule 2: an `N.new` that was not renamed is removed at
+the next start.
 """
 
 from __future__ import annotations
@@ -23,7 +24,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from coralvale.attempts.frames import frame, header, scan
+from coralvale.attempts.frames import encode, header, scan_segment
 from coralvale.attempts.model import (
     Checkpoint,
     Ended,
@@ -34,80 +35,91 @@
     Record,
 )
 
-SUFFIX, NEW = ".attempts", ".new"
-SEGMENT = 4 * 1024 * 1024  # bytes after which the next segment begins
-WAITING = 16 * 1024 * 1024  # bytes that wait to be written, at most: past that nothing is taken
-OPEN = 100_000  # attempts without an end, at most
-KEEP = 7 * 24 * 3600.0  # s
-Key = tuple[str, int]
-Told = Callable[[bool], None]
+SUFFIX, UNFINISHED_SUFFIX = ".attempts", ".new"
+DEFAULT_SEGMENT_BYTES = 4 * 1024 * 1024  # size from which the next batch starts a new segment
+MAX_PENDING_BYTES = 16 * 1024 * 1024  # queued for writing; beyond it records are rejected
+MAX_OPEN_ATTEMPTS = 100_000  # beyond it intents are rejected
+DEFAULT_RETENTION_S = 7 * 24 * 3600.0
+AttemptKey = tuple[str, int]  # request id, attempt number
+DurabilityCallback = Callable[[bool], None]
 
 
 def segment_names(names: list[str]) -> list[str]:
-    """Names of segments, oldest first."""
+    """The names among `names` that are segments, oldest first."""
     return sorted(name for name in names if name.endswith(SUFFIX) and name[: -len(SUFFIX)].isdecimal())
 
 
 @dataclass
 class Recovered:
-    """What was found at the start."""
+    """What recovery found."""
 
     unresolved: list[Intent] = field(default_factory=list)
-    problems: list[str] = field(default_factory=list)  # a line each, naming file and place
-    read: int = 0  # records
+    problems: list[str] = field(default_factory=list)  # one line each, with file name and position
+    record_count: int = 0  # of records that were read
 
 
 class Journal:
-    """One gateway's journal in `files`. Not for two threads at once, but for `put`, which may come from another.
+    """One gateway's journal in `files`. Not thread-safe, except that `enqueue` may be called from another thread.
 
-    Raises JournalError if a segment is of a newer format, and OSError where the files do.
+    Raises JournalError if a segment has a newer format, and OSError where the files do.
     """
 
     def __init__(
-        self, files: Files, now: float, segment_bytes: int = SEGMENT, keep: float = KEEP, most: int = 1 << 30
+        self,
+        files: Files,
+        now: float,
+        segment_bytes: int = DEFAULT_SEGMENT_BYTES,
+        retention_s: float = DEFAULT_RETENTION_S,
+        max_total_bytes: int = 1 << 30,
     ) -> None:
-        self.files, self.segment_bytes, self.keep, self.most = files, segment_bytes, keep, most
-        self.open: dict[Key, Intent] = {}
-        self.waiting: list[tuple[Record, Told | None]] = []
-        self.bytes = 0  # that wait
+        self.files, self.segment_bytes, self.retention_s, self.max_total_bytes = (
+            files,
+            segment_bytes,
+            retention_s,
+            max_total_bytes,
+        )
+        self.open: dict[AttemptKey, Intent] = {}
+        self.pending: list[tuple[Record, DurabilityCallback | None]] = []
+        self.pending_bytes = 0  # estimated size of `pending`
         self.file: File | None = None
         self.size = 0
-        self.sizes: dict[str, tuple[int, float]] = {}  # of segments: bytes, newest time
+        self.sizes: dict[str, tuple[int, float]] = {}  # per segment: bytes, time of its last write
         self.recovered = self._recover(now)
-        self._rotate(now)
+        self._start_segment(now)
 
-    # At the start
+    # Recovery
 
     def _recover(self, now: float) -> Recovered:
+        """Reads segments from the newest back to the last checkpoint, and restores the open intents."""
         found, names = Recovered(), self.files.names()
         for name in names:
-            if name.endswith(NEW):
+            if name.endswith(UNFINISHED_SUFFIX):
                 self.files.remove(name)
-        told = segment_names(names)
-        self.number = max((int(name[: -len(SUFFIX)]) for name in told), default=0)
-        for name in told:
+        segments = segment_names(names)
+        self.number = max((int(name[: -len(SUFFIX)]) for name in segments), default=0)
+        for name in segments:
             self.sizes[name] = (self.files.size(name), now)
-        closed: set[Key] = set()  # by what has been read already, which is newer
-        for name in reversed(told):  # back to the newest checkpoint, then forward from there
+        closed: set[AttemptKey] = set()  # attempts that ended in segments newer than the one being read
+        for name in reversed(segments):  # newest first, until one has a checkpoint
             try:
-                read = scan(name, self.files.read(name))
+                read = scan_segment(name, self.files.read(name))
             except JournalError as error:
                 if "format" in str(error):
                     raise
                 found.problems.append(str(error))
                 continue
             found.problems += [f"{name}: damaged from byte {a} to {b}, skipped" for a, b in read.damaged]
-            if read.torn:
-                found.problems.append(f"{name}: a torn tail of {read.torn} bytes, cut")
-            found.read += len(read.records)
-            older: dict[Key, Intent] = {}
+            if read.torn_bytes:
+                found.problems.append(f"{name}: a torn tail of {read.torn_bytes} bytes, cut")
+            found.record_count += len(read.records)
+            older: dict[AttemptKey, Intent] = {}
             for record in read.records:
                 if isinstance(record, Intent):
                     older[record.request, record.attempt] = record
                 elif isinstance(record, Ended):
                     older.pop((record.request, record.attempt), None)
             self.open = {key: intent for key, intent in older.items() if key not in closed} | self.open
-            if read.checkpoint >= 0:
+            if read.checkpoint_index >= 0:
                 break
             closed |= {(r.request, r.attempt) for r in read.records if isinstance(r, Ended)}
         found.unresolved = list(self.open.values())
@@ -115,17 +127,22 @@
 
     # Records
 
-    def enqueue(self, record: Record, told: Told | None = None) -> bool:
-        """Takes a record for the next batch; False if too much waits already, and then nothing was taken."""
-        if self.bytes > WAITING or (isinstance(record, Intent) and len(self.open) >= OPEN):
+    def enqueue(self, record: Record, on_durable: DurabilityCallback | None = None) -> bool:
+        """Queues a record for the next batch; `flush` calls `on_durable` with whether it was made durable.
+
+        False if the queue or the set of open attempts is full; then the record is not queued.
+        """
+        if self.pending_bytes > MAX_PENDING_BYTES or (
+            isinstance(record, Intent) and len(self.open) >= MAX_OPEN_ATTEMPTS
+        ):
             return False
-        self.waiting.append((record, told))
-        self.bytes += 256
+        self.pending.append((record, on_durable))
+        self.pending_bytes += 256
         return True
 
     def flush(self, now: float) -> bool:
-        """Makes all that waits durable, as one batch; tells each waiter. False if the disk failed it."""
-        batch, self.waiting, self.bytes = self.waiting, [], 0
+        """Makes all queued records durable as one batch and calls their callbacks. False if the disk failed."""
+        batch, self.pending, self.pending_bytes = self.pending, [], 0
         if not batch:
             return True
         for record, _ in batch:
@@ -135,28 +152,29 @@
                 self.open.pop((record.request, record.attempt), None)
         try:
             if self.file is None or self.size >= self.segment_bytes:
-                self._rotate(now)
-            data = b"".join(frame(record) for record, _ in batch)
+                self._start_segment(now)
+            data = b"".join(encode(record) for record, _ in batch)
             assert self.file is not None
             self.file.write(data)
             self.file.sync()
             self.size += len(data)
-            self.sizes[self._name()] = self.size, now
+            self.sizes[self._segment_name()] = self.size, now
         except OSError:
-            self._distrust()
-            for record, told in batch:
-                if not isinstance(record, Intent):  # for the next segment; intents that are open are carried
-                    self.waiting.append((record, None))
-                if told:
-                    told(False)
-            self.bytes = 256 * len(self.waiting)
+            self._abandon_segment()
+            for record, on_durable in batch:
+                if not isinstance(record, Intent):  # the next segment copies open intents anyway
+                    self.pending.append((record, None))
+                if on_durable:
+                    on_durable(False)
+            self.pending_bytes = 256 * len(self.pending)
             return False
-        for _, told in batch:
-            if told:
-                told(True)
+        for _, on_durable in batch:
+            if on_durable:
+                on_durable(True)
         return True
 
-    def _distrust(self) -> None:
+    def _abandon_segment(self) -> None:
+        """Closes the current segment; the next batch starts a new one."""
         if self.file is not None:
             with contextlib.suppress(OSError):
                 self.file.close()
@@ -164,35 +182,35 @@
 
     # Segments
 
-    def _name(self) -> str:
+    def _segment_name(self) -> str:
         return f"{self.number:010d}{SUFFIX}"
 
-    def _rotate(self, now: float) -> None:
-        """Begins a new segment with all that is open."""
-        self._distrust()
+    def _start_segment(self, now: float) -> None:
+        """Starts a new segment that begins with all open intents and a checkpoint."""
+        self._abandon_segment()
         number = self.number + 1
         name = f"{number:010d}"
-        self.open = {key: intent for key, intent in self.open.items() if now - intent.at < self.keep}
+        self.open = {key: intent for key, intent in self.open.items() if now - intent.at < self.retention_s}
         carried = list(self.open.values())
-        data = header(number) + b"".join(map(frame, carried)) + frame(Checkpoint(now, len(carried)))
-        file = self.files.create(name + NEW)
+        data = header(number) + b"".join(map(encode, carried)) + encode(Checkpoint(now, len(carried)))
+        file = self.files.create(name + UNFINISHED_SUFFIX)
         try:
             file.write(data)
             file.sync()
-            self.files.rename(name + NEW, name + SUFFIX)
+            self.files.rename(name + UNFINISHED_SUFFIX, name + SUFFIX)
         except OSError:
             file.close()
             raise
         self.file, self.number, self.size = file, number, len(data)
-        self.sizes[self._name()] = self.size, now
-        self._retire(now)
+        self.sizes[self._segment_name()] = self.size, now
+        self._delete_old_segments(now)
 
-    def _retire(self, now: float) -> None:
-        """Removes segments that are too old, or the oldest while all together are too large."""
+    def _delete_old_segments(self, now: float) -> None:
+        """Removes segments past their retention time, and the oldest while their total size is too large."""
         for name in segment_names(list(self.sizes))[:-1]:
             size, newest = self.sizes[name]
             total = sum(size for size, _ in self.sizes.values())
-            if now - newest <= self.keep and total <= self.most:
+            if now - newest <= self.retention_s and total <= self.max_total_bytes:
                 return
             try:
                 self.files.remove(name)
--- a/coralvale/attempts/model.py
+++ b/coralvale/attempts/model.py
@@ -1,6 +1,6 @@
-"""Records of the journal, the verdicts, the errors, and the files that it is kept in.
+"""Records of the journal, verdicts, errors, and the interface of the files that the journal is kept in.
 
-Times are seconds of Unix time on the gateway's clock. Bodies are not kept, only their digests.
+Times are seconds of Unix time on the gateway's clock. Bodies of requests are not stored, only their digests.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
     """The journal cannot be used; the message is one line that names the file."""
 
 
-End = Outcome  # how an attempt ended, as the decisions call it
-NOT_RUN = frozenset((End.FULL, End.CONNECT_FAILED, End.NOT_SENT))
+End = Outcome  # the routing decisions use the same enum
+NOT_RUN = frozenset((End.FULL, End.CONNECT_FAILED, End.NOT_SENT))  # the request certainly did not run
 
 
 class Verdict(Enum):
-    """What a support engineer is told of one request."""
+    """Whether a request ran, as reported to a support engineer."""
 
-    SAVED = "saved"  # a host said so
-    NOT_SENT = "not sent"  # no attempt reached a host that took it: a new one does no harm
-    FAILED = "failed"  # a host answered that it failed
+    SAVED = "saved"  # a host answered with success
+    NOT_SENT = "not sent"  # no host accepted an attempt: retrying is safe
+    FAILED = "failed"  # a host answered with an error
     MAY_HAVE_RUN = "may have run: don't retry"
 
 
 @dataclass(frozen=True, slots=True)
 class Intent:
-    """Attempt `attempt` of a request is about to be sent to `node`; durable before its first byte goes."""
+    """Attempt `attempt` of a request is about to be sent to `node`; durable before its first byte is sent."""
 
     request: str
     attempt: int
@@ -41,7 +41,7 @@
     node: str
     method: str = ""
     target: str = ""
-    digest: str = ""  # of the body
+    digest: str = ""  # of the request body
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The final answer that the client was given."""
+    """The final answer that was sent to the client."""
 
     request: str
     at: float
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Checkpoint:
-    """All that was open when the segment began stands before this, `count` intents: recovery looks no further."""
+    """Ends the `count` open intents copied to the start of a segment: recovery reads no older segment."""
 
     at: float
     count: int
@@ -75,19 +75,22 @@
 
 
 class File(Protocol):
-    """A file that is written from its beginning to its end."""
+    """A file that is written sequentially."""
 
     def write(self, data: bytes) -> None:
-        """Appends. Raises OSError; some of it may have been written then."""
+        """Appends `data`. Raises OSError; part of it may then have been written."""
 
     def sync(self) -> None:
-        """Makes all that was written durable. Raises OSError; none of it may be relied on then."""
+        """Makes all written data durable.
+
+        Raises OSError; then nothing written since the last successful sync can be relied on.
+        """
 
     def close(self) -> None: ...
 
 
 class Files(Protocol):
-    """A folder of the journal."""
+    """The directory of a journal."""
 
     def names(self) -> list[str]: ...
 
@@ -96,9 +99,9 @@
     def size(self, name: str) -> int: ...
 
     def create(self, name: str) -> File:
-        """A new, empty file. Raises OSError."""
+        """Creates an empty file and opens it. Raises OSError."""
 
     def rename(self, name: str, new: str) -> None:
-        """Gives a file another name, durably. Raises OSError."""
+        """Renames a file durably. Raises OSError."""
 
     def remove(self, name: str) -> None: ...
--- a/coralvale/attempts/query.py
+++ b/coralvale/attempts/query.py
@@ -1,17 +1,17 @@
-"""What the journals of one or more gateways tell of a request: its verdict, and the chain that it belongs to.
+"""What the journals of one or more gateways say about a request: its verdict, and the chain that it belongs to.
 
   verdict       when
   ------------  ------------------------------------------------------------------------------------------------
   saved         a host answered an attempt with 200
-  may have run  an attempt has an intent and no end, or ended by time-out, reset or cancelling
-  failed        a host answered that it failed, and no attempt may have run otherwise
-  not sent      all attempts ended before a host took them: refused, not connected, not written
-
-A listener that tries again does so under a new id, perhaps through another gateway. Requests of one station
-with the same class, method, target and digest of the body, each within `GAP` seconds of the last, are shown
-as a chain: *likely* one bookmark if each came within `NEAR` seconds, else *possibly*; the digest is of the
-body, so two listeners who save the same thing in the same second look alike. A chain's verdict is its best:
-saved if any was, else may have run if any may, else failed, else not sent.
+  may have run  an attempt has an intent and no end, or ended by timeout, reset or cancellation
+  failed        a host answered with an error, and no other attempt may have run
+  not sent      all attempts ended before a host accepted them: refused, not connected, not written
+
+A listener who retries does so under a new request id, perhaps through another gateway. Requests of one station
+with the same class, method, target and digest of the body, each within `MAX_RETRY_GAP_S` of the one before, are
+shown as a chain: *likely* one bookmark if each came within `LIKELY_RETRY_GAP_S`, else *possibly*. Only the body
+is compared, so two listeners who save the same thing in the same second cannot be told apart. The verdict of a
+chain is its best: saved if any request was, else may have run, else failed, else not sent.
 """
 
 from __future__ import annotations
@@ -22,13 +22,13 @@
 
 from coralvale.attempts.model import NOT_RUN, Answered, End, Ended, Intent, Record, Verdict
 
-GAP, NEAR = 300.0, 15.0  # s
-ORDER = (Verdict.SAVED, Verdict.MAY_HAVE_RUN, Verdict.FAILED, Verdict.NOT_SENT)
+MAX_RETRY_GAP_S, LIKELY_RETRY_GAP_S = 300.0, 15.0
+VERDICT_ORDER = (Verdict.SAVED, Verdict.MAY_HAVE_RUN, Verdict.FAILED, Verdict.NOT_SENT)
 
 
 @dataclass
-class Bookmark:
-    """All that is known of one request."""
+class RequestHistory:
+    """All records of one request."""
 
     request: str
     gateway: str
@@ -38,14 +38,17 @@
 
     @property
     def first(self) -> Intent:
+        """The intent of its first attempt."""
         return self.intents[min(self.intents)]
 
     @property
     def at(self) -> float:
+        """Time of its first attempt, seconds of Unix time."""
         return self.first.at
 
     @property
     def verdict(self) -> Verdict:
+        """See the table in the module's docstring."""
         ends = [self.ends[n].end if n in self.ends else None for n in self.intents]
         if End.OK in ends:
             return Verdict.SAVED
@@ -56,19 +59,20 @@
 
 @dataclass
 class Chain:
-    """Requests that are taken for tries of one bookmark, oldest first."""
+    """Requests that look like retries of one bookmark, oldest first."""
 
-    requests: list[Bookmark]
+    requests: list[RequestHistory]
     certainty: str = "alone"
 
     @property
     def verdict(self) -> Verdict:
-        return min((b.verdict for b in self.requests), key=ORDER.index)
+        """The best verdict of its requests, in VERDICT_ORDER."""
+        return min((r.verdict for r in self.requests), key=VERDICT_ORDER.index)
 
 
 @dataclass(frozen=True)
 class Filter:
-    """What is asked for; empty is all."""
+    """Selects requests; an empty field matches all."""
 
     request: str = ""
     station: str = ""
@@ -77,53 +81,54 @@
     since: float = -math.inf
     until: float = math.inf
 
-    def takes(self, bookmark: Bookmark) -> bool:
-        first = bookmark.first
+    def matches(self, history: RequestHistory) -> bool:
+        """Whether all fields match the request."""
+        first = history.first
         return (
-            self.request in ("", bookmark.request)
+            self.request in ("", history.request)
             and self.station in ("", first.station)
             and self.cls in ("", first.cls)
-            and (not self.node or any(i.node == self.node for i in bookmark.intents.values()))
+            and (not self.node or any(i.node == self.node for i in history.intents.values()))
             and self.since <= first.at <= self.until
         )
 
 
-def request_histories(journals: dict[str, Iterable[Record]]) -> list[Bookmark]:
-    """The requests of several gateways' records, oldest first."""
-    found: dict[tuple[str, str], Bookmark] = {}
+def request_histories(journals: dict[str, Iterable[Record]]) -> list[RequestHistory]:
+    """Groups the records of several gateways by request, oldest request first."""
+    found: dict[tuple[str, str], RequestHistory] = {}
     for gateway, records in journals.items():
         for record in records:
             if isinstance(record, (Intent, Ended, Answered)):
                 key = gateway, record.request
-                bookmark = found.setdefault(key, Bookmark(record.request, gateway))
+                history = found.setdefault(key, RequestHistory(record.request, gateway))
                 if isinstance(record, Intent):
-                    bookmark.intents[record.attempt] = record
+                    history.intents[record.attempt] = record
                 elif isinstance(record, Ended):
-                    bookmark.ends[record.attempt] = record
+                    history.ends[record.attempt] = record
                 else:
-                    bookmark.answered = record
-    return sorted((b for b in found.values() if b.intents), key=lambda b: b.at)
+                    history.answered = record
+    return sorted((h for h in found.values() if h.intents), key=lambda h: h.at)
 
 
-def unresolved(found: list[Bookmark]) -> list[Bookmark]:
-    """Those that may have run, and of which nobody knows."""
-    return [b for b in found if b.verdict is Verdict.MAY_HAVE_RUN]
+def unresolved(found: list[RequestHistory]) -> list[RequestHistory]:
+    """The requests that may have run."""
+    return [h for h in found if h.verdict is Verdict.MAY_HAVE_RUN]
 
 
-def chains(found: list[Bookmark]) -> list[Chain]:
-    """The requests, joined into chains; in the order of their first."""
+def chains(found: list[RequestHistory]) -> list[Chain]:
+    """Joins requests into chains, in the order of their first requests."""
     made: list[Chain] = []
     last: dict[tuple[str, ...], Chain] = {}
-    for bookmark in found:
-        first = bookmark.first
+    for history in found:
+        first = history.first
         key = first.station, first.cls, first.method, first.target, first.digest
         chain = last.get(key) if first.digest else None
-        gap = bookmark.at - chain.requests[-1].at if chain else math.inf
-        if chain is None or gap > GAP:
-            last[key] = chain = Chain([bookmark])
+        gap = history.at - chain.requests[-1].at if chain else math.inf
+        if chain is None or gap > MAX_RETRY_GAP_S:
+            last[key] = chain = Chain([history])
             made.append(chain)
             continue
-        chain.requests.append(bookmark)
-        likely = gap <= NEAR and chain.certainty != "possibly one bookmark"
+        chain.requests.append(history)
+        likely = gap <= LIKELY_RETRY_GAP_S and chain.certainty != "possibly one bookmark"
         chain.certainty = "likely one bookmark" if likely else "possibly one bookmark"
     return made
--- a/coralvale/attempts/store.py
+++ b/coralvale/attempts/store.py
@@ -1,4 +1,4 @@
-"""The folder of a journal, and the lock that keeps a second gateway out."""
+"""The directory of a journal, and the lock that excludes a second gateway."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 
 
 class Folder(disk.Folder):
-    """A directory of one gateway's journal; with `lock` nobody else may have it, until `close`.
+    """The directory of one gateway's journal; with `lock`, other processes are excluded until `close`.
 
-    Raises JournalError if another process has it, OSError if it cannot be made.
+    Raises JournalError if another process has locked it, OSError if it cannot be created.
     """
 
     def __init__(self, path: str, lock: bool = True) -> None:
--- a/tests/attempts/disk.py
+++ b/tests/attempts/disk.py
@@ -1,4 +1,4 @@
-"""Files that can stop at any operation, tear the last write, and drop what was not synced."""
+"""A simulated disk that can crash at any operation, tear the last write, and lose data that was not synced."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Crash(Exception):
-    """The machine stops here."""
+    """The simulated machine crashed at this operation."""
 
 
 @dataclass
@@ -18,18 +18,21 @@
 
 @dataclass
 class Disk:
-    """`stop_at`: the operation at which it crashes, halfway through if it is a write. `full`, `bad`: errors."""
+    """Files in memory.
+
+    `crash_at`: index of the operation at which it crashes, halfway through if it is a write; -1: never.
+    """
 
     files: dict[str, Content] = field(default_factory=dict)
-    stop_at: int = -1
+    crash_at: int = -1
     operations: int = 0
-    full: bool = False  # writes fail in the middle
-    bad: bool = False  # syncs fail, and lose what they should have made durable
+    writes_fail: bool = False  # writes fail in the middle
+    sync_fails: bool = False  # syncs fail, and the unsynced data is lost
 
     def step(self) -> bool:
-        """Counts an operation; whether it is the one that the machine stops at."""
+        """Counts an operation; returns whether the machine crashes at it."""
         self.operations += 1
-        return self.operations - 1 == self.stop_at
+        return self.operations - 1 == self.crash_at
 
     def names(self) -> list[str]:
         return list(self.files)
@@ -43,7 +46,7 @@
     def create(self, name: str) -> Handle:
         if self.step():
             raise Crash
-        if self.full:
+        if self.writes_fail:
             raise OSError(28, "No space left on device")
         self.files[name] = Content()
         return Handle(self, self.files[name])
@@ -58,16 +61,16 @@
             raise Crash
         del self.files[name]
 
-    def after(self, lots: random.Random) -> Disk:
-        """What is found after a crash: of what was not synced nothing, a part, or all, and perhaps garbage."""
+    def after_crash(self, rng: random.Random) -> Disk:
+        """The disk after a crash: of unsynced data nothing, a part, or all is left, perhaps partly zeroed."""
         left = Disk()
         for name, content in self.files.items():
-            kept = lots.choice(
-                [content.synced, len(content.data), lots.randint(content.synced, len(content.data))]
+            kept = rng.choice(
+                [content.synced, len(content.data), rng.randint(content.synced, len(content.data))]
             )
             data = content.data[:kept]
-            if kept > content.synced and lots.random() < 0.3:  # a page of it was written, another was not
-                place = lots.randrange(content.synced, kept)
+            if kept > content.synced and rng.random() < 0.3:  # one page was written, the next was not
+                place = rng.randrange(content.synced, kept)
                 data[place:] = bytes(kept - place)
             left.files[name] = Content(bytearray(data), len(data))
         return left
@@ -82,7 +85,7 @@
         if self.disk.step():
             self.content.data += data[: len(data) // 2]
             raise Crash
-        if self.disk.full:
+        if self.disk.writes_fail:
             self.content.data += data[: len(data) // 2]
             raise OSError(28, "No space left on device")
         self.content.data += data
@@ -90,8 +93,8 @@
     def sync(self) -> None:
         if self.disk.step():
             raise Crash
-        if self.disk.bad:
-            del self.content.data[self.content.synced :]  # the pages are dropped, and the next sync is happy
+        if self.disk.sync_fails:
+            del self.content.data[self.content.synced :]  # the pages are dropped, and the next sync succeeds
             raise OSError(5, "Input/output error")
         self.content.synced = len(self.content.data)
 
--- a/tests/attempts/test_kills.py
+++ b/tests/attempts/test_kills.py
@@ -1,4 +1,4 @@
-"""Gateways with a journal, killed at random points under load; disks that are slow or full."""
+"""Gateways with a journal, killed at random moments under load; slow and full disks."""
 
 from __future__ import annotations
 
@@ -31,8 +31,8 @@
 KILLS = 10
 
 
-async def bookmark(port: int, name: str, cls: str = CLASSES[1], time_out: str = "2.000") -> int:
-    """The status of one request; 0 if the connection broke."""
+async def send_bookmark(port: int, name: str, cls: str = CLASSES[1], time_out: str = "2.000") -> int:
+    """Sends one request; returns its status, 0 if the connection broke."""
     body = b"a bookmark" if cls == CLASSES[1] else b""
     fields = {"Plan": "team", "Cookie": "client=0000000000000101", "Quota_Info": "units=1,spread=1,first=0"}
     try:
@@ -52,7 +52,7 @@
     print("seed", seed)
 
     async def test() -> None:
-        lots, statuses = random.Random(seed), dict[str, int]()
+        rng, statuses = random.Random(seed), dict[str, int]()
         hosts = [await Host(f"s-{i}", delay=0.004, slots=64, queue=256).start() for i in range(3)]
         for host in hosts:
             host.reset_share = 0.05
@@ -70,7 +70,7 @@
             sending = set[asyncio.Task[None]]()
 
             async def one(name: str) -> None:
-                statuses[name] = await bookmark(gateway.port, name)
+                statuses[name] = await send_bookmark(gateway.port, name)
 
             while going:
                 serial += 1
@@ -82,7 +82,7 @@
 
         loading = asyncio.create_task(load())
         for _ in range(KILLS):
-            await asyncio.sleep(0.2 + 0.3 * lots.random())
+            await asyncio.sleep(0.2 + 0.3 * rng.random())
             await gateway.end(signal.SIGKILL)
             await gateway.start()
         going = False
@@ -108,7 +108,7 @@
     run(test())
 
 
-def test_two_gateways_on_one_journal_and_a_newer_one_are_refused_in_one_line(tmp_path: Path) -> None:
+def test_second_gateway_on_the_same_journal_is_refused_in_one_line(tmp_path: Path) -> None:
     async def test() -> None:
         host = await Host("s-0").start()
         roster = await Roster(entry(host.name, host.port, zone="north")).start()
@@ -131,16 +131,16 @@
     run(test())
 
 
-class Slow(Disk):
-    """A disk whose syncs take `pause` seconds."""
+class FolderDisk(Disk):
+    """A disk that can stand in for a `Folder`."""
 
     pause = 0.0
 
     def close(self) -> None: ...
 
 
-class Fields:
-    """Of an arrival and its exchange, what an intent holds."""
+class ArrivalFields:
+    """The fields of an arrival and its exchange that go into an intent."""
 
     customer, cls = 0x101, 1
     method, target, body = b"POST", b"/api", b"a bookmark"
@@ -151,10 +151,10 @@
 
 @pytest.mark.parametrize("unrecorded", ["refuse", "send"])
 @pytest.mark.parametrize("trouble", ["slow", "full"])
-def test_what_cannot_be_recorded_in_time_is_refused_or_sent_as_the_operator_says(
+def test_attempt_not_recorded_in_time_is_refused_or_sent_as_configured(
     unrecorded: str, trouble: str, monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
-    disk = Slow()
+    disk = FolderDisk()
     monkeypatch.setattr("coralvale.attempts.service.Folder", lambda path: disk)
 
     async def test() -> None:
@@ -167,7 +167,7 @@
 
         async def intend(name: str) -> tuple[bool, float]:
             begun, future = time.monotonic(), asyncio.get_running_loop().create_future()
-            recorder.record_intent(Fields(name), Fields(name), 0, "s-0", future.set_result)  # type: ignore[arg-type]
+            recorder.record_intent(ArrivalFields(name), ArrivalFields(name), 0, "s-0", future.set_result)  # type: ignore[arg-type]
             return await future, time.monotonic() - begun
 
         assert (await intend("a"))[0]
@@ -180,7 +180,7 @@
 
             recorder.journal.file.sync = slowly  # type: ignore[union-attr,method-assign]
         else:
-            disk.full = True
+            disk.writes_fail = True
         ok, took = await intend("b")
         assert ok == (unrecorded == "send") and took < 0.4
         assert recorder.refuses(1) == (unrecorded == "refuse") and not recorder.refuses(0)
@@ -188,11 +188,11 @@
             recorder.record_outcome("b", 0, api.Outcome.NOT_SENT)
         begun = time.monotonic()
         await asyncio.sleep(0.2)
-        assert time.monotonic() - begun < 0.3  # the loop does not wait for the disk
-        disk.full = False
+        assert time.monotonic() - begun < 0.3  # the event loop does not wait for the disk
+        disk.writes_fail = False
         if trouble == "slow":
             recorder.journal.file.sync = sync  # type: ignore[union-attr,method-assign]
-        await until(lambda: not recorder.late)
+        await until(lambda: not recorder.degraded)
         assert (await intend("c"))[0] and not recorder.refuses(1)
         assert recorder.unrecorded == (unrecorded == "send")
         recorder.close()
--- a/tests/attempts/test_query.py
+++ b/tests/attempts/test_query.py
@@ -1,4 +1,4 @@
-"""Verdicts and chains, against a plain model; the command."""
+"""Verdicts and chains against a reference model; the command."""
 
 from __future__ import annotations
 
@@ -13,7 +13,14 @@
 
 from coralvale.attempts.journal import SUFFIX, Journal
 from coralvale.attempts.model import NOT_RUN, Answered, End, Ended, Intent, JournalError, Record, Verdict
-from coralvale.attempts.query import GAP, NEAR, Filter, chains, request_histories, unresolved
+from coralvale.attempts.query import (
+    LIKELY_RETRY_GAP_S,
+    MAX_RETRY_GAP_S,
+    Filter,
+    chains,
+    request_histories,
+    unresolved,
+)
 from coralvale.attempts.store import Folder
 
 AT = 1_700_000_000.0
@@ -27,8 +34,8 @@
 
 
 @given(st.lists(st.tuples(st.integers(0, 4), ends), min_size=1, max_size=20), st.randoms())
-def test_a_verdict_is_that_of_a_plain_model_in_any_order_of_records(
-    attempts: list[tuple[int, End | None]], lots: object
+def test_verdicts_match_the_reference_model_in_any_order_of_records(
+    attempts: list[tuple[int, End | None]], rng: object
 ) -> None:
     model: dict[str, list[End | None]] = {}
     records: list[Record] = []
@@ -37,34 +44,34 @@
         records.append(intent(f"r{n}", number, AT + number))
         if end is not None:
             records.append(Ended(f"r{n}", number, AT, end))
-    lots.shuffle(records)  # type: ignore[attr-defined]
+    rng.shuffle(records)  # type: ignore[attr-defined]
     found = {b.request: b for b in request_histories({"g": records})}
     assert set(found) == set(model)
-    for name, told in model.items():
+    for name, outcomes in model.items():
         verdict = found[name].verdict
-        may = [e for e in told if e is None or e in (End.TIMEOUT, End.RESET, End.CANCELLED)]
-        if End.OK in told:
+        may = [e for e in outcomes if e is None or e in (End.TIMEOUT, End.RESET, End.CANCELLED)]
+        if End.OK in outcomes:
             assert verdict is Verdict.SAVED
         elif may:
             assert verdict is Verdict.MAY_HAVE_RUN
-        elif End.ERROR in told:
+        elif End.ERROR in outcomes:
             assert verdict is Verdict.FAILED
         else:
-            assert verdict is Verdict.NOT_SENT and set(told) <= NOT_RUN
+            assert verdict is Verdict.NOT_SENT and set(outcomes) <= NOT_RUN
     assert {b.request for b in unresolved(list(found.values()))} == {
         n for n, b in found.items() if b.verdict is Verdict.MAY_HAVE_RUN
     }
 
 
-def test_a_retry_through_another_gateway_is_shown_as_a_chain_with_its_certainty() -> None:
-    first = [intent("a")]  # its gateway was killed
+def test_retry_through_another_gateway_forms_a_chain_with_certainty() -> None:
+    first = [intent("a")]  # no end: its gateway was killed
     second = [intent("b", at=AT + 5), Ended("b", 0, AT + 5, End.OK), Answered("b", AT + 5, 200)]
     (chain,) = chains(request_histories({"g1": first, "g2": second}))
     assert [b.request for b in chain.requests] == ["a", "b"] and chain.certainty == "likely one bookmark"
     assert chain.verdict is Verdict.SAVED
     apart = {
-        "late": intent("b", at=AT + NEAR + 1),
-        "too late": intent("b", at=AT + GAP + 1),
+        "late": intent("b", at=AT + LIKELY_RETRY_GAP_S + 1),
+        "too late": intent("b", at=AT + MAX_RETRY_GAP_S + 1),
         "another station": intent("b", at=AT + 5, station="102"),
         "another body": intent("b", at=AT + 5, digest="e"),
     }
@@ -73,7 +80,7 @@
         assert len(made) == (1 if why == "late" else 2), why
         assert why != "late" or made[0].certainty == "possibly one bookmark"
     everything = request_histories({"g1": first, "g2": second})
-    assert [b.request for b in everything if Filter(node="s-0", since=AT + 1).takes(b)] == ["b"]
+    assert [b.request for b in everything if Filter(node="s-0", since=AT + 1).matches(b)] == ["b"]
 
 
 def command(*arguments: str) -> subprocess.CompletedProcess[str]:
@@ -83,7 +90,7 @@
     )  # fmt: skip
 
 
-def test_the_command_shows_checks_merges_and_fails_in_one_line(tmp_path: Path) -> None:
+def test_command_shows_checks_and_merges_and_reports_errors_in_one_line(tmp_path: Path) -> None:
     one, two = tmp_path / "g1", tmp_path / "g2"
     for path, name in ((one, "a"), (two, "b")):
         folder = Folder(str(path))
@@ -96,22 +103,22 @@
         with pytest.raises(JournalError, match="another gateway has this journal"):
             Folder(str(path))
         folder.close()
-    said = command("show", str(one), str(two))
-    assert said.returncode == 0 and "2 requests, likely one bookmark: saved" in said.stdout
-    assert "may have run: don't retry" in said.stdout and "nothing known" in said.stdout
+    result = command("show", str(one), str(two))
+    assert result.returncode == 0 and "2 requests, likely one bookmark: saved" in result.stdout
+    assert "may have run: don't retry" in result.stdout and "nothing known" in result.stdout
     (row,) = json.loads(command("show", str(one), str(two), "--json").stdout)
     assert row["verdict"] == "saved" and [r["gateway"] for r in row["requests"]] == ["g1", "g2"]
     assert command("show", str(one), "--station", "nobody").stdout == "none\n"
     assert command("show", str(one), "--since", "2030-01-01").stdout == "none\n"
-    said = command("unresolved", str(one), str(two), "--json")
-    assert said.returncode == 1 and [r["request"] for r in json.loads(said.stdout)] == ["a"]
+    result = command("unresolved", str(one), str(two), "--json")
+    assert result.returncode == 1 and [r["request"] for r in json.loads(result.stdout)] == ["a"]
     merged = [json.loads(line) for line in command("merge", str(one), str(two)).stdout.splitlines()]
     assert [r["request"] for r in merged] == ["a", "b"] and merged[1]["attempts"][0]["end"] == "ok"
     assert command("check", str(one)).returncode == 0
     name = one / f"{1:010d}{SUFFIX}"
     name.write_bytes(name.read_bytes()[:-3])
-    said = command("check", str(one), "--json")
-    assert said.returncode == 1 and "torn tail" in json.loads(said.stdout)[0]["problems"][0]
+    result = command("check", str(one), "--json")
+    assert result.returncode == 1 and "torn tail" in json.loads(result.stdout)[0]["problems"][0]
     for wrong in (("show", str(tmp_path / "none")), ("show", str(one), "--since", "soon")):
-        said = command(*wrong)
-        assert said.returncode == 2 and said.stderr.count("\n") == 1 and said.stderr.startswith("coralvale: ")
+        result = command(*wrong)
+        assert result.returncode == 2 and result.stderr.count("\n") == 1 and result.stderr.startswith("coralvale: ")
