--- a/tests/attempts/test_query.py
+++ b/tests/attempts/test_query.py
@@ -121,4 +121,8 @@
     assert result.returncode == 1 and "torn tail" in json.loads(result.stdout)[0]["problems"][0]
     for wrong in (("show", str(tmp_path / "none")), ("show", str(one), "--since", "soon")):
         result = command(*wrong)
-        assert result.returncode == 2 and result.stderr.count("\n") == 1 and result.stderr.startswith("coralvale: ")
+        assert (
+            result.returncode == 2
+            and result.stderr.count("\n") == 1
+            and result.stderr.startswith("coralvale: ")
+        )
