--- a/coralvale/attempts/journal.py
+++ b/coralvale/attempts/journal.py
@@ -1,21 +1,22 @@
-"""The journal: makes records durable in batches, and copies open intents to each new segment. No I/O of its own.
+"""The journal: makes records durable in batches, copies open intents to each new segment. No own I/O.
 
 An attempt is open while it has an intent and no recorded end. Rules:
 
-  1. The callback of an intent is called with True only after a successful sync that came after the write of the
-     intent.
-  2. A segment is written under the name `N.new`, begins with all open intents and a checkpoint, is synced, and
-     only then renamed to `N.attempts`. So a segment with its final name is complete up to its checkpoint, and
-     recovery reads only the newest one. An old segment is never written to again, even if its tail is torn.
-  3. After a failed write or sync, nothing written to the segment since its last successful sync is relied on: the
-     next batch starts a new segment, which contains all open intents again (a page whose sync failed may be lost
-     although a later sync succeeds).
-  4. An intent that is recovered without an end stays open in every later segment for `retention_s` seconds,
-     since the attempt may have run. Only an `Ended` record closes it.
+  1. The callback of an intent is called with True only after a successful sync that came after the write
+     of the intent.
+  2. A segment is written under the name `N.new`, begins with all open intents and a checkpoint, is
+     synced, and only then renamed to `N.attempts`. So a segment with its final name is complete up to its
+     checkpoint, and recovery reads only the newest one. An old segment is never written to again, even if
+     its tail is torn.
+  3. After a failed write or sync, nothing written to the segment since its last successful sync is relied
+     on: the next batch starts a new segment, which contains all open intents again (a page whose sync
+     failed may be lost although a later sync succeeds).
+  4. An intent that is recovered without an end stays open in every later segment for `retention_s`
+     seconds, since the attempt may have run. Only an `Ended` record closes it.
   5. Segments are deleted by age and total size, oldest first, never the newest.
 
-A crash between any two operations leaves only the files of rule 2: an `N.new` that was not renamed is removed at
-the next start.
+A crash between any two operations leaves only the files of rule 2: an `N.new` that was not renamed is
+removed at the next start.
 """
 
 from __future__ import annotations
@@ -59,7 +60,7 @@
 
 
 class Journal:
-    """One gateway's journal in `files`. Not thread-safe, except that `enqueue` may be called from another thread.
+    """One gateway's journal in `files`. Not thread-safe, but `enqueue` may come from another thread.
 
     Raises JournalError if a segment has a newer format, and OSError where the files do.
     """
--- a/coralvale/attempts/main.py
+++ b/coralvale/attempts/main.py
@@ -125,7 +125,7 @@
 def run(options: argparse.Namespace) -> int:
     """Runs a subcommand.
 
-    Exit codes: 0 success, 1 damage (`check`) or unresolved requests (`unresolved`), 2 wrong usage or no journal.
+    Exit codes: 0 success, 1 damage (`check`) or unresolved (`unresolved`), 2 wrong usage or no journal.
     """
     try:
         if options.word == "check":
--- a/coralvale/attempts/model.py
+++ b/coralvale/attempts/model.py
@@ -1,6 +1,7 @@
 """Records of the journal, verdicts, errors, and the interface of the files that the journal is kept in.
 
-Times are seconds of Unix time on the gateway's clock. Bodies of requests are not stored, only their digests.
+Times are seconds of Unix time on the gateway's clock. Bodies of requests are not stored, only their
+digests.
 """
 
 from __future__ import annotations
--- a/coralvale/attempts/query.py
+++ b/coralvale/attempts/query.py
@@ -1,4 +1,4 @@
-"""What the journals of one or more gateways say about a request: its verdict, and the chain that it belongs to.
+"""What the journals of one or more gateways say about a request: its verdict and its chain of retries.
 
   verdict       when
   ------------  ------------------------------------------------------------------------------------------------
@@ -7,11 +7,12 @@
   failed        a host answered with an error, and no other attempt may have run
   not sent      all attempts ended before a host accepted them: refused, not connected, not written
 
-A listener who retries does so under a new request id, perhaps through another gateway. Requests of one station
-with the same class, method, target and digest of the body, each within `MAX_RETRY_GAP_S` of the one before, are
-shown as a chain: *likely* one bookmark if each came within `LIKELY_RETRY_GAP_S`, else *possibly*. Only the body
-is compared, so two listeners who save the same thing in the same second cannot be told apart. The verdict of a
-chain is its best: saved if any request was, else may have run, else failed, else not sent.
+A listener who retries does so under a new request id, perhaps through another gateway. Requests of one
+station with the same class, method, target and digest of the body, each within `MAX_RETRY_GAP_S` of the
+one before, are shown as a chain: *likely* one bookmark if each came within `LIKELY_RETRY_GAP_S`, else
+*possibly*. The digest covers only the body, so two listeners who save the same thing in the same second
+cannot be told apart. The verdict of a chain is its best: saved if any request was, else may have run,
+else failed, else not sent.
 """
 
 from __future__ import annotations
--- a/coralvale/ledger/__init__.py
+++ b/coralvale/ledger/__init__.py
@@ -1,5 +1,5 @@
-"""A ledger for billing: use by station, plan, class and period, exported once and only once.
+"""A usage ledger for billing: use by station, plan, class and period, exported exactly once.
 
-`model` has the records, `book` and `export` decide, `log` keeps what happened on a disk; `service` carries out
-beside a gateway's node, `main` for people.
+`model` defines the records, `book` and `export` decide, `log` stores the records on disk; `service` runs
+the ledger next to a gateway's node, `main` is the command.
 """
--- a/coralvale/ledger/log.py
+++ b/coralvale/ledger/log.py
@@ -1,13 +1,15 @@
-"""A ledger's records on a disk. No clock; files are an argument (`Files` below, or faulty ones in tests).
-
-- Segments, `ledger-00000001` and so on: each begins with a snapshot of the book and goes on with what happened
-  since, in frames (`coralvale.disk`), so that the newest whole one is all that a start reads.
-- Writing: a segment is allocated whole and mapped. A record is there as soon as its bytes are copied, whatever
-  becomes of the process, and no call waits for the disk. `sync` brings it to the disk, in a thread.
-- A kill in the middle of a copy leaves a torn end, which holds no whole record; the start begins a new segment.
-- Damage, a record that is not whole and has a whole one behind it: the start is refused and names the byte, since
-  a ledger with a hole in it must be looked at.
-- Old segments are kept for audits, so many at most; never fewer than the newest and the one before it.
+"""A ledger's records on disk. No clock; files are an argument (`Files` below, or faulty ones in tests).
+
+- Segments are named `ledger-00000001` and so on. Each starts with a snapshot of the book, followed by the
+  records since, in the format of `coralvale.disk`; a start reads only the newest complete segment.
+- Writing: a segment is allocated at its full size and mapped into memory. A record survives the process
+  as soon as its bytes are copied, and no write waits for the disk. `sync` brings the records to the disk,
+  in a thread.
+- A kill during a copy leaves a torn tail without a valid record; the next start begins a new segment.
+- Damage, an invalid record followed by a valid one: the start is refused with the byte offset, since a
+  ledger with missing records must be inspected.
+- Old segments are kept for audits, at most MAX_SEGMENTS; the newest and the one before it are never
+  deleted.
 """
 
 from __future__ import annotations
@@ -24,15 +26,15 @@
 from coralvale.ledger.model import LedgerError, Record, decode, encode
 
 PREFIX, HEADER = "ledger-", b"coralvale ledger 1\n"
-MOST = 64 * 1024 * 1024  # bytes of a snapshot
-KEEP = 100  # segments
-RESERVE = 4096  # bytes
+MAX_SNAPSHOT_BYTES = 64 * 1024 * 1024
+MAX_SEGMENTS = 100  # that are kept
+MIN_FREE_BYTES = 4096  # left in a segment; with less, `make_room` starts the next one
 
 
-class Region(Protocol):
-    """A file that is mapped."""
+class MappedFile(Protocol):
+    """A memory-mapped file of a fixed size."""
 
-    def put(self, at: int, data: bytes) -> None: ...
+    def write_at(self, offset: int, data: bytes) -> None: ...
 
     def sync(self) -> None: ...
 
@@ -40,45 +42,45 @@
 
 
 class Files(Protocol):
-    """What a ledger needs of a folder. Every call may raise OSError."""
+    """The directory operations that a ledger needs. Every call may raise OSError."""
 
     def names(self) -> list[str]: ...
 
     def read(self, name: str) -> bytes: ...
 
-    def allocate(self, name: str, size: int) -> Region: ...
+    def allocate(self, name: str, size: int) -> MappedFile: ...
 
     def remove(self, name: str) -> None: ...
 
 
-class Mapped:
-    """A file of a fixed size, mapped."""
+class MappedSegment:
+    """A new file of a fixed size, mapped into memory. Raises OSError if the disk has no room for it."""
 
     def __init__(self, path: Path, size: int) -> None:
-        number = os.open(path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
+        fd = os.open(path, os.O_RDWR | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o600)
         try:
-            os.posix_fallocate(number, 0, size)  # a full disk is told now, not by a signal at a later write
-            self.map = mmap.mmap(number, size)
+            os.posix_fallocate(fd, 0, size)  # a full disk is reported here, not by a signal at a later write
+            self.map = mmap.mmap(fd, size)
         except OSError:
-            os.close(number)
+            os.close(fd)
             path.unlink(missing_ok=True)
             raise
-        self.number = number
+        self.fd = fd
 
-    def put(self, at: int, data: bytes) -> None:
-        self.map[at : at + len(data)] = data
+    def write_at(self, offset: int, data: bytes) -> None:
+        self.map[offset : offset + len(data)] = data
 
     def sync(self) -> None:
-        # msync would keep the interpreter for as long as it takes; on Linux this brings mapped pages as well.
-        os.fdatasync(self.number)
+        # msync would hold the interpreter until it ends; on Linux fdatasync writes mapped pages as well.
+        os.fdatasync(self.fd)
 
     def close(self) -> None:
         self.map.close()
-        os.close(self.number)
+        os.close(self.fd)
 
 
 class Folder(disk.Folder):
-    """A ledger's directory, which one process has. Raises LedgerError if another has it, OSError."""
+    """A ledger's directory, locked by one process. Raises LedgerError if another has locked it, OSError."""
 
     def __init__(self, path: str, lock: bool = True) -> None:
         try:
@@ -86,124 +88,131 @@
         except disk.FolderInUseError:
             raise LedgerError(f"{path}: another process has this ledger") from None
 
-    def allocate(self, name: str, size: int) -> Mapped:
-        return Mapped(self.path / name, size)
+    def allocate(self, name: str, size: int) -> MappedSegment:
+        """Creates and maps a file of `size` bytes."""
+        return MappedSegment(self.path / name, size)
 
 
-def segments(names: Sequence[str]) -> list[str]:
-    """Names of segments, oldest first."""
+def segment_names(names: Sequence[str]) -> list[str]:
+    """The names among `names` that are segments, oldest first."""
     return sorted(n for n in names if n.startswith(PREFIX) and n[len(PREFIX) :].isdecimal())
 
 
 def read_segment(name: str, data: bytes) -> tuple[dict[str, Any], list[Record]] | None:
-    """A segment's snapshot and records; None if its snapshot is not whole. Raises LedgerError if damaged."""
+    """A segment's snapshot and records; None if its snapshot is incomplete. Raises LedgerError if damaged."""
     if not data.startswith(HEADER):
         if not HEADER.startswith(data[: len(HEADER)].rstrip(b"\0")):
             raise LedgerError(f"{name}: no segment of a ledger that this program knows")
         return None
-    first = disk.read_record(data, len(HEADER), MOST)
+    first = disk.read_record(data, len(HEADER), MAX_SNAPSHOT_BYTES)
     if first is None:
-        if disk.find_record(data, len(HEADER), MOST) >= 0:
+        if disk.find_record(data, len(HEADER), MAX_SNAPSHOT_BYTES) >= 0:
             raise LedgerError(f"{name}: damaged at byte {len(HEADER)}")
         return None
-    payload, at = first
+    payload, offset = first
     found: list[Record] = []
-    while (row := disk.read_record(data, at, MOST)) is not None:
+    while (row := disk.read_record(data, offset, MAX_SNAPSHOT_BYTES)) is not None:
         found.append(decode(row[0]))
-        at = row[1]
-    if data[at : at + 1].strip(b"\0") and disk.find_record(data, at, MOST) >= 0:
-        raise LedgerError(f"{name}: damaged at byte {at}")
-    if not data[at : at + 1].strip(b"\0") and (after := disk.find_record(data, at, MOST)) >= 0:
-        raise LedgerError(f"{name}: nothing at byte {at}, but a record at byte {after}")
+        offset = row[1]
+    if data[offset : offset + 1].strip(b"\0") and disk.find_record(data, offset, MAX_SNAPSHOT_BYTES) >= 0:
+        raise LedgerError(f"{name}: damaged at byte {offset}")
+    if (
+        not data[offset : offset + 1].strip(b"\0")
+        and (next_record := disk.find_record(data, offset, MAX_SNAPSHOT_BYTES)) >= 0
+    ):
+        raise LedgerError(f"{name}: nothing at byte {offset}, but a record at byte {next_record}")
     return json.loads(payload), found
 
 
 def load(files: Files, terms: Terms | None = None) -> tuple[str, Book] | None:
     """The name and the book of the ledger in `files`; None if there is none. Raises LedgerError, OSError.
 
-    Without `terms` it is read by its own period, and all that is over is due.
+    Without `terms`, its own period is used, and every period that is over is due for sealing.
     """
-    for name in reversed(segments(files.names())):
+    for name in reversed(segment_names(files.names())):
         if (read := read_segment(name, files.read(name))) is None:
-            continue  # the process was gone before it was whole: the one before it has all
+            continue  # the process ended before it was complete: the previous segment has all records
         snapshot, records = read
         period = float(snapshot["period"])
         if terms and terms.period != period:
             raise LedgerError(f"{name}: its period is {period:g} s, not {terms.period:g}")
         book = Book.restore(terms or Terms(period, 0.0, 0.0, 0.0), snapshot["book"])
-        for number, record in enumerate(records):
+        for index, record in enumerate(records):
             try:
                 book.apply(record)
             except LedgerError as error:
-                raise LedgerError(f"{name}: record {number}: {error}") from None
+                raise LedgerError(f"{name}: record {index}: {error}") from None
         return str(snapshot["ledger"]), book
     return None
 
 
 class Log:
-    """A ledger that is written to. `new` makes the name of a ledger that begins here; its period is for good.
+    """A ledger opened for writing. `make_name` names a new ledger; its period can't be changed later.
 
-    Raises LedgerError, or OSError where the files do. An OSError of `write` leaves book and disk as they were.
+    Raises LedgerError, or OSError where the files do. An OSError of `write` leaves book and disk unchanged.
     """
 
-    def __init__(self, files: Files, terms: Terms, new: Callable[[], str], segment: int = 8 << 20) -> None:
-        self.files, self.segment = files, segment
-        names = segments(files.names())
-        self.serial = int(names[-1][len(PREFIX) :]) if names else 0
+    def __init__(
+        self, files: Files, terms: Terms, make_name: Callable[[], str], segment_bytes: int = 8 << 20
+    ) -> None:
+        self.files, self.segment_bytes = files, segment_bytes
+        names = segment_names(files.names())
+        self.segment_number = int(names[-1][len(PREFIX) :]) if names else 0
         known = load(files, terms)
-        self.ledger, self.book = known if known else (new(), Book(terms))
-        self.region: Region | None = None
-        self.old: list[Region] = []  # that are still to be synced
-        self.at = self.size = 0
-        self._begin()
-
-    def _begin(self) -> None:
-        """A new segment, with all that is so far."""
+        self.ledger, self.book = known if known else (make_name(), Book(terms))
+        self.current: MappedFile | None = None
+        self.unsynced: list[MappedFile] = []  # previous segments that are still to be synced
+        self.offset = self.size = 0
+        self._start_segment()
+
+    def _start_segment(self) -> None:
+        """Starts a new segment with a snapshot of the book."""
         state = {"ledger": self.ledger, "period": self.book.terms.period, "book": self.book.snapshot()}
-        told = json.dumps(state, separators=(",", ":"))
-        data = disk.encode_record(told.encode())
-        size = max(self.segment, 2 * (len(HEADER) + len(data)))
-        serial = self.serial + 1
-        region = self.files.allocate(f"{PREFIX}{serial:08d}", size)
-        region.put(len(HEADER), data)
-        region.put(0, HEADER)  # last: without it the segment counts for nothing
-        if self.region:
-            self.old.append(self.region)
-        self.region, self.serial, self.size = region, serial, size
-        self.at = len(HEADER) + len(data)
+        snapshot = json.dumps(state, separators=(",", ":"))
+        data = disk.encode_record(snapshot.encode())
+        size = max(self.segment_bytes, 2 * (len(HEADER) + len(data)))
+        segment_number = self.segment_number + 1
+        current = self.files.allocate(f"{PREFIX}{segment_number:08d}", size)
+        current.write_at(len(HEADER), data)
+        current.write_at(0, HEADER)  # written last: a segment without it is ignored
+        if self.current:
+            self.unsynced.append(self.current)
+        self.current, self.segment_number, self.size = current, segment_number, size
+        self.offset = len(HEADER) + len(data)
 
     def write(self, records: Sequence[Record]) -> None:
-        """Records what happened, and does it."""
+        """Writes records and applies them to the book."""
         for record in records:
             data = disk.encode_record(encode(record))
-            if self.at + len(data) > self.size:
-                self._begin()
-            assert self.region
-            self.region.put(self.at, data)
-            self.at += len(data)
+            if self.offset + len(data) > self.size:
+                self._start_segment()
+            assert self.current
+            self.current.write_at(self.offset, data)
+            self.offset += len(data)
             self.book.apply(record)
 
     def make_room(self) -> None:
-        """Begins the next segment early where this one is nearly full, so that a full disk is seen in time."""
-        if self.at + RESERVE > self.size:
-            self._begin()
+        """Starts the next segment early if this one is nearly full, to notice a full disk in time."""
+        if self.offset + MIN_FREE_BYTES > self.size:
+            self._start_segment()
 
     def sync(self) -> None:
-        """Brings all to the disk, and retires the oldest segments. May be called in another thread."""
-        region, old = self.region, self.old[:]
-        for one in old:
+        """Syncs all records to the disk and deletes the oldest segments. May be called in another thread."""
+        current, unsynced = self.current, self.unsynced[:]
+        for one in unsynced:
             one.sync()
-        if region:
-            region.sync()
-        for one in old:  # only now is the newest segment sure to be there
+        if current:
+            current.sync()
+        for one in unsynced:  # only now is the newest segment durable
             one.close()
-            self.old.remove(one)
-        names = segments(self.files.names())
-        for name in names[: max(0, len(names) - KEEP)]:
+            self.unsynced.remove(one)
+        names = segment_names(self.files.names())
+        for name in names[: max(0, len(names) - MAX_SEGMENTS)]:
             self.files.remove(name)
 
     def close(self) -> None:
+        """Syncs and closes the current segment."""
         self.sync()
-        if self.region:
-            self.region.close()
-            self.region = None
+        if self.current:
+            self.current.close()
+            self.current = None
--- a/coralvale/ledger/model.py
+++ b/coralvale/ledger/model.py
@@ -1,8 +1,9 @@
-"""What the ledger is made of: records, the lines that are billed, and its errors.
+"""The ledger's records, the lines and batches that are billed, and its errors.
 
-A *try* is a request of which an attempt was made; its station pays for it once, in units, in the period in
-which its first attempt was made, if any of its attempts came whole to a host. Periods are numbered from
-Unix time 0. Units are whole millionths everywhere here, so that sums are exact in any order.
+A *try* is a request of which an attempt was made. If any of its attempts arrived completely at a host,
+its station is billed for it once, in units, in the period of its first attempt. Periods are numbered from
+Unix time 0. Units are integer millionths (microunits) in all records, so that sums are exact in any
+order.
 """
 
 from __future__ import annotations
@@ -15,27 +16,27 @@
 
 
 class LedgerError(ValueError):
-    """A ledger, or a call, that cannot be used; one line: place, what is wrong."""
+    """A ledger or a call is invalid; the message is one line: place, what is wrong."""
 
 
-MILLION = 1_000_000
+MICROUNITS_PER_UNIT = 1_000_000
 
 
 @dataclass(frozen=True, slots=True)
 class Account:
-    """Whom a line is for: station (16 hex digits), plan and class, by the names that were valid at the time."""
+    """Who is billed: station (16 hex digits), plan and class, by their names at the time of use."""
 
     station: str
     plan: str
     cls: str
 
 
-# Records: what happened, in order. A ledger's state is what they add up to, and nothing else.
+# Records are events in order. A ledger's state is fully determined by them.
 
 
 @dataclass(frozen=True, slots=True)
 class Opened:
-    """A try's first attempt is about to be made, at a moment of Unix time."""
+    """The first attempt of a try is about to be made; `at` is Unix time in seconds."""
 
     request: str
     at: float
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Closed:
-    """A try is over; `arrived`: an attempt came whole to a host, so that it is paid for."""
+    """A try is over; `arrived`: an attempt arrived completely at a host, so the try is billed."""
 
     request: str
     arrived: bool
@@ -53,14 +54,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Doubted:
-    """The process that made a try is gone, and nobody knows whether it arrived: nothing is billed for it yet."""
+    """The process died before the try was over: it is unknown whether it arrived; not billed yet."""
 
     request: str
 
 
 @dataclass(frozen=True, slots=True)
 class Resolved:
-    """What became of a try in doubt, by whoever asked the hosts."""
+    """A try in doubt was resolved by hand, by what the hosts report."""
 
     request: str
     arrived: bool
@@ -68,9 +69,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Adjusted:
-    """A correction by hand: units (below 0: given back) and tries for an account in a period, and why.
+    """A manual correction: units (negative: credited) and tries for an account in a period, and the reason.
 
-    `name` is its own, so that it is done once however often it is handed in.
+    `name` is unique, so that a correction that is submitted again is not applied again.
     """
 
     name: str
@@ -78,89 +79,91 @@
     account: Account
     tries: int
     units: int
-    why: str
+    reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Sealed:
-    """A period is over: what stands in it is what it is billed, and later changes are corrections."""
+    """A period is closed: its sums become a batch, and later changes are corrections."""
 
     period: int
 
 
 @dataclass(frozen=True, slots=True)
 class Corrected:
-    """The corrections so far become a batch."""
+    """The corrections gathered so far become a batch."""
 
 
 @dataclass(frozen=True, slots=True)
 class Acknowledged:
-    """The billing service has a batch."""
+    """The billing service has received a batch."""
 
     serial: int
 
 
 Record = Opened | Closed | Doubted | Resolved | Adjusted | Sealed | Corrected | Acknowledged
-KINDS: dict[str, type] = {
+RECORD_TYPES: dict[str, type] = {
     "o": Opened, "c": Closed, "d": Doubted, "r": Resolved, "j": Adjusted, "s": Sealed, "k": Corrected,
     "a": Acknowledged,
 }  # fmt: skip
-LETTERS = {kind: letter for letter, kind in KINDS.items()}
+TYPE_CODES = {kind: letter for letter, kind in RECORD_TYPES.items()}
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """What a batch says of an account in a period. `why` is empty for use, else it is a correction."""
+    """Tries and units of an account in a period. `reason`: empty for use, else why it is corrected."""
 
     period: int
     account: Account
     tries: int
     units: int
-    why: str = ""
+    reason: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Batch:
-    """Lines that are exported together, once: `serial` counts the batches of one ledger from 1."""
+    """Lines that are exported together, once; `serial` numbers the batches of a ledger from 1."""
 
     serial: int
     lines: tuple[Line, ...]
 
 
-def written(value: Any) -> Any:  # noqa: ANN401
-    """A record, or what is in one, as JSON knows it."""
+def to_json(value: Any) -> Any:  # noqa: ANN401
+    """A record's field, or a line, as a value that JSON can represent."""
     if isinstance(value, Account):
         return [value.station, value.plan, value.cls]
     if isinstance(value, Line):
-        return [value.period, written(value.account), value.tries, value.units, value.why]
+        return [value.period, to_json(value.account), value.tries, value.units, value.reason]
     return value
 
 
-text_of = json.JSONEncoder(separators=(",", ":")).encode  # json.dumps would make one for each call
-quoted = json.encoder.encode_basestring_ascii
+compact_json = json.JSONEncoder(
+    separators=(",", ":")
+).encode  # json.dumps would create an encoder for each call
+json_string = json.encoder.encode_basestring_ascii
 
 
 @lru_cache(16_384)
-def _account(account: Account) -> str:
-    return text_of(written(account))
+def _account_json(account: Account) -> str:
+    return compact_json(to_json(account))
 
 
 def encode(record: Record) -> bytes:
-    """A record as it stands in a log; the two that each try has are put together by hand."""
+    """The bytes of a record in a log. The two records of each try are formatted without the encoder."""
     if isinstance(record, Opened):
-        account = _account(record.account)
-        return f'["o",{quoted(record.request)},{record.at!r},{account},{record.units}]'.encode()
+        account = _account_json(record.account)
+        return f'["o",{json_string(record.request)},{record.at!r},{account},{record.units}]'.encode()
     if isinstance(record, Closed):
-        return f'["c",{quoted(record.request)},{"true" if record.arrived else "false"}]'.encode()
-    fields = [written(getattr(record, name)) for name in record.__slots__]
-    return text_of([LETTERS[type(record)], *fields]).encode()
+        return f'["c",{json_string(record.request)},{"true" if record.arrived else "false"}]'.encode()
+    fields = [to_json(getattr(record, name)) for name in record.__slots__]
+    return compact_json([TYPE_CODES[type(record)], *fields]).encode()
 
 
 def decode(data: bytes) -> Record:
     """A record as `encode` wrote it. Raises LedgerError."""
     try:
         letter, *fields = json.loads(data)
-        kind = KINDS[letter]
+        kind = RECORD_TYPES[letter]
         values = [Account(*f) if isinstance(f, list) else f for f in fields]
         made: Record = kind(*values)
         if hasattr(made, "request") and not isinstance(made.request, str):
@@ -176,14 +179,14 @@
     return made
 
 
-def line_of(row: list[Any]) -> Line:
-    """A line as `written` gave it."""
-    period, account, tries, units, why = row
-    return Line(int(period), Account(*account), int(tries), int(units), str(why))
+def line_from_json(row: list[Any]) -> Line:
+    """The line that `to_json` converted."""
+    period, account, tries, units, reason = row
+    return Line(int(period), Account(*account), int(tries), int(units), str(reason))
 
 
-def body(ledger: str, batch: Batch) -> bytes:
-    """A batch as it is exported: always the same bytes for the same batch."""
+def batch_body(ledger: str, batch: Batch) -> bytes:
+    """The exported body of a batch: always the same bytes for the same batch."""
     rows = [
         {
             "period": line.period,
@@ -192,14 +195,14 @@
             "class": line.account.cls,
             "tries": line.tries,
             "microunits": line.units,
-            "correction": line.why,
+            "correction": line.reason,
         }
         for line in batch.lines
     ]
-    told = {"ledger": ledger, "serial": batch.serial, "lines": rows}
-    return json.dumps(told, sort_keys=True, separators=(",", ":")).encode()
+    fields = {"ledger": ledger, "serial": batch.serial, "lines": rows}
+    return json.dumps(fields, sort_keys=True, separators=(",", ":")).encode()
 
 
 def digest(data: bytes) -> str:
-    """What tells two bodies apart; stands in ETag."""
+    """SHA-256 of a body in hex; sent and compared as its ETag."""
     return hashlib.sha256(data).hexdigest()
--- a/coralvale/ledger/service.py
+++ b/coralvale/ledger/service.py
@@ -1,7 +1,7 @@
-"""Beside a gateway's node: records what stations use, and brings sealed periods to the billing service.
+"""Runs the ledger next to a gateway's node: records use, and exports sealed periods to the billing service.
 
-A record is written into mapped memory on the path of a request, some microseconds each; disks are synced by a
-thread, batches are sent by a task, one at a time. What is decided stands in `book` and `export`.
+Records are written to mapped memory while a request is handled, which takes microseconds; a thread syncs
+them to the disk, and a task sends batches, one at a time. The decisions are made in `book` and `export`.
 """
 
 from __future__ import annotations
@@ -22,38 +22,38 @@
 from coralvale.ledger.book import Terms
 from coralvale.ledger.export import Exporter, Put
 from coralvale.ledger.log import Folder, Log
-from coralvale.ledger.model import MILLION, Account, LedgerError, Record
+from coralvale.ledger.model import MICROUNITS_PER_UNIT, Account, LedgerError, Record
 from coralvale.net.clock import Clock
 from coralvale.net.config import Config
 from coralvale.net.server import Arrival
 from coralvale.operator.model import Ledger, LedgerTls
 
 log = logging.getLogger(__name__)
-TICK = 0.25  # s between looks at what is due
-SYNC = 1.0  # s between syncs: what a power cut may take
-ANSWER = 10.0  # s that the billing service may take
-INBOX = "inbox"  # folder of corrections by hand, one file each
-LARGEST = 1 << 20  # bytes of such a file, and of an answer
+TICK_INTERVAL_S = 0.25  # between checks for what is due
+SYNC_INTERVAL_S = 1.0  # a power failure may lose the records since the last sync
+ANSWER_TIMEOUT_S = 10.0  # of the billing service
+INBOX = "inbox"  # directory of manual corrections, one file per submission
+MAX_INBOX_FILE_BYTES = 1 << 20  # read of such a file
 
 
 class Meter:
-    """The `Meter` of a node. Raises LedgerError or OSError if the ledger cannot be used."""
+    """The `Meter` of a node. Raises LedgerError or OSError if the ledger cannot be opened."""
 
-    def __init__(self, table: Ledger, config: Config, clock: Clock) -> None:
-        self.table, self.clock = table, clock
+    def __init__(self, options: Ledger, config: Config, clock: Clock) -> None:
+        self.options, self.clock = options, clock
         settings = config.settings
         longest = max(cls.give_up for cls in settings.classes)
-        if table.grace_s < longest:
+        if options.grace_s < longest:
             raise LedgerError(
-                f"ledger.grace_s: {table.grace_s:g}, at least the longest give-up time, {longest:g}"
+                f"ledger.grace_s: {options.grace_s:g}, at least the longest give-up time, {longest:g}"
             )
         self.loop = asyncio.get_running_loop()
         self.classes = [cls.name for cls in settings.classes]
         self.account = lru_cache(16_384)(self._account)
-        terms = Terms(table.period_s, table.grace_s, table.patience_s, table.gather_s)
-        self.folder = own_folder(table.directory)
+        terms = Terms(options.period_s, options.grace_s, options.patience_s, options.gather_s)
+        self.folder = open_folder(options.directory)
         try:
-            self.log = Log(self.folder, terms, lambda: f"{word(config.name)}-{secrets.token_hex(8)}")
+            self.log = Log(self.folder, terms, lambda: f"{url_segment(config.name)}-{secrets.token_hex(8)}")
             self.log.write(self.log.book.doubt_all())
         except BaseException:
             self.folder.close()
@@ -61,130 +61,133 @@
         if doubts := len(self.log.book.doubts):
             log.warning("ledger: %d tries are in doubt: coralvale ledger doubts %s", doubts, self.folder.path)
         self.exporter = Exporter(self.log.ledger, config.seed)
-        self.waiting: deque[tuple[str, bool]] = (
-            deque()
-        )  # ends that the disk did not take; at most the open tries
-        self.bad = False
-        self.unbilled = 0
+        # Ends of tries that could not be written; bounded by the number of open tries.
+        self.pending_ends: deque[tuple[str, bool]] = deque()
+        self.disk_failing = False
+        self.unbilled_count = 0
         self.sending: asyncio.Task[None] | None = None
-        self.ending = threading.Event()
-        self.thread = threading.Thread(target=self._sync, name="ledger", daemon=True)
+        self.closing = threading.Event()
+        self.thread = threading.Thread(target=self._sync_loop, name="ledger", daemon=True)
         self.thread.start()
-        self.timer = self.loop.call_later(TICK, self._tick)
+        self.timer = self.loop.call_later(TICK_INTERVAL_S, self._tick)
 
     def _account(self, customer: int, plan: str, cls: int) -> Account:
         return Account(f"{customer:016x}", plan, self.classes[cls])
 
-    # The path of a request
+    # While a request is handled
 
     def refuses(self) -> bool:
-        """Whether requests are to be refused at once, since they could not be recorded."""
-        return self.bad and self.table.unrecorded == "refuse"
+        """Whether requests are refused at once, since they could not be recorded."""
+        return self.disk_failing and self.options.unrecorded == "refuse"
 
     def try_started(self, arrival: Arrival) -> bool:
-        """A try's first attempt is about to be made; whether it may be."""
+        """The first attempt of a try is about to be made; returns whether it may be sent."""
         account = self.account(arrival.customer, arrival.plan_name, arrival.cls)
-        units = round(arrival.units * MILLION)
+        units = round(arrival.units * MICROUNITS_PER_UNIT)
         try:
             self.log.write(self.log.book.open(self.clock.now(), arrival.id, account, units))
         except (OSError, LedgerError) as error:
             if isinstance(error, OSError):
-                self._fails(error)
-            if self.table.unrecorded == "refuse":
+                self._on_disk_error(error)
+            if self.options.unrecorded == "refuse":
                 return False
-            self.unbilled += 1
-            log.warning("ledger: %s is served unbilled (%d so far): %s", arrival.id, self.unbilled, error)
+            self.unbilled_count += 1
+            log.warning(
+                "ledger: %s is served unbilled (%d so far): %s", arrival.id, self.unbilled_count, error
+            )
         return True
 
     def try_ended(self, request: str, arrived: bool) -> None:
         """A try is over."""
-        if self.waiting:
-            self.waiting.append((request, arrived))
+        if self.pending_ends:
+            self.pending_ends.append((request, arrived))
             return
         try:
             self.log.write(self.log.book.close(request, arrived))
         except OSError as error:
-            self._fails(error)
-            self.waiting.append((request, arrived))
+            self._on_disk_error(error)
+            self.pending_ends.append((request, arrived))
 
-    def _fails(self, error: OSError) -> None:
-        if not self.bad:
-            self.bad = True
-            log.error("ledger: the disk fails: %s", error.strerror)
+    def _on_disk_error(self, error: OSError) -> None:
+        if not self.disk_failing:
+            self.disk_failing = True
+            log.error("ledger: the disk failed: %s", error.strerror)
 
-    # What is due
+    # Periodic work
 
     def _tick(self) -> None:
-        self.timer = self.loop.call_later(TICK, self._tick)
+        self.timer = self.loop.call_later(TICK_INTERVAL_S, self._tick)
         try:
             self.log.make_room()
-            while self.waiting:
-                self.log.write(self.log.book.close(*self.waiting[0]))
-                self.waiting.popleft()
+            while self.pending_ends:
+                self.log.write(self.log.book.close(*self.pending_ends[0]))
+                self.pending_ends.popleft()
             self._read_inbox()
             self.log.write(self.log.book.tick(self.clock.now()))
         except OSError as error:
-            self._fails(error)
+            self._on_disk_error(error)
         else:
-            if self.bad:
-                self.bad = False
-                log.warning("ledger: the disk is well again")
-        if self.table.target and (put := self.exporter.due(self.clock.now(), self.log.book.batches)):
+            if self.disk_failing:
+                self.disk_failing = False
+                log.warning("ledger: the disk has recovered")
+        if self.options.target and (put := self.exporter.due(self.clock.now(), self.log.book.batches)):
             self.sending = self.loop.create_task(self._send(put))
 
     def _read_inbox(self) -> None:
-        """Corrections by hand: done, then removed; one that was done before is only removed."""
+        """Applies manual corrections and removes their files; those applied before are only removed."""
         for path in sorted((self.folder.path / INBOX).glob("*.json")):
             try:
-                text = path.read_bytes()[:LARGEST]
+                text = path.read_bytes()[:MAX_INBOX_FILE_BYTES]
                 count = 0
                 for row in json.loads(text):
-                    count += self._corrected(row)
+                    count += self._apply_correction(row)
                 log.info("ledger: %s: %d corrections", path.name, count)
                 path.unlink()
             except (LedgerError, ValueError, TypeError, KeyError) as error:
-                log.error("ledger: %s: %s; it is put aside", path.name, error)
+                log.error("ledger: %s: %s; renamed to .bad", path.name, error)
                 path.rename(path.with_suffix(".bad"))
 
-    def _corrected(self, row: dict[str, Any]) -> int:
-        records = corrections(self.log, row)
+    def _apply_correction(self, row: dict[str, Any]) -> int:
+        """Applies one row of an inbox file; the number of records written."""
+        records = correction_records(self.log, row)
         self.log.write(records)
         return len(records)
 
     async def _send(self, put: Put) -> None:
+        """Sends a batch and records its acknowledgement."""
         try:
-            async with asyncio.timeout(ANSWER):
-                status, tag = await create(self.table.target, self.table.tls, put)
+            async with asyncio.timeout(ANSWER_TIMEOUT_S):
+                status, tag = await put_batch(self.options.target, self.options.tls, put)
         except (OSError, TimeoutError, h11.RemoteProtocolError) as error:
             self.exporter.failed(self.clock.now())
             why = (error.strerror if isinstance(error, OSError) else "") or str(error) or "no answer in time"
-            if self.exporter.news(why):
+            if self.exporter.is_new_problem(why):
                 log.warning("ledger: batch %d is not acknowledged: %s", put.serial, why)
             return
         if self.exporter.answered(self.clock.now(), status, tag):
             try:
                 self.log.write(self.log.book.acknowledge(put.serial))
-            except OSError as error:  # it is sent again, and is there
-                self._fails(error)
+            except OSError as error:  # the batch is sent again and answered with 412
+                self._on_disk_error(error)
         elif self.exporter.stopped:
-            log.error("ledger: %s: nothing more is sent", self.exporter.stopped)
-        elif self.exporter.news(str(status)):
+            log.error("ledger: %s: the export has stopped", self.exporter.stopped)
+        elif self.exporter.is_new_problem(str(status)):
             log.warning("ledger: batch %d is not acknowledged: status %d", put.serial, status)
 
-    def _sync(self) -> None:
-        """In a thread: brings to the disk what is in memory."""
-        while not self.ending.wait(SYNC):
+    def _sync_loop(self) -> None:
+        """Runs in a thread: syncs the log periodically."""
+        while not self.closing.wait(SYNC_INTERVAL_S):
             try:
                 self.log.sync()
             except OSError as error:
                 log.error("ledger: a sync failed: %s", error.strerror)
 
     def close(self) -> None:
-        """Makes durable what there is. What is not exported is by the next process."""
+        """Makes all records durable. Batches that were not exported are exported by the next process."""
         self.timer.cancel()
         if self.sending:
             self.sending.cancel()
-        self.ending.set()
+        self.closing.set()
         self.thread.join(2.0)
         try:
             self.log.close()
@@ -193,13 +196,13 @@
         self.folder.close()
 
 
-def word(text: str) -> str:
-    """A name as it may stand in a path of a URL."""
+def url_segment(text: str) -> str:
+    """`text` with characters that are unsafe in a URL path replaced, at most 64 characters."""
     return "".join(c if c.isascii() and (c.isalnum() or c in "-_.") else "_" for c in text)[:64] or "gateway"
 
 
-def own_folder(directory: str) -> Folder:
-    """The ledger's folder; while one process takes over from another, the newer one has one of its own.
+def open_folder(directory: str) -> Folder:
+    """The ledger's directory; during a handover between processes the newer one uses a directory of its own.
 
     Raises LedgerError, OSError.
     """
@@ -209,43 +212,46 @@
         return Folder(f"{directory}.1")
 
 
-def corrections(log: Log, row: dict[str, Any]) -> list[Record]:
-    """The records of a correction by hand. Raises LedgerError; KeyError, TypeError, ValueError for none."""
+def correction_records(log: Log, row: dict[str, Any]) -> list[Record]:
+    """The records of a manual correction.
+
+    Raises LedgerError, or KeyError, TypeError, ValueError if the row is malformed.
+    """
     if "resolve" in row:
         request = str(row["resolve"])
         if request not in log.book.doubts:
-            return []  # it has been resolved before
+            return []  # resolved before
         return log.book.resolve(request, bool(row["arrived"]))
     name = str(row["name"])
     if name in log.book.adjusted:
         return []
     account = Account(str(row["station"]), str(row["plan"]), str(row["class"]))
-    units = round(float(row["units"]) * MILLION)
+    units = round(float(row["units"]) * MICROUNITS_PER_UNIT)
     return log.book.adjust(name, int(row["period"]), account, int(row["tries"]), units, str(row["why"]))
 
 
-def trust(tls: LedgerTls | None) -> ssl.SSLContext | None:
-    """What the billing service is held to. Raises OSError for files that cannot be used."""
+def ssl_context(tls: LedgerTls | None) -> ssl.SSLContext | None:
+    """TLS settings for the billing service; None: plain TCP. Raises OSError if a file cannot be used."""
     if tls is None:
         return None
-    made = ssl.create_default_context(cafile=tls.ca or None)
+    context = ssl.create_default_context(cafile=tls.ca or None)
     if tls.certificate:
-        made.load_cert_chain(tls.certificate, tls.key)
-    return made
+        context.load_cert_chain(tls.certificate, tls.key)
+    return context
 
 
-async def create(target: str, tls: LedgerTls | None, put: Put) -> tuple[int, str]:
-    """`PUT` with `If-None-Match: *`; the answer's status and ETag. Raises OSError, h11.RemoteProtocolError."""
+async def put_batch(target: str, tls: LedgerTls | None, put: Put) -> tuple[int, str]:
+    """Sends `PUT` with `If-None-Match: *`; returns status and ETag. Raises OSError, h11.RemoteProtocolError."""
     host, _, port = target.rpartition(":")
-    reader, writer = await asyncio.open_connection(host.strip("[]"), int(port), ssl=trust(tls))
+    reader, writer = await asyncio.open_connection(host.strip("[]"), int(port), ssl=ssl_context(tls))
     try:
         http = h11.Connection(h11.CLIENT)
         headers = [
             ("Host", target), ("Content-Type", "application/json"), ("Content-Length", str(len(put.data))),
             ("If-None-Match", "*"), ("Connection", "close"),
         ]  # fmt: skip
-        asked = h11.Request(method="PUT", target=put.path, headers=headers)
-        writer.write(http.send(asked) or b"")
+        head = h11.Request(method="PUT", target=put.path, headers=headers)
+        writer.write(http.send(head) or b"")
         writer.write(http.send(h11.Data(data=put.data)) or b"")
         writer.write(http.send(h11.EndOfMessage()) or b"")
         await writer.drain()
@@ -263,7 +269,7 @@
 
 
 def write_inbox(directory: str, name: str, rows: list[dict[str, Any]]) -> Path:
-    """Hands corrections to the gateway of a ledger, or to its next process. Raises OSError."""
+    """Submits corrections to the running gateway of a ledger, or to its next process. Raises OSError."""
     inbox = Path(directory, INBOX)
     inbox.mkdir(mode=0o700, exist_ok=True)
     part, path = inbox / f"{name}.part", inbox / f"{name}.json"
--- a/tests/ledger/test_billing.py
+++ b/tests/ledger/test_billing.py
@@ -16,7 +16,7 @@
 
 from net_helpers import run, until
 
-from coralvale.ledger.log import Folder, load, segments
+from coralvale.ledger.log import Folder, load, segment_names
 from coralvale.standins.billing import Billing
 from coralvale.standins.clients import Client, Station, Tallies, request
 from coralvale.standins.clients import load as ask
@@ -33,21 +33,21 @@
 STATIONS = (Station("one", 0x101, "team", 60.0), Station("two", 0x202, "federal", 40.0))
 
 
-def shared(**changes: Any) -> dict[str, Any]:
-    """Settings whose requests are over within a second, so that periods of a second can be sealed soon."""
+def gateway_settings(**changes: Any) -> dict[str, Any]:
+    """Settings whose requests end within a second, so that periods of one second are sealed soon."""
     made = {**settings(), "packages": PLANS, **changes}
     made["classes"] = [{**cls, "aim_s": 0.4, "give_up_s": 1.0} for cls in made["classes"]]
     return made
 
 
-def table(folder: Path, billing: Billing | None, more: str = "") -> str:
+def ledger_table(folder: Path, billing: Billing | None, more: str = "") -> str:
     target = f'target = "{billing.target}"\n' if billing else ""
     terms = "period_s = 1.0\ngrace_s = 1.0\npatience_s = 3.0\ngather_s = 0.2\n"
     return f'[ledger]\ndirectory = "{folder}"\n{target}{terms}{more}'
 
 
 async def command(*words: str) -> tuple[int, Any, str]:
-    """Exit code, what was printed as JSON, and standard error; the stand-ins go on meanwhile."""
+    """Exit code, printed JSON and stderr of a command; the stand-ins keep running meanwhile."""
     said = await asyncio.to_thread(
         subprocess.run,
         [sys.executable, "-m", "coralvale", "ledger", *words, "--json"],
@@ -56,20 +56,20 @@
     return said.returncode, json.loads(said.stdout) if said.stdout.strip() else None, said.stderr
 
 
-def units(lines: list[dict[str, Any]]) -> Counter[str]:
+def units_by_station(lines: list[dict[str, Any]]) -> Counter[str]:
     told = Counter[str]()
     for line in lines:
         told[line["station"]] += line["microunits"]
     return told
 
 
-def test_killed_during_export_totals_are_the_first_tries_that_hosts_counted(tmp_path: Path) -> None:
+def test_kills_during_export_bill_each_request_that_hosts_counted_once(tmp_path: Path) -> None:
     seed = 7
     print("seed", seed)
 
     async def test() -> None:
-        lots = random.Random(seed)
-        # A slow answer, so that each kill finds some tries under way.
+        rng = random.Random(seed)
+        # Slow answers, so that each kill finds some tries open.
         hosts = [await Host(f"s-{i}", delay=0.06, slots=64, queue=256, seed=seed).start() for i in range(4)]
         for host in hosts:
             host.reset_share, host.error_share = 0.05, 0.05
@@ -79,8 +79,8 @@
         folders = [tmp_path / f"ledger-{n}" for n in range(3)]
         gateways = [
             GatewayProcess(
-                tmp_path, f"g{n}", shared(n_instances=3, me=n), roster.address, "", roster.known(), n,
-                table(folders[n], billing),
+                tmp_path, f"g{n}", gateway_settings(n_instances=3, me=n), roster.address, "", roster.known(), n,
+                ledger_table(folders[n], billing),
             )
             for n in range(3)
         ]  # fmt: skip
@@ -94,17 +94,18 @@
             asyncio.create_task(ask(s, ports, 9.0, tallies, CLASSES, seed, enough=many_ran)) for s in STATIONS
         ]
         for _ in range(6):
-            await asyncio.sleep(0.4 + 0.4 * lots.random())
+            await asyncio.sleep(0.4 + 0.4 * rng.random())
             billing.asked.clear()
-            billing.stall = lots.random() < 0.5  # the kill finds a batch created, and its answer not read
+            # With stall, the kill comes after a batch was created and before its answer was read.
+            billing.stall = rng.random() < 0.5
             await billing.asked.wait()
-            victim = lots.choice(gateways)
+            victim = rng.choice(gateways)
             await victim.end(signal.SIGKILL)
             billing.stall = False
             await victim.start()
         await asyncio.gather(*loads)
         billing.lose = billing.deny = 0.0
-        await asyncio.sleep(1.2)  # no attempt is out any more
+        await asyncio.sleep(1.2)  # no attempt is in flight any more
         ran = {name for host in hosts for _, name in host.arrivals}
         (tmp_path / "ran").write_text("\n".join(ran))
         doubts = 0
@@ -114,7 +115,9 @@
             doubts += told["doubts"]
         by_station = Counter(f"{int(name.split('-')[0], 16):016x}" for name in ran)
         async with asyncio.timeout(30):
-            while units(billing.lines()) != Counter({s: 1_000_000 * n for s, n in by_station.items()}):
+            while units_by_station(billing.lines()) != Counter(
+                {s: 1_000_000 * n for s, n in by_station.items()}
+            ):
                 await asyncio.sleep(0.1)
         assert doubts > 0 and len(ran) > 400, (doubts, len(ran))
         assert set(billing.created.values()) == {1} and billing.repeated.total() > 0
@@ -146,7 +149,7 @@
     run(test())
 
 
-async def one(gateway: GatewayProcess, name: str) -> int:
+async def send_request(gateway: GatewayProcess, name: str) -> int:
     fields = {"Plan": "team", "Cookie": "client=0000000000000101", "Quota_Info": "units=1,spread=1,first=0"}
     client = Client(*await asyncio.open_connection("127.0.0.1", gateway.port))
     try:
@@ -155,30 +158,30 @@
         client.close()
 
 
-def test_a_retry_after_a_period_is_over_stays_with_it_and_what_never_left_costs_nothing(
+def test_try_that_ends_after_its_period_is_billed_in_it_and_unsent_try_is_not_billed(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
-        slow = await Host("s-0", delay=0.0, slots=0).start()  # takes requests, and never answers
+        slow = await Host("s-0", delay=0.0, slots=0).start()  # accepts requests and never answers
         gone = await Host("s-1").start()
         roster = await Roster(entry(slow.name, slow.port, zone="north")).start()
         billing = await Billing().start()
         gateway = GatewayProcess(
             tmp_path,
             "g",
-            shared(),
+            gateway_settings(),
             roster.address,
             "",
             roster.known(),
             1,
-            table(tmp_path / "ledger", billing),
+            ledger_table(tmp_path / "ledger", billing),
         )
         await gateway.start()
-        # In its first second it leaves a request its aim alone; later this one ends in the next period.
+        # In its first second the gateway allows a request only aim_s; a later request ends in the next period.
         await asyncio.sleep(1.0)
         await asyncio.sleep(1.0 - time.time() % 1.0 + 0.5)
         period = int(time.time())
-        assert await one(gateway, "late") in (502, 503, 504)
+        assert await send_request(gateway, "late") in (502, 503, 504)
         assert time.time() > period + 1 and len({name for _, name in slow.arrivals}) == 1
         await until(lambda: billing.lines())
         assert [(line["period"], line["tries"], line["correction"]) for line in billing.lines()] == [
@@ -189,7 +192,7 @@
         other = entry(gone.name, gone.port, zone="north")
         roster.tell(other.pop("name"), **other)
         await asyncio.sleep(0.3)
-        assert await one(gateway, "never") in (502, 503, 504)
+        assert await send_request(gateway, "never") in (502, 503, 504)
         await asyncio.sleep(2.5)
         assert len(billing.lines()) == 1
         assert await gateway.end() == 0
@@ -200,7 +203,7 @@
     run(test())
 
 
-def test_a_correction_by_hand_is_done_once_and_a_gone_gateways_ledger_is_exported_by_hand(
+def test_manual_correction_is_applied_once_and_lost_gateways_ledger_is_exported(
     tmp_path: Path,
 ) -> None:
     async def test() -> None:
@@ -208,10 +211,17 @@
         roster = await Roster(entry(host.name, host.port, zone="north")).start()
         billing, folder = await Billing().start(), tmp_path / "ledger"
         gateway = GatewayProcess(
-            tmp_path, "g", shared(), roster.address, "", roster.known(), 1, table(folder, None)
+            tmp_path,
+            "g",
+            gateway_settings(),
+            roster.address,
+            "",
+            roster.known(),
+            1,
+            ledger_table(folder, None),
         )
         await gateway.start()
-        assert [await one(gateway, f"r{n}") for n in range(5)] == [200] * 5
+        assert [await send_request(gateway, f"r{n}") for n in range(5)] == [200] * 5
         words = ["--station", "0000000000000101", "--plan", "team", "--class", CLASSES[0], "--period", "7"]
         code, told, _ = await command(
             "adjust", str(folder), *words, "--units", "-2.5", "--why", "agreed by telephone"
@@ -228,7 +238,7 @@
         assert (await command("export", str(folder), "--target", billing.target))[
             0
         ] == 2  # its gateway has it
-        await gateway.end(signal.SIGKILL)  # and never comes back
+        await gateway.end(signal.SIGKILL)  # it is not restarted
         await asyncio.sleep(1.1)
         assert (await command("show", str(folder)))[0] == 0
         code, told, _ = await command("export", str(folder), "--target", billing.target)
@@ -239,7 +249,7 @@
         assert (await command("export", str(folder), "--target", billing.target))[:2] == (0, {"waiting": 0})
         assert set(billing.created.values()) == {1} and not billing.repeated
         found = load(Folder(str(folder), lock=False))
-        assert found and not found[1].batches and segments([p.name for p in folder.iterdir()])
+        assert found and not found[1].batches and segment_names([p.name for p in folder.iterdir()])
         host.stop()
         roster.stop()
         billing.stop()
@@ -247,13 +257,13 @@
     run(test())
 
 
-def test_a_ledger_that_cannot_be_used_is_refused_in_one_line(tmp_path: Path) -> None:
+def test_unusable_ledger_is_refused_in_one_line(tmp_path: Path) -> None:
     async def test() -> None:
         host = await Host("s-0").start()
         roster = await Roster(entry(host.name, host.port, zone="north")).start()
         gateway = GatewayProcess(
-            tmp_path, "g", shared(), roster.address, "", roster.known(), 1,
-            table(tmp_path / "ledger", None).replace("grace_s = 1.0", "grace_s = 0.5"),
+            tmp_path, "g", gateway_settings(), roster.address, "", roster.known(), 1,
+            ledger_table(tmp_path / "ledger", None).replace("grace_s = 1.0", "grace_s = 0.5"),
         )  # fmt: skip
         with contextlib.suppress(RuntimeError):
             await gateway.start()
--- a/tests/ledger/test_tries.py
+++ b/tests/ledger/test_tries.py
@@ -1,4 +1,4 @@
-"""When the node tells its ledger of a try: once before it leaves, once when nothing of it is out."""
+"""When the node reports a try to its ledger: once before it is sent, once when no attempt is in flight."""
 
 from __future__ import annotations
 
@@ -10,29 +10,29 @@
 from coralvale.standins.peer import Peer
 
 
-class Book:
-    """A ledger that may be made to refuse."""
+class FakeMeter:
+    """A ledger that can be set to refuse."""
 
     def __init__(self) -> None:
-        self.told: list[tuple[str, object]] = []
-        self.willing, self.refusing = True, False
+        self.calls: list[tuple[str, object]] = []
+        self.accepts, self.refusing = True, False
 
     def refuses(self) -> bool:
         return self.refusing
 
     def try_started(self, arrival: Arrival) -> bool:
-        self.told.append((arrival.id, "opened"))
-        return self.willing
+        self.calls.append((arrival.id, "opened"))
+        return self.accepts
 
     def try_ended(self, request: str, arrived: bool) -> None:
-        self.told.append((request, arrived))
+        self.calls.append((request, arrived))
 
     def close(self) -> None:
-        self.told.append(("", "end"))
+        self.calls.append(("", "end"))
 
 
-def sends(w: World, *servers: str) -> None:
-    """The module tries these servers in turn until one answers, then fails the request."""
+def script_attempts(w: World, *servers: str) -> None:
+    """Scripts the module to try these servers in turn until one answers, then to fail the request."""
     left = list(servers)
 
     def go(name: str) -> list[api.Action]:
@@ -45,60 +45,60 @@
     )
 
 
-def test_a_try_whose_first_server_is_gone_is_recorded_when_it_leaves_for_the_next() -> None:
+def test_try_whose_first_server_is_unknown_is_recorded_when_sent_to_the_next() -> None:
     async def test() -> None:
         host = await Peer(auto=answer()).start()
         async with world(entry("s-1", host.port)) as w:
-            book = Book()
-            w.node.meter = book
-            sends(w, "unknown", "s-1")
+            meter = FakeMeter()
+            w.node.meter = meter
+            script_attempts(w, "unknown", "s-1")
             assert (await w.ask(request("a"))).status == 200
-            await until(lambda: len(book.told) == 2)
-            assert book.told == [("a", "opened"), ("a", True)]
-            sends(w, "unknown", "unknown")
+            await until(lambda: len(meter.calls) == 2)
+            assert meter.calls == [("a", "opened"), ("a", True)]
+            script_attempts(w, "unknown", "unknown")
             assert (await w.ask(request("b"))).status == 502
-            assert len(book.told) == 2  # nothing of it ever left
-        assert book.told[-1] == ("", "end")
+            assert len(meter.calls) == 2  # it was never sent
+        assert meter.calls[-1] == ("", "end")
         host.stop()
 
     run(test())
 
 
-def test_a_try_is_open_until_its_last_attempt_is_over_even_if_its_client_has_gone() -> None:
+def test_try_stays_open_until_its_last_attempt_ends_even_if_the_client_left() -> None:
     async def test() -> None:
         host = await Peer().start()
         async with world(entry("s-1", host.port)) as w:
-            book = Book()
-            w.node.meter = book
-            sends(w, "s-1")
+            meter = FakeMeter()
+            w.node.meter = meter
+            script_attempts(w, "s-1")
             client = await w.client()
             client.send(request("a"))
             there: Arrived = await soon(host.next())
             client.close()
             await until(lambda: w.script.of(api.Abandoned))
-            assert book.told == [("a", "opened")]
+            assert meter.calls == [("a", "opened")]
             there.reply(answer())
-            await until(lambda: len(book.told) == 2)
-            assert book.told[1] == ("a", True)
+            await until(lambda: len(meter.calls) == 2)
+            assert meter.calls[1] == ("a", True)
         host.stop()
 
     run(test())
 
 
-def test_what_cannot_be_recorded_is_refused_at_once_where_it_has_to_be() -> None:
+def test_request_that_cannot_be_recorded_is_refused_at_once() -> None:
     async def test() -> None:
         host = await Peer(auto=answer()).start()
         async with world(entry("s-1", host.port)) as w:
-            book = Book()
-            w.node.meter = book
-            sends(w, "s-1")
-            book.willing = False
+            meter = FakeMeter()
+            w.node.meter = meter
+            script_attempts(w, "s-1")
+            meter.accepts = False
             assert (await w.ask(request("a"))).status == 502 and host.arrived.empty()
             assert w.script.of(api.AttemptDone)[0].outcome is Outcome.NOT_SENT
-            book.refusing = True
+            meter.refusing = True
             said = await w.ask(request("b"))
             assert said.status == 503 and float(said.headers[b"retry-after"]) > 0
-            assert [name for name, _ in book.told] == ["a"]
+            assert [name for name, _ in meter.calls] == ["a"]
         host.stop()
 
     run(test())
