--- a/coralvale/attempts/frames.py
+++ b/coralvale/attempts/frames.py
@@ -48,8 +48,8 @@
         return None
     if kind is Ended:
         fields[-1] = End(fields[-1])
-    made: Record = kind(*fields)
-    return made
+    record: Record = kind(*fields)
+    return record
 
 
 @dataclass
--- a/coralvale/attempts/main.py
+++ b/coralvale/attempts/main.py
@@ -153,7 +153,7 @@
             else "\n".join(map(format_history, left)) or "none"
         )
         return 1 if left else 0
-    made = chains(found)
+    request_chains = chains(found)
     if options.json:
         rows = [
             {
@@ -161,11 +161,11 @@
                 "certainty": c.certainty,
                 "requests": [as_json(r) for r in c.requests],
             }
-            for c in made
+            for c in request_chains
         ]
         print(json.dumps(rows))
     else:
-        print("\n".join(map(format_chain, made)) or "none")
+        print("\n".join(map(format_chain, request_chains)) or "none")
     return 0
 
 
--- a/coralvale/attempts/query.py
+++ b/coralvale/attempts/query.py
@@ -118,7 +118,7 @@
 
 def chains(found: list[RequestHistory]) -> list[Chain]:
     """Joins requests into chains, in the order of their first requests."""
-    made: list[Chain] = []
+    joined: list[Chain] = []
     last: dict[tuple[str, ...], Chain] = {}
     for history in found:
         first = history.first
@@ -127,9 +127,9 @@
         gap = history.at - chain.requests[-1].at if chain else math.inf
         if chain is None or gap > MAX_RETRY_GAP_S:
             last[key] = chain = Chain([history])
-            made.append(chain)
+            joined.append(chain)
             continue
         chain.requests.append(history)
         likely = gap <= LIKELY_RETRY_GAP_S and chain.certainty != "possibly one bookmark"
         chain.certainty = "likely one bookmark" if likely else "possibly one bookmark"
-    return made
+    return joined
--- a/coralvale/ledger/model.py
+++ b/coralvale/ledger/model.py
@@ -165,18 +165,18 @@
         letter, *fields = json.loads(data)
         kind = RECORD_TYPES[letter]
         values = [Account(*f) if isinstance(f, list) else f for f in fields]
-        made: Record = kind(*values)
-        if hasattr(made, "request") and not isinstance(made.request, str):
-            raise TypeError(f"a request {made.request!r}")
-        if isinstance(made, Opened) and not (
-            isinstance(made.at, float | int)
-            and isinstance(made.account, Account)
-            and isinstance(made.units, int)
+        record: Record = kind(*values)
+        if hasattr(record, "request") and not isinstance(record.request, str):
+            raise TypeError(f"a request {record.request!r}")
+        if isinstance(record, Opened) and not (
+            isinstance(record.at, float | int)
+            and isinstance(record.account, Account)
+            and isinstance(record.units, int)
         ):
             raise TypeError("an opened try of other fields")
     except (ValueError, KeyError, TypeError) as error:
         raise LedgerError(f"no record of a ledger: {error}") from None
-    return made
+    return record
 
 
 def line_from_json(row: list[Any]) -> Line:
--- a/tests/attempts/test_kills.py
+++ b/tests/attempts/test_kills.py
@@ -63,7 +63,7 @@
             operator=f'[attempts]\ndirectory = "{journal}"\nsegment_bytes = 8192\n',
         )  # fmt: skip
         await gateway.start()
-        going, serial = True, 0
+        load_running, serial = True, 0
 
         async def load() -> None:
             nonlocal serial
@@ -72,7 +72,7 @@
             async def one(name: str) -> None:
                 statuses[name] = await send_bookmark(gateway.port, name)
 
-            while going:
+            while load_running:
                 serial += 1
                 task = asyncio.create_task(one(f"b{serial}"))
                 sending.add(task)
@@ -85,7 +85,7 @@
             await asyncio.sleep(0.2 + 0.3 * rng.random())
             await gateway.end(signal.SIGKILL)
             await gateway.start()
-        going = False
+        load_running = False
         await loading
         assert await gateway.end() == 0
         ran = Counter[str]()
@@ -161,8 +161,10 @@
         safe = api.RequestClass("read", 1.0, 4.0, 1.0, api.Repeat.SAFE)
         unsafe = api.RequestClass("bookmark-add", 1.0, 4.0, 1.0, api.Repeat.UNSAFE)
         plan = api.Plan("team", 1.0, 1.0)
-        told = api.Settings(1, 0, (safe, unsafe), (plan,), 0.5, 0.3, 1.0, 2.0, 3.0, 4)
-        recorder = Recorder(Attempts(directory="x", wait_ms=100, unrecorded=unrecorded), told, Clock())  # type: ignore[arg-type]
+        api_settings = api.Settings(1, 0, (safe, unsafe), (plan,), 0.5, 0.3, 1.0, 2.0, 3.0, 4)
+        recorder = Recorder(
+            Attempts(directory="x", wait_ms=100, unrecorded=unrecorded), api_settings, Clock()
+        )  # type: ignore[arg-type]
         assert not recorder.records(0) and recorder.records(1) and not recorder.refuses(1)
 
         async def intend(name: str) -> tuple[bool, float]:
--- a/tests/attempts/test_query.py
+++ b/tests/attempts/test_query.py
@@ -76,9 +76,9 @@
         "another body": intent("b", at=AT + 5, digest="e"),
     }
     for why, other in apart.items():
-        made = chains(request_histories({"g1": first, "g2": [other]}))
-        assert len(made) == (1 if why == "late" else 2), why
-        assert why != "late" or made[0].certainty == "possibly one bookmark"
+        joined = chains(request_histories({"g1": first, "g2": [other]}))
+        assert len(joined) == (1 if why == "late" else 2), why
+        assert why != "late" or joined[0].certainty == "possibly one bookmark"
     everything = request_histories({"g1": first, "g2": second})
     assert [b.request for b in everything if Filter(node="s-0", since=AT + 1).matches(b)] == ["b"]
 
--- a/tests/ledger/test_billing.py
+++ b/tests/ledger/test_billing.py
@@ -35,9 +35,9 @@
 
 def gateway_settings(**changes: Any) -> dict[str, Any]:
     """Settings whose requests end within a second, so that periods of one second are sealed soon."""
-    made = {**settings(), "packages": PLANS, **changes}
-    made["classes"] = [{**cls, "aim_s": 0.4, "give_up_s": 1.0} for cls in made["classes"]]
-    return made
+    merged = {**settings(), "packages": PLANS, **changes}
+    merged["classes"] = [{**cls, "aim_s": 0.4, "give_up_s": 1.0} for cls in merged["classes"]]
+    return merged
 
 
 def ledger_table(folder: Path, billing: Billing | None, more: str = "") -> str:
@@ -48,19 +48,23 @@
 
 async def command(*words: str) -> tuple[int, Any, str]:
     """Exit code, printed JSON and stderr of a command; the stand-ins keep running meanwhile."""
-    said = await asyncio.to_thread(
+    completed = await asyncio.to_thread(
         subprocess.run,
         [sys.executable, "-m", "coralvale", "ledger", *words, "--json"],
         cwd=ROOT, capture_output=True, text=True, timeout=60, check=False,
     )  # fmt: skip
-    return said.returncode, json.loads(said.stdout) if said.stdout.strip() else None, said.stderr
+    return (
+        completed.returncode,
+        json.loads(completed.stdout) if completed.stdout.strip() else None,
+        completed.stderr,
+    )
 
 
 def units_by_station(lines: list[dict[str, Any]]) -> Counter[str]:
-    told = Counter[str]()
+    result = Counter[str]()
     for line in lines:
-        told[line["station"]] += line["microunits"]
-    return told
+        result[line["station"]] += line["microunits"]
+    return result
 
 
 def test_kills_during_export_bill_each_request_that_hosts_counted_once(tmp_path: Path) -> None:
@@ -110,9 +114,9 @@
         (tmp_path / "ran").write_text("\n".join(ran))
         doubts = 0
         for folder in folders:
-            code, told, _ = await command("resolve", str(folder), "--ran", str(tmp_path / "ran"), "--rest")
+            code, result, _ = await command("resolve", str(folder), "--ran", str(tmp_path / "ran"), "--rest")
             assert code == 0
-            doubts += told["doubts"]
+            doubts += result["doubts"]
         by_station = Counter(f"{int(name.split('-')[0], 16):016x}" for name in ran)
         async with asyncio.timeout(30):
             while units_by_station(billing.lines()) != Counter(
@@ -128,18 +132,18 @@
             assert not any("Traceback" in line for line in gateway.said())
         (tmp_path / "received").write_bytes(b"\n".join(billing.batches.values()))
         paths = [str(folder) for folder in folders]
-        code, told, _ = await command("reconcile", *paths, "--received", str(tmp_path / "received"))
+        code, result, _ = await command("reconcile", *paths, "--received", str(tmp_path / "received"))
         assert (
             code == 0
-            and told["problems"] == []
-            and told["tries"] == {"ledgers": len(ran), "received": len(ran)}
+            and result["problems"] == []
+            and result["tries"] == {"ledgers": len(ran), "received": len(ran)}
         )
         (tmp_path / "received").write_bytes(b"\n".join(list(billing.batches.values())[1:]))
-        code, told, _ = await command("reconcile", *paths, "--received", str(tmp_path / "received"))
+        code, result, _ = await command("reconcile", *paths, "--received", str(tmp_path / "received"))
         assert (
             code == 1
-            and len(told["problems"]) == 1
-            and "acknowledged, but not received" in told["problems"][0]
+            and len(result["problems"]) == 1
+            and "acknowledged, but not received" in result["problems"][0]
         )
         for host in hosts:
             host.stop()
@@ -223,12 +227,12 @@
         await gateway.start()
         assert [await send_request(gateway, f"r{n}") for n in range(5)] == [200] * 5
         words = ["--station", "0000000000000101", "--plan", "team", "--class", CLASSES[0], "--period", "7"]
-        code, told, _ = await command(
+        code, result, _ = await command(
             "adjust", str(folder), *words, "--units", "-2.5", "--why", "agreed by telephone"
         )
         assert code == 0
         inbox = folder / "inbox"
-        text = [{"name": told["name"], "period": 7, "station": "s", "plan": "p", "class": "c", "tries": 0,
+        text = [{"name": result["name"], "period": 7, "station": "s", "plan": "p", "class": "c", "tries": 0,
                  "units": 9.0, "why": "the same again"}]  # fmt: skip
         await until(lambda: not list(inbox.glob("*.json")))
         (inbox / "again.json").write_text(json.dumps(text))
@@ -241,8 +245,8 @@
         await gateway.end(signal.SIGKILL)  # it is not restarted
         await asyncio.sleep(1.1)
         assert (await command("show", str(folder)))[0] == 0
-        code, told, _ = await command("export", str(folder), "--target", billing.target)
-        assert (code, told) == (0, {"waiting": 0})
+        code, result, _ = await command("export", str(folder), "--target", billing.target)
+        assert (code, result) == (0, {"waiting": 0})
         lines = sorted(billing.lines(), key=lambda line: str(line["correction"]))
         assert sum(line["tries"] for line in lines if not line["correction"]) == 5
         assert (lines[-1]["correction"], lines[-1]["microunits"]) == ("agreed by telephone", -2_500_000)
@@ -267,8 +271,8 @@
         )  # fmt: skip
         with contextlib.suppress(RuntimeError):
             await gateway.start()
-        said = gateway.said()
-        assert said == ["coralvale: ledger.grace_s: 0.5, at least the longest give-up time, 1"]
+        log_lines = gateway.said()
+        assert log_lines == ["coralvale: ledger.grace_s: 0.5, at least the longest give-up time, 1"]
         assert (await command("show", str(tmp_path / "none")))[0] == 2
         host.stop()
         roster.stop()
--- a/tests/ledger/test_book.py
+++ b/tests/ledger/test_book.py
@@ -214,15 +214,15 @@
     for serial, batch in recorded.book.batches.items():
         assert seen.setdefault(serial, batch) == batch
     assert sorted(seen) == list(range(1, recorded.book.serial + 1))
-    told, used = Counter[tuple[int, Account]](), Counter[tuple[int, Account]]()
+    billed, used = Counter[tuple[int, Account]](), Counter[tuple[int, Account]]()
     for batch in seen.values():
         for line in batch.lines:
             if line.reason != "by hand":
-                told[line.period, line.account] += line.tries
+                billed[line.period, line.account] += line.tries
             if not line.reason:
                 used[line.period, line.account] += 1
     # One line of use per account and period.
-    assert told == +arrived and all(count == 1 for count in used.values())
+    assert billed == +arrived and all(count == 1 for count in used.values())
     assert (
         not recorded.book.balances
         and not recorded.book.corrections
