--- a/benchmarks/quotas.py
+++ b/benchmarks/quotas.py
@@ -33,7 +33,7 @@
 ROOT = Path(__file__).resolve().parent.parent
 sys.path[:0] = [str(ROOT), str(ROOT / "tests")]
 
-from allowance.simulation import play  # noqa: E402
+from allowance.simulation import simulate  # noqa: E402
 
 from coralvale import interface as api  # noqa: E402
 from coralvale.allowance.model import Ceiling  # noqa: E402
@@ -181,7 +181,7 @@
             figures, even, calls = list[Figures](), list[Figures](), 0.0
             for seed in range(seeds):
                 # An error if the bound is passed by more than what clocks may add: 0.15 s of the rate.
-                played = play(
+                played = simulate(
                     seed,
                     seconds,
                     GATEWAYS,
@@ -195,11 +195,15 @@
                 )
                 since = slice(BACK if scenario == "returned" else WARM, int(seconds))
                 spent = (int(seconds) - since.start) * QUOTA.rate
-                over = played.beyond / QUOTA.burst
+                over = played.max_excess / QUOTA.burst
                 figures.append(
-                    Figures(sum(played.used[since]) / spent, over, played.with_room / played.requests)
+                    Figures(
+                        sum(played.used_by_second[since]) / spent,
+                        over,
+                        played.refused_with_room / played.requests,
+                    )
                 )
-                even.append(Figures(sum(played.even[since]) / spent))
+                even.append(Figures(sum(played.even_split_by_second[since]) / spent))
                 calls += played.calls / played.requests / seeds
             row = {
                 **ways,
--- a/coralvale/allowance/escrow.py
+++ b/coralvale/allowance/escrow.py
@@ -89,19 +89,21 @@
         ceiling: Ceiling,
         station: int,
         gateways: int,
-        me: int,
+        index: int,
         born: float,
         length: float = 3.0,
         guard: float = GUARD,
         memory: float = MEMORY,
     ) -> None:
-        if not (gateways >= 1 and 0 <= me < gateways and length >= 1 > 8 * guard):
-            raise ValueError(f"gateway {me} of {gateways}, windows of {length} s with a guard of {guard} s")
-        self.ceiling, self.station, self.gateways, self.me = ceiling, station, gateways, me
+        if not (gateways >= 1 and 0 <= index < gateways and length >= 1 > 8 * guard):
+            raise ValueError(
+                f"gateway {index} of {gateways}, windows of {length} s with a guard of {guard} s"
+            )
+        self.ceiling, self.station, self.gateways, self.index = ceiling, station, gateways, index
         self.length, self.guard, self.memory = length, guard, memory
         # Rate that is promised to others up to a moment or past it, and cannot be given away before.
         self.reserved: Callable[[float], float] = lambda moment: 0.0
-        self.part, self.most = ceiling.rate / gateways, ceiling.burst / gateways
+        self.part, self.capacity = ceiling.rate / gateways, ceiling.burst / gateways
         self.windows: dict[int, Window] = {}
         self.ask_at = min(ASK_AT, 1 - ASK_BEFORE / length)  # shares of a window
         self.give_at = min(GIVE_AT, 1 - GIVE_BEFORE / length)
@@ -128,8 +130,8 @@
         # Nobody knows here since when they hold: not before the last request, which was let in by the old ones.
         self.part = min(self.part, part)
         self._fill(now)
-        self.ceiling, self.part, self.most = ceiling, part, ceiling.burst / self.gateways
-        self.tokens = min(self.tokens, self.most)
+        self.ceiling, self.part, self.capacity = ceiling, part, ceiling.burst / self.gateways
+        self.tokens = min(self.tokens, self.capacity)
 
     def wait(self, now: float, units: float) -> float:
         """Takes down what is asked for; 0 if there is room for it, else seconds until there may be."""
@@ -144,7 +146,7 @@
 
     def charge(self, units: float) -> None:
         """The units that `wait` found room for, just now, are used; fewer than nought give back what was not."""
-        self.tokens = min(self.most, self.tokens - units)
+        self.tokens = min(self.capacity, self.tokens - units)
 
     def admit(self, now: float, units: float) -> float:
         """Both in one: 0 if the request is let in, and charged; else the seconds after which it might be."""
@@ -153,20 +155,20 @@
             self.charge(units)
         return wait
 
-    def heard(self, now: float, asking: float, refused: float, requests: float) -> None:
+    def record_demand(self, now: float, asking: float, refused: float, requests: float) -> None:
         """In place of `wait` where requests are only told of: units a second asked for and refused, how many."""
         self._fill(now)
         self.asking, self.refused, self.asking_at = asking, refused, now
         self.credit = min(self.saved, self.credit + SPEND * requests)
 
-    def fill(self, now: float, promised: float, most: float) -> float:
+    def fill(self, now: float, promised: float, capacity: float) -> float:
         """Fills the bucket to now, less `promised` units a second that others take of it, to at most `most`."""
         elapsed = max(0.0, now - self.at)
         self._fill(now)
-        self.tokens = min(most, self.tokens - promised * elapsed)
+        self.tokens = min(capacity, self.tokens - promised * elapsed)
         return self.tokens
 
-    def least(self, now: float, until: float) -> float:
+    def min_rate(self, now: float, until: float) -> float:
         """The lowest rate that it surely has at every moment from now to `until`."""
         rates, at = [self.rate(now), self.rate(until)], now
         while (at := self._edge(at)) < until:
@@ -177,7 +179,7 @@
         """Whether forgetting it and beginning anew, as one that was never asked for, would change nothing."""
         self._fill(now)
         given = any(window.given for window in self.windows.values())
-        return not given and now >= self.owns_from and self.tokens >= self.most
+        return not given and now >= self.owns_from and self.tokens >= self.capacity
 
     def rate(self, now: float) -> float:
         """Units a second at which the bucket fills at this moment."""
@@ -201,11 +203,13 @@
         """Fills the bucket to now, piece by piece between the moments at which the rate may change."""
         # A clock that was set back fills nothing twice; what is long past is one full bucket at most.
         if now > self.at + 3 * self.length:
-            self.tokens = min(self.most, self.tokens + self.rate(self.at) * (now - self.at - 3 * self.length))
+            self.tokens = min(
+                self.capacity, self.tokens + self.rate(self.at) * (now - self.at - 3 * self.length)
+            )
             self.at = now - 3 * self.length
         while self.at < now:
             end = min(now, self._edge(self.at))
-            self.tokens = min(self.most, self.tokens + self.rate((self.at + end) / 2) * (end - self.at))
+            self.tokens = min(self.capacity, self.tokens + self.rate((self.at + end) / 2) * (end - self.at))
             self.at = end
 
     def _edge(self, now: float) -> float:
@@ -267,7 +271,7 @@
     def _worth(self, window: int) -> bool:
         """Whether calls are made in this window, by what is held of the counter."""
         if self.trust is Trust.CROWDED:
-            return (window + self.me) % 2 == 0
+            return (window + self.index) % 2 == 0
         return True
 
     def _ask(self, now: float, window: int) -> list[Call]:
@@ -276,10 +280,10 @@
             min(STEPS, math.ceil(STEPS * wish / self.ceiling.rate)) if self.refused > 0.05 * self.part else 0
         )
         # Who cannot pay for reading what it is given need not ask.
-        if not steps or self.me >= PLACES or self.credit < self.gateways:
+        if not steps or self.index >= PLACES or self.credit < self.gateways:
             return []
         self.windows[window].read = set()
-        return [self._call(now, Name(Kind.ASK, self.station, window), steps * 100.0**self.me)]
+        return [self._call(now, Name(Kind.ASK, self.station, window), steps * 100.0**self.index)]
 
     def _take(self, now: float, here: int) -> list[Call]:
         """Reads of gifts for this window: by one that asked for them, once from each."""
@@ -292,9 +296,9 @@
             or now < self._take_at(here * self.length)
         ):
             return []
-        givers = [g for g in range(self.gateways) if g != self.me and g not in window.read]
+        givers = [g for g in range(self.gateways) if g != self.index and g not in window.read]
         window.read.update(givers)
-        return [self._call(now, Name(Kind.GIVE, self.station, here, g, self.me), 0.0) for g in givers]
+        return [self._call(now, Name(Kind.GIVE, self.station, here, g, self.index), 0.0) for g in givers]
 
     def _spare(self) -> float:
         """What of its part a gateway will not need in the next window."""
@@ -340,7 +344,7 @@
 
     def _given(self, now: float, name: Name, total: float) -> None:
         window = self.windows.get(name.window)
-        if name.taker != self.me or window is None:
+        if name.taker != self.index or window is None:
             return
         self._fill(now)  # what is past was filled without it
         before = window.taken.get(name.giver, 0.0)
@@ -359,7 +363,7 @@
         wishes = {
             place: min(STEPS, whole // 100**place % 100) * self.ceiling.rate / STEPS
             for place in range(min(PLACES, self.gateways))
-            if place != self.me
+            if place != self.index
         }
         wanted, spare = sum(wishes.values()), self._spare()
         # A wish is refusals elsewhere: that the station is busy, though little of it comes here.
@@ -372,7 +376,7 @@
             gift = math.floor(min(spare * wish / wanted, wish) / self.part * 1e6) / 1e6
             if gift > 0 and self.credit >= 1:
                 window.given[place] = gift  # subtracted before it is told: whatever becomes of the call
-                calls.append(self._call(now, Name(Kind.GIVE, self.station, number, self.me, place), gift))
+                calls.append(self._call(now, Name(Kind.GIVE, self.station, number, self.index, place), gift))
         return calls
 
     def _overdue(self, now: float) -> None:
--- a/coralvale/allowance/leases.py
+++ b/coralvale/allowance/leases.py
@@ -37,9 +37,9 @@
         self.held: dict[int, Escrow] = {}
         self.idle: set[int] = set()
         self.out: dict[str, tuple[int, Name]] = {}
-        self.lines: list[str] = []
+        self.log_lines: list[str] = []
 
-    def of(self, now: float, station: str, plan: int, ceiling: Ceiling) -> Escrow:
+    def get(self, now: float, station: str, plan: int, ceiling: Ceiling) -> Escrow:
         """The escrow of a station's ceiling. Raises OverflowError once `most` are kept."""
         number = pool(station, plan)
         self.idle.discard(number)
@@ -51,7 +51,7 @@
             self.held[number] = escrow
         return self.held[number]
 
-    def leave(self, station: str, plan: int) -> None:
+    def release(self, station: str, plan: int) -> None:
         """Nobody asks for it any more: it is forgotten as soon as that gives nothing anew."""
         number = pool(station, plan)
         if number in self.held:
@@ -88,5 +88,5 @@
         return named
 
     def _heed(self, escrow: Escrow) -> None:
-        self.lines += escrow.changes
+        self.log_lines += escrow.changes
         escrow.changes.clear()
--- a/coralvale/allowance/model.py
+++ b/coralvale/allowance/model.py
@@ -45,7 +45,7 @@
 
     name: Name
     amount: float
-    keep: float
+    lifetime: float
 
 
 class Trust(Enum):
--- a/coralvale/allowance/shares.py
+++ b/coralvale/allowance/shares.py
@@ -72,7 +72,7 @@
         self.due_at: list[tuple[float, int]] = []  # a heap: when a pool's escrow has something to do
         self.out: dict[int, tuple[int, Name]] = {}  # calls without a reply
         self.states: dict[int, Trust] = {}  # of pools whose counter is not whole
-        self.lines: list[str] = []
+        self.log_lines: list[str] = []
         self.told: dict[str, float] = {}
         self.skipped = 0  # looks that the budget had no room for
 
@@ -118,7 +118,7 @@
             self._tell(now, f"station {request.customer:x} comes here by a set that has no part here")
             return None
         escrow = self.pools.get(pool)
-        if escrow is not None and (escrow.gateways, escrow.me) == (size, place):
+        if escrow is not None and (escrow.gateways, escrow.index) == (size, place):
             if escrow.ceiling != ceiling:
                 escrow.settle(now, ceiling)
             return escrow
@@ -163,8 +163,8 @@
             heapq.heappush(self.due_at, (escrow.next_at(now), pool))
         calls.sort(key=lambda call: (call[1].name.kind is Kind.ASK and not call[1].amount))  # looks last
         actions = self._count(calls)
-        actions += [api.Log(line) for line in self.lines]
-        self.lines.clear()
+        actions += [api.Log(line) for line in self.log_lines]
+        self.log_lines.clear()
         return actions
 
     def _count(self, calls: list[tuple[int, Call]]) -> list[api.Action]:
@@ -177,7 +177,7 @@
             self.budget -= 1
             name = number(call.name, self.length)
             self.out[name] = pool, call.name
-            actions.append(api.Count(name, call.amount, call.keep, patient=True))
+            actions.append(api.Count(name, call.amount, call.lifetime, patient=True))
         return actions
 
     def reply(self, now: float, event: api.CounterReply) -> list[api.Action]:
@@ -207,12 +207,12 @@
         now_held = set(self.states.values())
         what = "quota" if pool & 1 else "ceiling"
         if escrow.trust not in held and escrow.trust is not Trust.WHOLE:
-            self.lines.append(f"counter {escrow.trust.value}: {what} of station {pool >> 1:x}: {why}")
+            self.log_lines.append(f"counter {escrow.trust.value}: {what} of station {pool >> 1:x}: {why}")
         if before is not Trust.WHOLE and before not in now_held:
-            self.lines.append(f"counter no longer {before.value}: {what} of station {pool >> 1:x}: {why}")
+            self.log_lines.append(f"counter no longer {before.value}: {what} of station {pool >> 1:x}: {why}")
 
     def _tell(self, now: float, line: str) -> None:
         kind = line.partition(" ")[0]
         if now - self.told.get(kind, -math.inf) >= TOLD:
             self.told[kind] = now
-            self.lines.append(line)
+            self.log_lines.append(line)
--- a/coralvale/control/quotas.py
+++ b/coralvale/control/quotas.py
@@ -146,7 +146,7 @@
         elapsed, self.at = max(0.0, now - self.at), max(self.at, now)
         given = sum(max(a.burst for a in held) for held in self.live.values())
         if self.escrow:
-            self.level = self.escrow.fill(now, self.rate(), max(0.0, self.escrow.most - given))
+            self.level = self.escrow.fill(now, self.rate(), max(0.0, self.escrow.capacity - given))
         else:
             room = self.plan.ceiling_burst - given
             self.level = min(max(0.0, room), self.level + (self.plan.ceiling_rate - self.rate()) * elapsed)
@@ -194,7 +194,7 @@
                 raise OverflowError(f"{self.buckets} quota buckets are kept, at most {self.most}")
             if self.leases and plan.ceiling_rate and station.escrow is None:
                 ceiling = Ceiling(plan.ceiling_rate, plan.ceiling_burst)
-                station.escrow = self.leases.of(now, report.station, report.plan, ceiling)
+                station.escrow = self.leases.get(now, report.station, report.plan, ceiling)
                 station.escrow.reserved = station.promised
                 station.at = max(station.at, now)
             self.buckets += 1
@@ -262,7 +262,7 @@
             use = sum(share.used for share in station.shares.values())
             if station.escrow:
                 asked = sum(share.asked for share in station.shares.values())
-                station.escrow.heard(now, asked, max(0.0, asked - use), asked * STEP_S)
+                station.escrow.record_demand(now, asked, max(0.0, asked - use), asked * STEP_S)
             for share in station.shares.values():
                 share.restrictor.passed = share.used * STEP_S
                 share.restrictor.reading = use / station.plan.rate if station.plan.rate else 0.0
@@ -274,7 +274,7 @@
             if not station.shares and not station.live:
                 del self.stations[key]
                 if self.leases and station.escrow:
-                    self.leases.leave(*key)
+                    self.leases.release(*key)
         return actions
 
     # Out
@@ -306,7 +306,7 @@
         if plan.ceiling_rate:
             station.advance(now)
             rate = min(rate if plan.rate else math.inf, self._part(now, station, stream))
-            most = station.escrow.most if station.escrow else plan.ceiling_burst
+            most = station.escrow.capacity if station.escrow else plan.ceiling_burst
             burst = min(burst, most / (2 * len(station.shares)))
         return Assign(share.bucket, rate, max(1, math.floor(burst)), self._lives(now, station))
 
@@ -318,7 +318,7 @@
         end = (escrow.window(now) + 1) * escrow.length - escrow.guard - 0.001
         short = end - self.margin - now
         longer = short < SHORTEST or short >= self.ttl
-        if longer or escrow.least(now, full) >= (1 - SPARE) * escrow.least(now, end):
+        if longer or escrow.min_rate(now, full) >= (1 - SPARE) * escrow.min_rate(now, end):
             return self.ttl
         return short
 
@@ -342,7 +342,7 @@
     @staticmethod
     def _most(now: float, station: Station, until: float) -> float:
         """The rate that may be promised from now until a moment, over all proxies of this service."""
-        rate = station.escrow.least(now, until) if station.escrow else station.plan.ceiling_rate
+        rate = station.escrow.min_rate(now, until) if station.escrow else station.plan.ceiling_rate
         return (1 - SPARE) * rate
 
     def _within(self, now: float, station: Station, stream: int, held: Assign | None, new: Assign) -> Assign:
--- a/coralvale/control/service.py
+++ b/coralvale/control/service.py
@@ -387,9 +387,9 @@
             self._wake_all(lambda stream: (due := stream.waits_until()) is not None and now >= due)
         if self.leases:
             self._lend(self.leases.due(now))
-            for text in self.leases.lines[:LINES]:
+            for text in self.leases.log_lines[:LINES]:
                 log.warning("shared ceilings: %s", text)
-            self.leases.lines.clear()
+            self.leases.log_lines.clear()
         for number, action in self.quotas.tick(now):
             if held := self.connections.get(number):
                 held.actions[action.bucket] = action
@@ -440,7 +440,7 @@
         """Makes calls to the counter. Without one all fail at once: every service keeps to its even part."""
         for name, call in calls:
             if self.counter:
-                self.counter.add(name, call.amount, call.keep)
+                self.counter.add(name, call.amount, call.lifetime)
             elif self.leases:
                 self.leases.reply(self.clock.now(), name, None)
 
--- a/tests/allowance/simulation.py
+++ b/tests/allowance/simulation.py
@@ -31,7 +31,7 @@
 KINDS = ("loss", "fork", "heal", "swap", "silent", "late", "crowded", "maybe", "well")
 
 
-class Passed(AssertionError):
+class CeilingExceeded(AssertionError):
     """The ceiling was passed; the text holds the seed."""
 
 
@@ -88,10 +88,12 @@
     offered: int = 0
     calls: int = 0
     requests: int = 0
-    with_room: int = 0  # refused while one gateway that saw all would have let them in
-    used: list[float] = field(default_factory=list)  # units let in, by second
-    even: list[float] = field(default_factory=list)  # the same by an even split, of the same requests
-    beyond: float = 0.0  # units at most by which any t seconds held more than burst + rate x t
+    refused_with_room: int = 0  # refused while one gateway that saw all would have let them in
+    used_by_second: list[float] = field(default_factory=list)  # units let in, by second
+    even_split_by_second: list[float] = field(
+        default_factory=list
+    )  # the same by an even split, of the same requests
+    max_excess: float = 0.0  # units at most by which any t seconds held more than burst + rate x t
     trust: set[str] = field(default_factory=set)
 
 
@@ -100,7 +102,7 @@
     by_second[int(now)] += 1
 
 
-def play(
+def simulate(
     seed: int,
     seconds: float = 24.0,
     gateways: int = 3,
@@ -192,21 +194,21 @@
                 parts[place], parts_at[place] = min(ceiling.burst / gateways, filled), now
                 if parts[place] >= 1:
                     parts[place] -= 1
-                    count(result.even, now - begun)
+                    count(result.even_split_by_second, now - begun)
                 if node.admit(now + steps[place], 1.0) > 0:
-                    result.with_room += level >= 1.0 + SLACK * top.rate
+                    result.refused_with_room += level >= 1.0 + SLACK * top.rate
                 else:
                     level, strict = level - 1.0, strict - 1.0
                     result.admitted += 1
-                    result.beyond = max(result.beyond, -strict)
-                    count(result.used, now - begun)
+                    result.max_excess = max(result.max_excess, -strict)
+                    count(result.used_by_second, now - begun)
                     if level < -1e-6:
-                        raise Passed(
+                        raise CeilingExceeded(
                             f"seed {seed}: the ceiling is passed {now - begun:.2f} s in, by {-level:.3f}"
                         )
         for place, node, call in calls:
             if call.name.kind is Kind.GIVE and call.amount and not 0 <= call.amount <= 1:
-                raise Passed(f"seed {seed}: a gift of {call.amount}")
+                raise CeilingExceeded(f"seed {seed}: a gift of {call.amount}")
             total = counter.add(place, call, lots)
             replies.append((now + counter.delay, place, node, call.name, total))
         if any(node and node.ceiling != top for node in nodes) and change:
@@ -215,15 +217,17 @@
         result.trust.update(node.trust.value for _, node in alive)
         rates = sum(node.rate(now + steps[place]) for place, node in alive)
         if rates > top.rate * (1 + 1e-9):
-            raise Passed(f"seed {seed}: rates add up to {rates:.3f} of {top.rate:.3f} {now - begun:.2f} s in")
+            raise CeilingExceeded(
+                f"seed {seed}: rates add up to {rates:.3f} of {top.rate:.3f} {now - begun:.2f} s in"
+            )
         if sum(node.tokens for _, node in alive) > top.burst * (1 + 1e-9):
-            raise Passed(f"seed {seed}: buckets hold more than the burst {now - begun:.2f} s in")
+            raise CeilingExceeded(f"seed {seed}: buckets hold more than the burst {now - begun:.2f} s in")
     result.calls = counter.calls
     return result
 
 
 if __name__ == "__main__":
-    played = play(int(sys.argv[1]))
+    played = simulate(int(sys.argv[1]))
     print(
         f"seed {sys.argv[1]}: {played.requests} requests, {played.admitted} let in, {played.calls} calls to the "
         f"counter, which was {', '.join(sorted(played.trust))}"
--- a/tests/allowance/test_escrow.py
+++ b/tests/allowance/test_escrow.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 
 import pytest
-from allowance.simulation import Passed, play
+from allowance.simulation import CeilingExceeded, simulate
 
 from coralvale.allowance.escrow import Escrow
 from coralvale.allowance.model import Ceiling, Kind, Name, Trust
@@ -25,8 +25,8 @@
     found, trust = [], set()
     for seed in range(first, first + 100):
         try:
-            trust |= play(seed).trust
-        except Passed as error:
+            trust |= simulate(seed).trust
+        except CeilingExceeded as error:
             found.append(f"{error}; again: python tests/allowance/simulation.py {seed}")
     return 100, found, trust
 
@@ -55,11 +55,11 @@
     seconds: float = 60.0, begin: int = 16, script: dict[float, str] | None = None, seed: int = 5
 ) -> float:
     """The part of a ceiling that is used from second `begin` on by a station that asks for twice as much."""
-    played = play(
+    played = simulate(
         seed, seconds, 3, TEN, faults=0.0, weights=UNEVEN, asked=2.0, script=script, crashes=False, length=3.0
     )
     assert played.calls <= 0.2 * played.requests
-    return sum(played.used[begin:]) / (len(played.used) - begin) / TEN.rate
+    return sum(played.used_by_second[begin:]) / (len(played.used_by_second) - begin) / TEN.rate
 
 
 def test_with_a_whole_counter_a_ceiling_is_used_where_it_is_asked_for() -> None:
@@ -77,13 +77,13 @@
     """It comes back empty, at a moment of the window that differs by seed; six seconds later all is as before."""
     silent, back, after = [], [], []
     for seed in range(24):
-        played = play(
+        played = simulate(
             seed, 44.0, 3, TEN, faults=0.0, weights=weights, asked=2.0, crashes=False, length=3.0,
             script={8.0: "silent", 19.9: "swap", 20.0: "well"},
         )  # fmt: skip
-        silent.append(sum(played.used[12:20]) / 8 / TEN.rate)
-        back.append(sum(played.used[26:29]) / 3 / TEN.rate)
-        after.append(sum(played.used[26:44]) / 18 / TEN.rate)
+        silent.append(sum(played.used_by_second[12:20]) / 8 / TEN.rate)
+        back.append(sum(played.used_by_second[26:29]) / 3 / TEN.rate)
+        after.append(sum(played.used_by_second[26:44]) / 18 / TEN.rate)
     assert sum(silent) / 24 < 0.9  # the even split: there is something to come back from
     assert sum(back) / 24 >= 0.93  # the first window after those two; what is asked in one varies
     assert sum(after) / 24 >= 0.95
@@ -93,7 +93,7 @@
 def test_a_lower_ceiling_holds_from_the_moment_of_the_change(weights: list[float]) -> None:
     """Rates lent under the old figures are worth less at once; gateways find out with their next request."""
     for seed in range(60):
-        play(
+        simulate(
             seed, 24.0, 3, Ceiling(30.0, 30.0), faults=0.4, weights=weights, asked=2.0, crashes=seed % 2 == 0,
             length=3.0, change=(7.0 + seed % 30 / 10, Ceiling(5.0, 6.0)),
         )  # fmt: skip
@@ -102,13 +102,15 @@
 def test_no_schedule_of_counter_faults_leaves_much_less_than_the_even_split() -> None:
     for seed in range(80):  # of 300 the worst used 0.984 of what evenly split parts let in
         weights = UNEVEN if seed % 2 else [0.6, 0.3, 0.1]
-        played = play(seed, 40.0, 3, TEN, faults=0.4, weights=weights, asked=2.0, crashes=False, length=3.0)
-        assert sum(played.used) >= 0.97 * sum(played.even), seed
-        assert played.beyond <= 0.15 * TEN.rate, seed
+        played = simulate(
+            seed, 40.0, 3, TEN, faults=0.4, weights=weights, asked=2.0, crashes=False, length=3.0
+        )
+        assert sum(played.used_by_second) >= 0.97 * sum(played.even_split_by_second), seed
+        assert played.max_excess <= 0.15 * TEN.rate, seed
 
 
-def escrow(me: int = 0, born: float = 100.0, gateways: int = 3) -> Escrow:
-    return Escrow(Ceiling(9.0, 9.0), 1, gateways, me, born, length=4.0)
+def escrow(index: int = 0, born: float = 100.0, gateways: int = 3) -> Escrow:
+    return Escrow(Ceiling(9.0, 9.0), 1, gateways, index, born, length=4.0)
 
 
 def gift(window: int, giver: int, taker: int) -> Name:
@@ -166,7 +168,7 @@
 
 
 def test_what_was_given_means_the_same_under_other_figures() -> None:
-    giver, taker = escrow(born=80.0), escrow(me=1, born=80.0)
+    giver, taker = escrow(born=80.0), escrow(index=1, born=80.0)
     (look,) = giver.tick(103.5)
     (call,) = giver.reply(103.6, look.name, 99 * 100.0)
     taker.admit(103.2, 50.0)
@@ -206,4 +208,4 @@
     one = escrow(gateways=1)
     assert one.admit(101.0, 9.0) == 0 and one.tick(103.9) == [] and one.rate(101.0) == 9.0
     with pytest.raises(ValueError, match="gateway 3 of 3"):
-        escrow(me=3)
+        escrow(index=3)
