--- a/coralvale/allowance/escrow.py
+++ b/coralvale/allowance/escrow.py
@@ -49,36 +49,45 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from coralvale.allowance.model import Call, Ceiling, Kind, Name, Trust
-
-GUARD = 0.06  # s: clocks that step by 50 ms, twice over
-KEEP = 0.02  # share of its part that a giver keeps at least: its own station may come back within the window
-NEED = 1.0  # times its own asking that a gateway keeps: what it keeps beyond that is lost for the window
-WISH = 1.3  # times its refusals that a gateway asks for: what it gets too much costs only the giver's spare
-MEMORY = 1.0  # s over which asking is averaged
-STEPS = 99  # a wish is told in this many parts of the whole ceiling: two digits
-PLACES = 3  # gateways whose wishes fit into one exact total of seven digits
-QUIET = 2  # calls in a row without a reply that make a counter silent
+from coralvale.allowance.model import Call, Ceiling, CounterState, Kind, Name
+
+CLOCK_GUARD_S = 0.06  # s: clocks that step by 50 ms, twice over
+MIN_KEPT_SHARE = (
+    0.02  # share of its part that a giver keeps at least: its own station may come back within the window
+)
+KEPT_DEMAND_FACTOR = (
+    1.0  # times its own asking that a gateway keeps: what it keeps beyond that is lost for the window
+)
+DEMAND_FACTOR = (
+    1.3  # times its refusals that a gateway asks for: what it gets too much costs only the giver's spare
+)
+DEMAND_AVERAGING_S = 1.0  # s over which asking is averaged
+DEMAND_STEPS = 99  # a wish is told in this many parts of the whole ceiling: two digits
+MAX_DEMANDING_GATEWAYS = 3  # gateways whose wishes fit into one exact total of seven digits
+SILENT_AFTER_FAILURES = 2  # calls in a row without a reply that make a counter silent
 # Shares of a window at which wishes for the next are told, and are read, at the latest. The later, the less has
 # changed when the gift holds; what is left must do for two calls, one after the other.
-ASK_AT, GIVE_AT = 0.84, 0.93
-ASK_BEFORE, GIVE_BEFORE = (
+DEMAND_PHASE, GRANT_PHASE = 0.84, 0.93
+DEMAND_BEFORE_END_S, GRANT_BEFORE_END_S = (
     0.45,
     0.25,
 )  # s before its end, at the least: whoever drives this does so every 0.1 s
-EARLIER = 0.1  # share of a window by which some stations do both earlier
-SPEND, HEARSAY = 0.5, 0.1  # calls to the counter for each request seen here, and for each refused elsewhere
+MAX_PHASE_SHIFT = 0.1  # share of a window by which some stations do both earlier
+CALLS_PER_REQUEST, CALLS_PER_REMOTE_REFUSAL = (
+    0.5,
+    0.1,
+)  # calls to the counter for each request seen here, and for each refused elsewhere
 
 
 @dataclass(slots=True)
 class Window:
     """What is agreed for one window."""
 
-    given: dict[int, float] = field(default_factory=dict)  # to whom, share of a part
-    taken: dict[int, float] = field(default_factory=dict)  # from whom, share of a part
-    asked: bool = False
-    looked: bool = False
-    read: set[int] = field(default_factory=set)
+    granted: dict[int, float] = field(default_factory=dict)  # to whom, share of a part
+    received: dict[int, float] = field(default_factory=dict)  # from whom, share of a part
+    demand_sent: bool = False
+    demand_read: bool = False
+    grants_read: set[int] = field(default_factory=set)
 
 
 class Escrow:
@@ -90,10 +99,10 @@
         station: int,
         gateways: int,
         index: int,
-        born: float,
+        started_at: float,
         length: float = 3.0,
-        guard: float = GUARD,
-        memory: float = MEMORY,
+        guard: float = CLOCK_GUARD_S,
+        memory: float = DEMAND_AVERAGING_S,
     ) -> None:
         if not (gateways >= 1 and 0 <= index < gateways and length >= 1 > 8 * guard):
             raise ValueError(
@@ -103,46 +112,55 @@
         self.length, self.guard, self.memory = length, guard, memory
         # Rate that is promised to others up to a moment or past it, and cannot be given away before.
         self.reserved: Callable[[float], float] = lambda moment: 0.0
-        self.part, self.capacity = ceiling.rate / gateways, ceiling.burst / gateways
+        self.own_rate, self.capacity = ceiling.rate / gateways, ceiling.burst / gateways
         self.windows: dict[int, Window] = {}
-        self.ask_at = min(ASK_AT, 1 - ASK_BEFORE / length)  # shares of a window
-        self.give_at = min(GIVE_AT, 1 - GIVE_BEFORE / length)
+        self.demand_phase = min(DEMAND_PHASE, 1 - DEMAND_BEFORE_END_S / length)  # shares of a window
+        self.grant_phase = min(GRANT_PHASE, 1 - GRANT_BEFORE_END_S / length)
         # Gifts of an earlier life may run in this window, and in the next if there was time to tell them.
-        told = born - self.window(born) * length > (self.give_at - EARLIER) * length - 2 * guard
-        self.owns_from = (self.window(born) + 1 + told) * length + guard if gateways > 1 else born
-        self.tokens, self.at = 0.0, born
-        self.asking, self.refused, self.asking_at = 0.0, 0.0, born
-        self.trust, self.unanswered = Trust.WHOLE, 0
+        may_have_granted_next = (
+            started_at - self.window(started_at) * length
+            > (self.grant_phase - MAX_PHASE_SHIFT) * length - 2 * guard
+        )
+        self.owns_from = (
+            (self.window(started_at) + 1 + may_have_granted_next) * length + guard
+            if gateways > 1
+            else started_at
+        )
+        self.tokens, self.filled_at = 0.0, started_at
+        self.demand, self.refused_rate, self.demand_at = 0.0, 0.0, started_at
+        self.counter_state, self.failed_calls = CounterState.WHOLE, 0
         self.added: dict[Name, float] = {}
-        self.out: dict[Name, float] = {}  # calls without a reply, to when they were made
-        self.changes: list[str] = []  # of trust, a line each, to be logged once
-        self.credit = self.saved = 2.0 * gateways + 2  # calls that may be made now, and at most
-        self.shift = station * 0.6180339887 % 1  # stations take turns within a window
+        self.in_flight: dict[Name, float] = {}  # calls without a reply, to when they were made
+        self.state_changes: list[str] = []  # of trust, a line each, to be logged once
+        self.call_credit = self.max_call_credit = (
+            2.0 * gateways + 2
+        )  # calls that may be made now, and at most
+        self.phase_shift = station * 0.6180339887 % 1  # stations take turns within a window
 
     def window(self, now: float) -> int:
         return math.floor(now / self.length)
 
     # Requests
 
-    def settle(self, now: float, ceiling: Ceiling) -> None:
+    def set_ceiling(self, now: float, ceiling: Ceiling) -> None:
         """Takes other figures for the station, from now on."""
-        part = ceiling.rate / self.gateways
+        own_rate = ceiling.rate / self.gateways
         # Nobody knows here since when they hold: not before the last request, which was let in by the old ones.
-        self.part = min(self.part, part)
+        self.own_rate = min(self.own_rate, own_rate)
         self._fill(now)
-        self.ceiling, self.part, self.capacity = ceiling, part, ceiling.burst / self.gateways
+        self.ceiling, self.own_rate, self.capacity = ceiling, own_rate, ceiling.burst / self.gateways
         self.tokens = min(self.tokens, self.capacity)
 
     def wait(self, now: float, units: float) -> float:
         """Takes down what is asked for; 0 if there is room for it, else seconds until there may be."""
         self._fill(now)
-        self._forget(now)
-        self.asking += units / self.memory
-        self.credit = min(self.saved, self.credit + SPEND)
+        self._decay_demand(now)
+        self.demand += units / self.memory
+        self.call_credit = min(self.max_call_credit, self.call_credit + CALLS_PER_REQUEST)
         if self.tokens + 1e-9 >= units:
             return 0.0
-        self.refused += units / self.memory
-        return max(1e-3, (units - self.tokens) / max(self.rate(now), self.part / 10, 1e-9))
+        self.refused_rate += units / self.memory
+        return max(1e-3, (units - self.tokens) / max(self.rate(now), self.own_rate / 10, 1e-9))
 
     def charge(self, units: float) -> None:
         """The units that `wait` found room for, just now, are used; fewer than nought give back what was not."""
@@ -155,15 +173,15 @@
             self.charge(units)
         return wait
 
-    def record_demand(self, now: float, asking: float, refused: float, requests: float) -> None:
+    def record_demand(self, now: float, demand: float, refused_rate: float, requests: float) -> None:
         """In place of `wait` where requests are only told of: units a second asked for and refused, how many."""
         self._fill(now)
-        self.asking, self.refused, self.asking_at = asking, refused, now
-        self.credit = min(self.saved, self.credit + SPEND * requests)
+        self.demand, self.refused_rate, self.demand_at = demand, refused_rate, now
+        self.call_credit = min(self.max_call_credit, self.call_credit + CALLS_PER_REQUEST * requests)
 
     def fill(self, now: float, promised: float, capacity: float) -> float:
         """Fills the bucket to now, less `promised` units a second that others take of it, to at most `most`."""
-        elapsed = max(0.0, now - self.at)
+        elapsed = max(0.0, now - self.filled_at)
         self._fill(now)
         self.tokens = min(capacity, self.tokens - promised * elapsed)
         return self.tokens
@@ -171,60 +189,63 @@
     def min_rate(self, now: float, until: float) -> float:
         """The lowest rate that it surely has at every moment from now to `until`."""
         rates, at = [self.rate(now), self.rate(until)], now
-        while (at := self._edge(at)) < until:
+        while (at := self._next_rate_change(at)) < until:
             rates += [self.rate(at), self.rate(at - 1e-6)]
         return min(rates)
 
-    def settled(self, now: float) -> bool:
+    def can_evict(self, now: float) -> bool:
         """Whether forgetting it and beginning anew, as one that was never asked for, would change nothing."""
         self._fill(now)
-        given = any(window.given for window in self.windows.values())
-        return not given and now >= self.owns_from and self.tokens >= self.capacity
+        granted = any(window.granted for window in self.windows.values())
+        return not granted and now >= self.owns_from and self.tokens >= self.capacity
 
     def rate(self, now: float) -> float:
         """Units a second at which the bucket fills at this moment."""
         if now < self.owns_from:
             own = 0.0
         else:
-            given = sum(
-                sum(w.given.values())
+            granted = sum(
+                sum(w.granted.values())
                 for number, w in self.windows.items()
                 if number * self.length - self.guard <= now < (number + 1) * self.length + self.guard
             )
-            own = self.part * (1 - given)
-        here = self.window(now)
-        taken = 0.0
-        inside = here * self.length + self.guard <= now < (here + 1) * self.length - self.guard
-        if inside and here in self.windows:
-            taken = self.part * sum(self.windows[here].taken.values())
-        return max(0.0, own) + taken
+            own = self.own_rate * (1 - granted)
+        current = self.window(now)
+        received = 0.0
+        inside = current * self.length + self.guard <= now < (current + 1) * self.length - self.guard
+        if inside and current in self.windows:
+            received = self.own_rate * sum(self.windows[current].received.values())
+        return max(0.0, own) + received
 
     def _fill(self, now: float) -> None:
         """Fills the bucket to now, piece by piece between the moments at which the rate may change."""
         # A clock that was set back fills nothing twice; what is long past is one full bucket at most.
-        if now > self.at + 3 * self.length:
+        if now > self.filled_at + 3 * self.length:
             self.tokens = min(
-                self.capacity, self.tokens + self.rate(self.at) * (now - self.at - 3 * self.length)
+                self.capacity,
+                self.tokens + self.rate(self.filled_at) * (now - self.filled_at - 3 * self.length),
             )
-            self.at = now - 3 * self.length
-        while self.at < now:
-            end = min(now, self._edge(self.at))
-            self.tokens = min(self.capacity, self.tokens + self.rate((self.at + end) / 2) * (end - self.at))
-            self.at = end
+            self.filled_at = now - 3 * self.length
+        while self.filled_at < now:
+            end = min(now, self._next_rate_change(self.filled_at))
+            self.tokens = min(
+                self.capacity, self.tokens + self.rate((self.filled_at + end) / 2) * (end - self.filled_at)
+            )
+            self.filled_at = end
 
-    def _edge(self, now: float) -> float:
+    def _next_rate_change(self, now: float) -> float:
         """The next moment after now at which the rate may change."""
         start = self.window(now) * self.length
         edges = (start + self.guard, start + self.length - self.guard, start + self.length + self.guard)
         edge = next(e for e in edges if e > now)
         return self.owns_from if now < self.owns_from < edge else edge
 
-    def _forget(self, now: float) -> None:
-        decay = math.exp(-max(0.0, now - self.asking_at) / self.memory)
-        self.asking, self.refused, self.asking_at = (
-            self.asking * decay,
-            self.refused * decay,
-            max(now, self.asking_at),
+    def _decay_demand(self, now: float) -> None:
+        decay = math.exp(-max(0.0, now - self.demand_at) / self.memory)
+        self.demand, self.refused_rate, self.demand_at = (
+            self.demand * decay,
+            self.refused_rate * decay,
+            max(now, self.demand_at),
         )
 
     # The counter
@@ -234,24 +255,24 @@
         if self.gateways == 1:
             return []
         self._fill(now)
-        self._forget(now)
-        self._overdue(now)
-        here = self.window(now)
-        for number in [n for n in self.windows if n < here - 1]:
+        self._decay_demand(now)
+        self._expire_calls(now)
+        current = self.window(now)
+        for number in [n for n in self.windows if n < current - 1]:
             del self.windows[number]
-        self.added = {name: amount for name, amount in self.added.items() if name.window >= here - 1}
-        if not self._worth(here):
+        self.added = {name: amount for name, amount in self.added.items() if name.window >= current - 1}
+        if not self._may_call(current):
             return []
-        place = now / self.length - here + EARLIER * self.shift
-        calls = self._take(now, here) + self._take(now, here + 1)
-        coming = self.windows.setdefault(here + 1, Window())
-        if place >= self.ask_at and not coming.asked:
-            coming.asked = True
-            calls += self._ask(now, here + 1)
-        if place >= self.give_at and not coming.looked:
-            coming.looked = True
-            if now >= self.owns_from and self._spare() > 0 and self.credit >= 2:
-                calls.append(self._call(now, Name(Kind.ASK, self.station, here + 1), 0.0))
+        phase = now / self.length - current + MAX_PHASE_SHIFT * self.phase_shift
+        calls = self._read_grants(now, current) + self._read_grants(now, current + 1)
+        upcoming = self.windows.setdefault(current + 1, Window())
+        if phase >= self.demand_phase and not upcoming.demand_sent:
+            upcoming.demand_sent = True
+            calls += self._send_demand(now, current + 1)
+        if phase >= self.grant_phase and not upcoming.demand_read:
+            upcoming.demand_read = True
+            if now >= self.owns_from and self._spare_rate() > 0 and self.call_credit >= 2:
+                calls.append(self._call(now, Name(Kind.DEMAND, self.station, current + 1), 0.0))
         return calls
 
     def next_at(self, now: float) -> float:
@@ -259,64 +280,69 @@
         moments = []
         for window in (self.window(now), self.window(now) + 1):
             moments += [
-                (window + at - EARLIER * self.shift) * self.length for at in (self.ask_at, self.give_at)
+                (window + at - MAX_PHASE_SHIFT * self.phase_shift) * self.length
+                for at in (self.demand_phase, self.grant_phase)
             ]
-            moments.append(self._take_at((window + 1) * self.length))
+            moments.append(self._read_grants_at((window + 1) * self.length))
         return min(m for m in moments if m > now)
 
-    def _take_at(self, start: float) -> float:
+    def _read_grants_at(self, start: float) -> float:
         """When gifts for the window that begins at `start` are read: all have been told by then."""
-        return start - self.guard / 2 - 0.04 * self.shift * self.length
+        return start - self.guard / 2 - 0.04 * self.phase_shift * self.length
 
-    def _worth(self, window: int) -> bool:
+    def _may_call(self, window: int) -> bool:
         """Whether calls are made in this window, by what is held of the counter."""
-        if self.trust is Trust.CROWDED:
+        if self.counter_state is CounterState.CROWDED:
             return (window + self.index) % 2 == 0
         return True
 
-    def _ask(self, now: float, window: int) -> list[Call]:
-        wish = min(self.refused * WISH, self.ceiling.rate - self.part)
+    def _send_demand(self, now: float, window: int) -> list[Call]:
+        wanted_rate = min(self.refused_rate * DEMAND_FACTOR, self.ceiling.rate - self.own_rate)
         steps = (
-            min(STEPS, math.ceil(STEPS * wish / self.ceiling.rate)) if self.refused > 0.05 * self.part else 0
+            min(DEMAND_STEPS, math.ceil(DEMAND_STEPS * wanted_rate / self.ceiling.rate))
+            if self.refused_rate > 0.05 * self.own_rate
+            else 0
         )
         # Who cannot pay for reading what it is given need not ask.
-        if not steps or self.index >= PLACES or self.credit < self.gateways:
+        if not steps or self.index >= MAX_DEMANDING_GATEWAYS or self.call_credit < self.gateways:
             return []
-        self.windows[window].read = set()
-        return [self._call(now, Name(Kind.ASK, self.station, window), steps * 100.0**self.index)]
+        self.windows[window].grants_read = set()
+        return [self._call(now, Name(Kind.DEMAND, self.station, window), steps * 100.0**self.index)]
 
-    def _take(self, now: float, here: int) -> list[Call]:
+    def _read_grants(self, now: float, current: int) -> list[Call]:
         """Reads of gifts for this window: by one that asked for them, once from each."""
-        window = self.windows.get(here)
-        asked = Name(Kind.ASK, self.station, here)
+        window = self.windows.get(current)
+        demand_name = Name(Kind.DEMAND, self.station, current)
         if (
-            self.trust is Trust.SILENT
+            self.counter_state is CounterState.SILENT
             or window is None
-            or asked not in self.added
-            or now < self._take_at(here * self.length)
+            or demand_name not in self.added
+            or now < self._read_grants_at(current * self.length)
         ):
             return []
-        givers = [g for g in range(self.gateways) if g != self.index and g not in window.read]
-        window.read.update(givers)
-        return [self._call(now, Name(Kind.GIVE, self.station, here, g, self.index), 0.0) for g in givers]
+        donors = [g for g in range(self.gateways) if g != self.index and g not in window.grants_read]
+        window.grants_read.update(donors)
+        return [self._call(now, Name(Kind.GRANT, self.station, current, g, self.index), 0.0) for g in donors]
 
-    def _spare(self) -> float:
+    def _spare_rate(self) -> float:
         """What of its part a gateway will not need in the next window."""
-        start = (self.window(self.at) + 1) * self.length - self.guard
-        keep = max(KEEP * self.part, NEED * self.asking, self.reserved(start))
-        return max(0.0, self.part - keep)
+        start = (self.window(self.filled_at) + 1) * self.length - self.guard
+        kept_rate = max(
+            MIN_KEPT_SHARE * self.own_rate, KEPT_DEMAND_FACTOR * self.demand, self.reserved(start)
+        )
+        return max(0.0, self.own_rate - kept_rate)
 
     def _call(self, now: float, name: Name, amount: float) -> Call:
-        self.credit -= 1
+        self.call_credit -= 1
         if amount:
             self.added[name] = self.added.get(name, 0.0) + amount
-        self.out[name] = now
+        self.in_flight[name] = now
         return Call(name, amount, 2 * self.length + 1)
 
-    def unsent(self, call: Call) -> None:
+    def call_not_sent(self, call: Call) -> None:
         """A call that was not made. What was subtracted for a gift stays subtracted: a gift to nobody."""
-        self.out.pop(call.name, None)
-        self.credit = min(self.saved, self.credit + 1)
+        self.in_flight.pop(call.name, None)
+        self.call_credit = min(self.max_call_credit, self.call_credit + 1)
         if call.amount:
             left = self.added.get(call.name, 0.0) - call.amount
             if left > 1e-9:
@@ -326,72 +352,82 @@
 
     def reply(self, now: float, name: Name, total: float | None) -> list[Call]:
         """Takes a total, or None for a call that failed or may have been added; returns gifts it calls for."""
-        made = self.out.pop(name, None)
+        sent_at = self.in_flight.pop(name, None)
         if total is None or not math.isfinite(total):
-            self._unheard()
+            self._count_failure()
             return []
-        self.unanswered = 0
+        self.failed_calls = 0
         if total < self.added.get(name, 0.0) - 1e-6:
-            self._trusted(Trust.SHORT, f"{name} is at {total:g} after {self.added[name]:g} were added here")
-        elif made is not None and now - made > self.length / 4:
-            self._trusted(Trust.CROWDED, f"a reply took {now - made:.2f} s")
+            self._set_state(
+                CounterState.SHORT, f"{name} is at {total:g} after {self.added[name]:g} were added here"
+            )
+        elif sent_at is not None and now - sent_at > self.length / 4:
+            self._set_state(CounterState.CROWDED, f"a reply took {now - sent_at:.2f} s")
         else:
-            self._trusted(Trust.WHOLE, "replies come in time and fit")
-        if name.kind is Kind.GIVE:
-            self._given(now, name, total)
+            self._set_state(CounterState.WHOLE, "replies come in time and fit")
+        if name.kind is Kind.GRANT:
+            self._receive_grant(now, name, total)
             return []
-        return self._give(now, name.window, total)
+        return self._grant(now, name.window, total)
 
-    def _given(self, now: float, name: Name, total: float) -> None:
+    def _receive_grant(self, now: float, name: Name, total: float) -> None:
         window = self.windows.get(name.window)
-        if name.taker != self.index or window is None:
+        if name.recipient != self.index or window is None:
             return
         self._fill(now)  # what is past was filled without it
-        before = window.taken.get(name.giver, 0.0)
-        window.taken[name.giver] = max(before, min(total, 1.0))
+        before = window.received.get(name.donor, 0.0)
+        window.received[name.donor] = max(before, min(total, 1.0))
 
-    def _give(self, now: float, number: int, total: float) -> list[Call]:
+    def _grant(self, now: float, number: int, total: float) -> list[Call]:
         """Gives what is spare to those that ask for it, in the measure of their wishes."""
         window = self.windows.get(number)
-        if window is None or window.given or number <= self.window(now) or now < self.owns_from:
+        if window is None or window.granted or number <= self.window(now) or now < self.owns_from:
             return []
         if now >= number * self.length - self.guard:  # too late: its own part of it may be in use
             return []
-        if now < (number - 1 + self.give_at - EARLIER) * self.length:  # a restart now would not know of it
+        if (
+            now < (number - 1 + self.grant_phase - MAX_PHASE_SHIFT) * self.length
+        ):  # a restart now would not know of it
             return []
-        whole = int(max(0.0, min(total, 10.0**7 - 1)) + 0.5)
-        wishes = {
-            place: min(STEPS, whole // 100**place % 100) * self.ceiling.rate / STEPS
-            for place in range(min(PLACES, self.gateways))
+        encoded = int(max(0.0, min(total, 10.0**7 - 1)) + 0.5)
+        wanted_rates = {
+            place: min(DEMAND_STEPS, encoded // 100**place % 100) * self.ceiling.rate / DEMAND_STEPS
+            for place in range(min(MAX_DEMANDING_GATEWAYS, self.gateways))
             if place != self.index
         }
-        wanted, spare = sum(wishes.values()), self._spare()
+        total_wanted, spare = sum(wanted_rates.values()), self._spare_rate()
         # A wish is refusals elsewhere: that the station is busy, though little of it comes here.
-        self.credit = min(self.saved, self.credit + HEARSAY * wanted * self.length)
-        if not wanted or not spare or self.credit < 1:
+        self.call_credit = min(
+            self.max_call_credit, self.call_credit + CALLS_PER_REMOTE_REFUSAL * total_wanted * self.length
+        )
+        if not total_wanted or not spare or self.call_credit < 1:
             return []
         self._fill(now)
         calls = []
-        for place, wish in wishes.items():
-            gift = math.floor(min(spare * wish / wanted, wish) / self.part * 1e6) / 1e6
-            if gift > 0 and self.credit >= 1:
-                window.given[place] = gift  # subtracted before it is told: whatever becomes of the call
-                calls.append(self._call(now, Name(Kind.GIVE, self.station, number, self.index, place), gift))
+        for place, wanted_rate in wanted_rates.items():
+            share = (
+                math.floor(min(spare * wanted_rate / total_wanted, wanted_rate) / self.own_rate * 1e6) / 1e6
+            )
+            if share > 0 and self.call_credit >= 1:
+                window.granted[place] = share  # subtracted before it is told: whatever becomes of the call
+                calls.append(
+                    self._call(now, Name(Kind.GRANT, self.station, number, self.index, place), share)
+                )
         return calls
 
-    def _overdue(self, now: float) -> None:
-        late = [name for name, made in self.out.items() if now - made > self.length]
-        for name in late:
-            del self.out[name]
-            self._unheard()
-
-    def _unheard(self) -> None:
-        self.unanswered += 1
-        if self.unanswered >= QUIET:
-            self._trusted(Trust.SILENT, f"{self.unanswered} calls in a row without a reply")
-
-    def _trusted(self, state: Trust, why: str) -> None:
-        if state is not self.trust:
-            self.changes.append(f"counter: {self.trust.value} -> {state.value}: {why}")
-            del self.changes[:-16]
-            self.trust = state
+    def _expire_calls(self, now: float) -> None:
+        overdue = [name for name, sent_at in self.in_flight.items() if now - sent_at > self.length]
+        for name in overdue:
+            del self.in_flight[name]
+            self._count_failure()
+
+    def _count_failure(self) -> None:
+        self.failed_calls += 1
+        if self.failed_calls >= SILENT_AFTER_FAILURES:
+            self._set_state(CounterState.SILENT, f"{self.failed_calls} calls in a row without a reply")
+
+    def _set_state(self, state: CounterState, why: str) -> None:
+        if state is not self.counter_state:
+            self.state_changes.append(f"counter: {self.counter_state.value} -> {state.value}: {why}")
+            del self.state_changes[:-16]
+            self.counter_state = state
--- a/coralvale/allowance/model.py
+++ b/coralvale/allowance/model.py
@@ -20,8 +20,10 @@
 class Kind(Enum):
     """What a name on the counter holds."""
 
-    ASK = "a"  # what each gateway would use of the next window beyond its own part
-    GIVE = "p"  # the share of its part that one gives to one other for one window: written by the first alone
+    DEMAND = "a"  # what each gateway would use of the next window beyond its own part
+    GRANT = (
+        "p"  # the share of its part that one gives to one other for one window: written by the first alone
+    )
 
 
 @dataclass(frozen=True, slots=True)
@@ -31,11 +33,11 @@
     kind: Kind
     station: int
     window: int
-    giver: int = -1
-    taker: int = -1
+    donor: int = -1
+    recipient: int = -1
 
     def __str__(self) -> str:
-        ends = f".{self.giver}.{self.taker}" if self.kind is Kind.GIVE else ""
+        ends = f".{self.donor}.{self.recipient}" if self.kind is Kind.GRANT else ""
         return f"{self.kind.value}{self.station:x}.{self.window:x}{ends}"
 
 
@@ -48,7 +50,7 @@
     lifetime: float
 
 
-class Trust(Enum):
+class CounterState(Enum):
     """What a gateway holds of the counter; see the table in `escrow`. It governs calls, never the bound."""
 
     WHOLE = "whole"
--- a/coralvale/allowance/shares.py
+++ b/coralvale/allowance/shares.py
@@ -22,23 +22,23 @@
 
 from coralvale import interface as api
 from coralvale.allowance.escrow import Escrow
-from coralvale.allowance.model import Call, Ceiling, Kind, Name, Trust
+from coralvale.allowance.model import Call, Ceiling, CounterState, Kind, Name
 
-LENGTHS = (1, 2, 3, 4)  # s that a window may have
-SET = 16  # gateways of a station, at most
-MOST = 20_000  # pools kept: a station's ceiling is one, its quota another
-SAVED = 4.0  # s of calls that may be made at once: the longest window, in which all come close together
-TOLD = 60.0  # s between lines on the same mistake
-IDLE = 30.0  # s without a request after which a pool may be forgotten
+WINDOW_LENGTHS_S = (1, 2, 3, 4)  # s that a window may have
+MAX_GATEWAYS = 16  # gateways of a station, at most
+MAX_POOLS = 20_000  # pools kept: a station's ceiling is one, its quota another
+MAX_BURST_S = 4.0  # s of calls that may be made at once: the longest window, in which all come close together
+LOG_INTERVAL_S = 60.0  # s between lines on the same mistake
+IDLE_S = 30.0  # s without a request after which a pool may be forgotten
 
 
-def number(name: Name, length: int) -> int:
+def counter_name(name: Name, length: int) -> int:
     """The name on the counter; `length` of windows in whole seconds."""
-    value = 1 << 2 | 1 << 1 | (name.kind is Kind.GIVE)
+    value = 1 << 2 | 1 << 1 | (name.kind is Kind.GRANT)
     for bits, part in (
         (2, length - 1),
-        (4, name.giver),
-        (4, name.taker),
+        (4, name.donor),
+        (4, name.recipient),
         (16, name.window),
         (34, name.station),
     ):
@@ -56,25 +56,27 @@
     def __init__(
         self,
         settings: api.Settings,
-        born: float,
+        started_at: float,
         length: int = 3,
         quotas: bool = False,
         calls: float = 50.0,
-        most: int = MOST,
+        max_pools: int = MAX_POOLS,
     ) -> None:
-        if length not in LENGTHS:
-            raise ValueError(f"windows of {length} s, expected one of {', '.join(map(str, LENGTHS))}")
-        self.settings, self.born, self.length, self.quotas = settings, born, length, quotas
-        self.calls, self.budget, self.budget_at = calls, SAVED * calls, born
-        self.most = most
+        if length not in WINDOW_LENGTHS_S:
+            raise ValueError(
+                f"windows of {length} s, expected one of {', '.join(map(str, WINDOW_LENGTHS_S))}"
+            )
+        self.settings, self.started_at, self.length, self.quotas = settings, started_at, length, quotas
+        self.calls, self.budget, self.budget_at = calls, MAX_BURST_S * calls, started_at
+        self.max_pools = max_pools
         self.pools: dict[int, Escrow] = {}
-        self.seen: dict[int, float] = {}
-        self.due_at: list[tuple[float, int]] = []  # a heap: when a pool's escrow has something to do
-        self.out: dict[int, tuple[int, Name]] = {}  # calls without a reply
-        self.states: dict[int, Trust] = {}  # of pools whose counter is not whole
+        self.used_at: dict[int, float] = {}
+        self.schedule: list[tuple[float, int]] = []  # a heap: when a pool's escrow has something to do
+        self.in_flight: dict[int, tuple[int, Name]] = {}  # calls without a reply
+        self.states: dict[int, CounterState] = {}  # of pools whose counter is not whole
         self.log_lines: list[str] = []
-        self.told: dict[str, float] = {}
-        self.skipped = 0  # looks that the budget had no room for
+        self.logged_at: dict[str, float] = {}
+        self.skipped_calls = 0  # looks that the budget had no room for
 
     # Requests
 
@@ -87,18 +89,18 @@
         escrow = self._escrow(now, pool, request, ceiling)
         if escrow is None:
             return None if quota else self.length
-        self.seen[pool] = now
+        self.used_at[pool] = now
         return escrow.wait(now, request.units)
 
     def charge(self, request: api.Request, plan: api.Plan) -> None:
         """The request is sent: it takes its units from what `wait` found room in."""
-        self._take(request, plan, request.units)
+        self._charge(request, plan, request.units)
 
     def refund(self, request: api.Request, plan: api.Plan) -> None:
         """What was charged was not used after all."""
-        self._take(request, plan, -request.units)
+        self._charge(request, plan, -request.units)
 
-    def _take(self, request: api.Request, plan: api.Plan, units: float) -> None:
+    def _charge(self, request: api.Request, plan: api.Plan, units: float) -> None:
         for quota in (False, True):
             if self._ceiling(request, plan, quota) and (e := self.pools.get(request.customer << 1 | quota)):
                 e.charge(units)
@@ -114,35 +116,36 @@
     def _escrow(self, now: float, pool: int, request: api.Request, ceiling: Ceiling) -> Escrow | None:
         place = (self.settings.me - request.first) % self.settings.gateways
         size = request.entry_gateways
-        if place >= size or size > SET:
-            self._tell(now, f"station {request.customer:x} comes here by a set that has no part here")
+        if place >= size or size > MAX_GATEWAYS:
+            self._log(now, f"station {request.customer:x} comes here by a set that has no part here")
             return None
         escrow = self.pools.get(pool)
         if escrow is not None and (escrow.gateways, escrow.index) == (size, place):
             if escrow.ceiling != ceiling:
-                escrow.settle(now, ceiling)
+                escrow.set_ceiling(now, ceiling)
             return escrow
         # In this life nothing of a pool that is new here was given away. One that comes by another set than
         # before may have been, so its part begins as after a restart.
-        born = self.born if escrow is None else now
-        if escrow is None and len(self.pools) >= self.most and not self._forget(now):
-            self._tell(
-                now, f"{len(self.pools)} pools are kept, at most {self.most}: further stations have no part"
+        started_at = self.started_at if escrow is None else now
+        if escrow is None and len(self.pools) >= self.max_pools and not self._evict_idle(now):
+            self._log(
+                now,
+                f"{len(self.pools)} pools are kept, at most {self.max_pools}: further stations have no part",
             )
             return None
         if escrow is None:
-            heapq.heappush(self.due_at, (now, pool))
-        self.pools[pool] = Escrow(ceiling, pool, size, place, born, float(self.length))
+            heapq.heappush(self.schedule, (now, pool))
+        self.pools[pool] = Escrow(ceiling, pool, size, place, started_at, float(self.length))
         return self.pools[pool]
 
-    def _forget(self, now: float) -> bool:
+    def _evict_idle(self, now: float) -> bool:
         """Forgets the pool that has been idle for longest, if it owes nothing and would begin as it is."""
-        for pool, at in sorted(self.seen.items(), key=lambda item: item[1])[:64]:
+        for pool, at in sorted(self.used_at.items(), key=lambda item: item[1])[:64]:
             escrow = self.pools[pool]
-            if now - at < IDLE:
+            if now - at < IDLE_S:
                 return False
-            if escrow.settled(now):
-                del self.pools[pool], self.seen[pool]
+            if escrow.can_evict(now):
+                del self.pools[pool], self.used_at[pool]
                 self.states.pop(pool, None)
                 return True
         return False
@@ -152,67 +155,69 @@
     def due(self, now: float) -> list[api.Action]:
         """Calls and lines that are due; to be asked for some ten times a second."""
         elapsed, self.budget_at = max(0.0, now - self.budget_at), max(now, self.budget_at)
-        self.budget = min(SAVED * self.calls, self.budget + self.calls * elapsed)
+        self.budget = min(MAX_BURST_S * self.calls, self.budget + self.calls * elapsed)
         calls: list[tuple[int, Call]] = []
-        while self.due_at and self.due_at[0][0] <= now:
-            _, pool = heapq.heappop(self.due_at)
+        while self.schedule and self.schedule[0][0] <= now:
+            _, pool = heapq.heappop(self.schedule)
             if (escrow := self.pools.get(pool)) is None:
                 continue
             calls += [(pool, call) for call in escrow.tick(now)]
-            self._heed(pool, escrow)
-            heapq.heappush(self.due_at, (escrow.next_at(now), pool))
-        calls.sort(key=lambda call: (call[1].name.kind is Kind.ASK and not call[1].amount))  # looks last
-        actions = self._count(calls)
+            self._log_state_changes(pool, escrow)
+            heapq.heappush(self.schedule, (escrow.next_at(now), pool))
+        calls.sort(key=lambda call: (call[1].name.kind is Kind.DEMAND and not call[1].amount))  # looks last
+        actions = self._send_calls(calls)
         actions += [api.Log(line) for line in self.log_lines]
         self.log_lines.clear()
         return actions
 
-    def _count(self, calls: list[tuple[int, Call]]) -> list[api.Action]:
+    def _send_calls(self, calls: list[tuple[int, Call]]) -> list[api.Action]:
         actions: list[api.Action] = []
         for pool, call in calls:
             if self.budget < 1:
-                self.skipped += 1
-                self.pools[pool].unsent(call)
+                self.skipped_calls += 1
+                self.pools[pool].call_not_sent(call)
                 continue
             self.budget -= 1
-            name = number(call.name, self.length)
-            self.out[name] = pool, call.name
+            name = counter_name(call.name, self.length)
+            self.in_flight[name] = pool, call.name
             actions.append(api.Count(name, call.amount, call.lifetime, patient=True))
         return actions
 
     def reply(self, now: float, event: api.CounterReply) -> list[api.Action]:
         """Takes a reply, or the lack of one; returns the calls that it leads to."""
-        known = self.out.pop(event.name, None) if isinstance(event.name, int) else None
+        known = self.in_flight.pop(event.name, None) if isinstance(event.name, int) else None
         if known is None or (escrow := self.pools.get(known[0])) is None:
             return []
         pool, name = known
         total = event.total if event.ok and math.isfinite(event.total) else None
         calls = escrow.reply(now, name, total)
-        self._heed(pool, escrow)
-        return self._count([(pool, call) for call in calls])
+        self._log_state_changes(pool, escrow)
+        return self._send_calls([(pool, call) for call in calls])
 
     # What an operator sees
 
-    def _heed(self, pool: int, escrow: Escrow) -> None:
+    def _log_state_changes(self, pool: int, escrow: Escrow) -> None:
         """A line when the first pool enters a state, and when the last one leaves it."""
-        if not escrow.changes:
+        if not escrow.state_changes:
             return
-        why, before = escrow.changes[-1].rpartition(": ")[2], self.states.get(pool, Trust.WHOLE)
-        escrow.changes.clear()
+        why, before = escrow.state_changes[-1].rpartition(": ")[2], self.states.get(pool, CounterState.WHOLE)
+        escrow.state_changes.clear()
         held = set(self.states.values())
-        if escrow.trust is Trust.WHOLE:
+        if escrow.counter_state is CounterState.WHOLE:
             self.states.pop(pool, None)
         else:
-            self.states[pool] = escrow.trust
+            self.states[pool] = escrow.counter_state
         now_held = set(self.states.values())
         what = "quota" if pool & 1 else "ceiling"
-        if escrow.trust not in held and escrow.trust is not Trust.WHOLE:
-            self.log_lines.append(f"counter {escrow.trust.value}: {what} of station {pool >> 1:x}: {why}")
-        if before is not Trust.WHOLE and before not in now_held:
+        if escrow.counter_state not in held and escrow.counter_state is not CounterState.WHOLE:
+            self.log_lines.append(
+                f"counter {escrow.counter_state.value}: {what} of station {pool >> 1:x}: {why}"
+            )
+        if before is not CounterState.WHOLE and before not in now_held:
             self.log_lines.append(f"counter no longer {before.value}: {what} of station {pool >> 1:x}: {why}")
 
-    def _tell(self, now: float, line: str) -> None:
+    def _log(self, now: float, line: str) -> None:
         kind = line.partition(" ")[0]
-        if now - self.told.get(kind, -math.inf) >= TOLD:
-            self.told[kind] = now
+        if now - self.logged_at.get(kind, -math.inf) >= LOG_INTERVAL_S:
+            self.logged_at[kind] = now
             self.log_lines.append(line)
--- a/tests/allowance/simulation.py
+++ b/tests/allowance/simulation.py
@@ -28,7 +28,7 @@
 
 STEP = 0.05  # s
 SLACK = 0.15  # s of the ceiling's rate: what sockets and clock steps may add, as the protocol has it
-KINDS = ("loss", "fork", "heal", "swap", "silent", "late", "crowded", "maybe", "well")
+FAULTS = ("loss", "fork", "heal", "swap", "silent", "late", "crowded", "maybe", "well")
 
 
 class CeilingExceeded(AssertionError):
@@ -43,31 +43,31 @@
     side: dict[int, int] = field(default_factory=dict)
     delay: float = 0.002
     silent: bool = False
-    turns_away: float = 0.0
-    maybe: float = 0.0
+    refusal_rate: float = 0.0
+    lost_reply_rate: float = 0.0
     calls: int = 0
 
-    def add(self, who: int, call: Call, lots: random.Random) -> float | None:
+    def add(self, who: int, call: Call, rng: random.Random) -> float | None:
         self.calls += 1
-        if self.silent or lots.random() < self.turns_away:
+        if self.silent or rng.random() < self.refusal_rate:
             return None
         half = self.halves[self.side.get(who, 0) % len(self.halves)]
         name = str(call.name)
         half[name] = half.get(name, 0.0) + call.amount
-        return None if lots.random() < self.maybe else half[name]
+        return None if rng.random() < self.lost_reply_rate else half[name]
 
-    def fault(self, kind: str, lots: random.Random, gateways: int) -> None:
+    def fault(self, kind: str, rng: random.Random, gateways: int) -> None:
         if kind == "loss":
-            kept = 1 - lots.uniform(0.38, 0.93)
+            kept = 1 - rng.uniform(0.38, 0.93)
             for half in self.halves:
                 for name in half:
-                    half[name] *= kept if lots.random() < 0.5 else float(lots.random() < kept)
+                    half[name] *= kept if rng.random() < 0.5 else float(rng.random() < kept)
         elif kind == "fork" and len(self.halves) == 1:
-            empty = lots.random() < 0.5  # each half has all that was, or one begins anew
+            empty = rng.random() < 0.5  # each half has all that was, or one begins anew
             self.halves.append({} if empty else dict(self.halves[0]))
-            self.side = {n: lots.randrange(2) for n in range(gateways)}
+            self.side = {n: rng.randrange(2) for n in range(gateways)}
         elif kind == "heal" and len(self.halves) == 2:
-            self.halves = [self.halves[lots.randrange(2)]]
+            self.halves = [self.halves[rng.randrange(2)]]
         elif kind == "swap":
             self.halves = [{} for _ in self.halves]
         elif kind == "silent":
@@ -75,11 +75,11 @@
         elif kind == "late":
             self.delay = 0.5
         elif kind == "crowded":
-            self.delay, self.turns_away = 1.2, 0.4
+            self.delay, self.refusal_rate = 1.2, 0.4
         elif kind == "maybe":
-            self.maybe = 0.5
+            self.lost_reply_rate = 0.5
         else:
-            self.silent, self.delay, self.turns_away, self.maybe = False, 0.002, 0.0, 0.0
+            self.silent, self.delay, self.refusal_rate, self.lost_reply_rate = False, 0.002, 0.0, 0.0
 
 
 @dataclass
@@ -94,10 +94,10 @@
         default_factory=list
     )  # the same by an even split, of the same requests
     max_excess: float = 0.0  # units at most by which any t seconds held more than burst + rate x t
-    trust: set[str] = field(default_factory=set)
+    counter_states: set[str] = field(default_factory=set)
 
 
-def count(by_second: list[float], now: float) -> None:
+def count_second(by_second: list[float], now: float) -> None:
     by_second += [0.0] * (int(now) + 1 - len(by_second))
     by_second[int(now)] += 1
 
@@ -109,7 +109,7 @@
     ceiling: Ceiling | None = None,
     faults: float = 0.4,
     weights: list[float] | None = None,
-    asked: float = 0.0,
+    load_factor: float = 0.0,
     script: dict[float, str] | None = None,
     crashes: bool = True,
     length: float | None = None,
@@ -122,106 +122,108 @@
 
     Raises Passed with the seed if the ceiling is passed.
     """
-    lots = random.Random(seed)
-    ceiling = ceiling or Ceiling(lots.uniform(2, 40), lots.uniform(4, 60))
-    length = length or lots.choice([1.0, 2.0, 3.0, 4.0])
-    times = asked or lots.choice([0.5, 1.5, 3.0, 7.0])
+    rng = random.Random(seed)
+    ceiling = ceiling or Ceiling(rng.uniform(2, 40), rng.uniform(4, 60))
+    length = length or rng.choice([1.0, 2.0, 3.0, 4.0])
+    offered_load = load_factor or rng.choice([0.5, 1.5, 3.0, 7.0])
     counter, result = Counter(), Result()
-    begun = 1000.0 + lots.random() * length
-    plans, named = [ceiling], [0] * gateways
+    started_at = 1000.0 + rng.random() * length
+    plans, plan_of = [ceiling], [0] * gateways
     if change:
         plans.append(change[1])
     elif crashes and seed % 3 == 0:
-        plans.append(Ceiling(lots.uniform(0.2, 3) * ceiling.rate, lots.uniform(0.2, 3) * ceiling.burst))
+        plans.append(Ceiling(rng.uniform(0.2, 3) * ceiling.rate, rng.uniform(0.2, 3) * ceiling.burst))
     tops = plans if change else []
-    top = ceiling if change else Ceiling(max(p.rate for p in plans), max(p.burst for p in plans))
-    steps = [0.0] * gateways  # what each clock is off by
+    bound = ceiling if change else Ceiling(max(p.rate for p in plans), max(p.burst for p in plans))
+    clock_offsets = [0.0] * gateways  # what each clock is off by
 
-    def fresh(place: int, now: float) -> Escrow:
-        return Escrow(plans[named[place]], 7, gateways, place, now, length)
+    def new_escrow(place: int, now: float) -> Escrow:
+        return Escrow(plans[plan_of[place]], 7, gateways, place, now, length)
 
-    nodes: list[Escrow | None] = [fresh(n, begun - 10.0) for n in range(gateways)]
-    back = [0.0] * gateways
+    nodes: list[Escrow | None] = [new_escrow(n, started_at - 10.0) for n in range(gateways)]
+    restart_at = [0.0] * gateways
     replies: list[tuple[float, int, Escrow, Name, float | None]] = []
-    level, level_at = top.burst + SLACK * top.rate, begun
-    strict = top.burst  # the same without the slack
-    parts, parts_at = [ceiling.burst / gateways] * gateways, [begun] * gateways
+    level, level_at = bound.burst + SLACK * bound.rate, started_at
+    strict = bound.burst  # the same without the slack
+    parts, parts_at = [ceiling.burst / gateways] * gateways, [started_at] * gateways
     script = dict(script or {})
     for step in range(int(seconds / STEP)):
-        now = begun + step * STEP
-        for at in [at for at in script if begun + at <= now]:
-            counter.fault(script.pop(at), lots, gateways)
-        if faults and lots.random() < faults * STEP:
-            counter.fault(lots.choice(KINDS), lots, gateways)
-        if crashes and lots.random() < 0.06 * STEP:
-            place = lots.randrange(gateways)
-            nodes[place], back[place] = None, now + lots.choice([0.1, 2.0])
-        if crashes and lots.random() < 0.2 * STEP:
-            steps[lots.randrange(gateways)] = lots.choice([-0.05, 0.0, 0.05])
-        if change and now >= begun + change[0] and top is tops[0]:
-            top, named = tops[1], [1] * gateways
-            level, strict = min(level, top.burst + SLACK * top.rate), min(strict, top.burst)
-        if not change and len(plans) > 1 and lots.random() < 0.3 * STEP * gateways:
-            place = lots.randrange(gateways)
-            named[place] = 1 - named[place]
+        now = started_at + step * STEP
+        for at in [at for at in script if started_at + at <= now]:
+            counter.fault(script.pop(at), rng, gateways)
+        if faults and rng.random() < faults * STEP:
+            counter.fault(rng.choice(FAULTS), rng, gateways)
+        if crashes and rng.random() < 0.06 * STEP:
+            place = rng.randrange(gateways)
+            nodes[place], restart_at[place] = None, now + rng.choice([0.1, 2.0])
+        if crashes and rng.random() < 0.2 * STEP:
+            clock_offsets[rng.randrange(gateways)] = rng.choice([-0.05, 0.0, 0.05])
+        if change and now >= started_at + change[0] and bound is tops[0]:
+            bound, plan_of = tops[1], [1] * gateways
+            level, strict = min(level, bound.burst + SLACK * bound.rate), min(strict, bound.burst)
+        if not change and len(plans) > 1 and rng.random() < 0.3 * STEP * gateways:
+            place = rng.randrange(gateways)
+            plan_of[place] = 1 - plan_of[place]
             if node := nodes[place]:
-                node.settle(now + steps[place], plans[named[place]])
+                node.set_ceiling(now + clock_offsets[place], plans[plan_of[place]])
         for place in range(gateways):
-            if nodes[place] is None and now >= back[place]:
-                nodes[place] = fresh(place, now + steps[place])
-        busiest = int((now - begun) / 7) % gateways
+            if nodes[place] is None and now >= restart_at[place]:
+                nodes[place] = new_escrow(place, now + clock_offsets[place])
+        busiest = int((now - started_at) / 7) % gateways
         shares = weights or [0.8 if n == busiest else 0.2 / max(1, gateways - 1) for n in range(gateways)]
         due = [r for r in replies if r[0] <= now]
         replies = [r for r in replies if r[0] > now]
         calls: list[tuple[int, Escrow, Call]] = []
         for _, place, node, name, total in due:
             if nodes[place] is node:
-                calls += [(place, node, call) for call in node.reply(now + steps[place], name, total)]
+                calls += [(place, node, call) for call in node.reply(now + clock_offsets[place], name, total)]
         for place, node in enumerate(nodes):
             if node is None:
                 continue
             if step % 2 == 0:
-                calls += [(place, node, call) for call in node.tick(now + steps[place])]
-            wanted = times * ceiling.rate * shares[place] * STEP
-            for _ in range(int(wanted + lots.random())):
+                calls += [(place, node, call) for call in node.tick(now + clock_offsets[place])]
+            wanted = offered_load * ceiling.rate * shares[place] * STEP
+            for _ in range(int(wanted + rng.random())):
                 result.requests += 1
-                if node.ceiling != plans[named[place]]:
-                    node.settle(now + steps[place], plans[named[place]])
-                level = min(top.burst + SLACK * top.rate, level + top.rate * (now - level_at))
-                strict = min(top.burst, strict + top.rate * (now - level_at))
+                if node.ceiling != plans[plan_of[place]]:
+                    node.set_ceiling(now + clock_offsets[place], plans[plan_of[place]])
+                level = min(bound.burst + SLACK * bound.rate, level + bound.rate * (now - level_at))
+                strict = min(bound.burst, strict + bound.rate * (now - level_at))
                 level_at = now
                 filled = parts[place] + ceiling.rate / gateways * (now - parts_at[place])
                 parts[place], parts_at[place] = min(ceiling.burst / gateways, filled), now
                 if parts[place] >= 1:
                     parts[place] -= 1
-                    count(result.even_split_by_second, now - begun)
-                if node.admit(now + steps[place], 1.0) > 0:
-                    result.refused_with_room += level >= 1.0 + SLACK * top.rate
+                    count_second(result.even_split_by_second, now - started_at)
+                if node.admit(now + clock_offsets[place], 1.0) > 0:
+                    result.refused_with_room += level >= 1.0 + SLACK * bound.rate
                 else:
                     level, strict = level - 1.0, strict - 1.0
                     result.admitted += 1
                     result.max_excess = max(result.max_excess, -strict)
-                    count(result.used_by_second, now - begun)
+                    count_second(result.used_by_second, now - started_at)
                     if level < -1e-6:
                         raise CeilingExceeded(
-                            f"seed {seed}: the ceiling is passed {now - begun:.2f} s in, by {-level:.3f}"
+                            f"seed {seed}: the ceiling is passed {now - started_at:.2f} s in, by {-level:.3f}"
                         )
         for place, node, call in calls:
-            if call.name.kind is Kind.GIVE and call.amount and not 0 <= call.amount <= 1:
+            if call.name.kind is Kind.GRANT and call.amount and not 0 <= call.amount <= 1:
                 raise CeilingExceeded(f"seed {seed}: a gift of {call.amount}")
-            total = counter.add(place, call, lots)
+            total = counter.add(place, call, rng)
             replies.append((now + counter.delay, place, node, call.name, total))
-        if any(node and node.ceiling != top for node in nodes) and change:
+        if any(node and node.ceiling != bound for node in nodes) and change:
             continue  # one that has not been asked since the change owes nobody its word
         alive = [(place, node) for place, node in enumerate(nodes) if node is not None]
-        result.trust.update(node.trust.value for _, node in alive)
-        rates = sum(node.rate(now + steps[place]) for place, node in alive)
-        if rates > top.rate * (1 + 1e-9):
+        result.counter_states.update(node.counter_state.value for _, node in alive)
+        rates = sum(node.rate(now + clock_offsets[place]) for place, node in alive)
+        if rates > bound.rate * (1 + 1e-9):
             raise CeilingExceeded(
-                f"seed {seed}: rates add up to {rates:.3f} of {top.rate:.3f} {now - begun:.2f} s in"
+                f"seed {seed}: rates add up to {rates:.3f} of {bound.rate:.3f} {now - started_at:.2f} s in"
+            )
+        if sum(node.tokens for _, node in alive) > bound.burst * (1 + 1e-9):
+            raise CeilingExceeded(
+                f"seed {seed}: buckets hold more than the burst {now - started_at:.2f} s in"
             )
-        if sum(node.tokens for _, node in alive) > top.burst * (1 + 1e-9):
-            raise CeilingExceeded(f"seed {seed}: buckets hold more than the burst {now - begun:.2f} s in")
     result.calls = counter.calls
     return result
 
@@ -230,5 +232,5 @@
     played = simulate(int(sys.argv[1]))
     print(
         f"seed {sys.argv[1]}: {played.requests} requests, {played.admitted} let in, {played.calls} calls to the "
-        f"counter, which was {', '.join(sorted(played.trust))}"
+        f"counter, which was {', '.join(sorted(played.counter_states))}"
     )
--- a/tests/allowance/test_escrow.py
+++ b/tests/allowance/test_escrow.py
@@ -13,7 +13,7 @@
 from allowance.simulation import CeilingExceeded, simulate
 
 from coralvale.allowance.escrow import Escrow
-from coralvale.allowance.model import Ceiling, Kind, Name, Trust
+from coralvale.allowance.model import Ceiling, CounterState, Kind, Name
 
 SCHEDULES = 2000
 TEN = Ceiling(10.0, 20.0)
@@ -25,7 +25,7 @@
     found, trust = [], set()
     for seed in range(first, first + 100):
         try:
-            trust |= simulate(seed).trust
+            trust |= simulate(seed).counter_states
         except CeilingExceeded as error:
             found.append(f"{error}; again: python tests/allowance/simulation.py {seed}")
     return 100, found, trust
@@ -39,7 +39,7 @@
     assert sum(count for count, _, _ in results) == SCHEDULES
     found = [text for _, texts, _ in results for text in texts]
     assert not found, found[:5]
-    assert set().union(*(trust for _, _, trust in results)) == {state.value for state in Trust}
+    assert set().union(*(trust for _, _, trust in results)) == {state.value for state in CounterState}
 
 
 def test_a_seed_is_played_again_by_one_command() -> None:
@@ -56,7 +56,16 @@
 ) -> float:
     """The part of a ceiling that is used from second `begin` on by a station that asks for twice as much."""
     played = simulate(
-        seed, seconds, 3, TEN, faults=0.0, weights=UNEVEN, asked=2.0, script=script, crashes=False, length=3.0
+        seed,
+        seconds,
+        3,
+        TEN,
+        faults=0.0,
+        weights=UNEVEN,
+        load_factor=2.0,
+        script=script,
+        crashes=False,
+        length=3.0,
     )
     assert played.calls <= 0.2 * played.requests
     return sum(played.used_by_second[begin:]) / (len(played.used_by_second) - begin) / TEN.rate
@@ -78,7 +87,7 @@
     silent, back, after = [], [], []
     for seed in range(24):
         played = simulate(
-            seed, 44.0, 3, TEN, faults=0.0, weights=weights, asked=2.0, crashes=False, length=3.0,
+            seed, 44.0, 3, TEN, faults=0.0, weights=weights, load_factor=2.0, crashes=False, length=3.0,
             script={8.0: "silent", 19.9: "swap", 20.0: "well"},
         )  # fmt: skip
         silent.append(sum(played.used_by_second[12:20]) / 8 / TEN.rate)
@@ -94,8 +103,8 @@
     """Rates lent under the old figures are worth less at once; gateways find out with their next request."""
     for seed in range(60):
         simulate(
-            seed, 24.0, 3, Ceiling(30.0, 30.0), faults=0.4, weights=weights, asked=2.0, crashes=seed % 2 == 0,
-            length=3.0, change=(7.0 + seed % 30 / 10, Ceiling(5.0, 6.0)),
+            seed, 24.0, 3, Ceiling(30.0, 30.0), faults=0.4, weights=weights, load_factor=2.0,
+            crashes=seed % 2 == 0, length=3.0, change=(7.0 + seed % 30 / 10, Ceiling(5.0, 6.0)),
         )  # fmt: skip
 
 
@@ -103,39 +112,39 @@
     for seed in range(80):  # of 300 the worst used 0.984 of what evenly split parts let in
         weights = UNEVEN if seed % 2 else [0.6, 0.3, 0.1]
         played = simulate(
-            seed, 40.0, 3, TEN, faults=0.4, weights=weights, asked=2.0, crashes=False, length=3.0
+            seed, 40.0, 3, TEN, faults=0.4, weights=weights, load_factor=2.0, crashes=False, length=3.0
         )
         assert sum(played.used_by_second) >= 0.97 * sum(played.even_split_by_second), seed
         assert played.max_excess <= 0.15 * TEN.rate, seed
 
 
-def escrow(index: int = 0, born: float = 100.0, gateways: int = 3) -> Escrow:
-    return Escrow(Ceiling(9.0, 9.0), 1, gateways, index, born, length=4.0)
+def escrow(index: int = 0, started_at: float = 100.0, gateways: int = 3) -> Escrow:
+    return Escrow(Ceiling(9.0, 9.0), 1, gateways, index, started_at, length=4.0)
 
 
-def gift(window: int, giver: int, taker: int) -> Name:
-    return Name(Kind.GIVE, 1, window, giver, taker)
+def gift(window: int, donor: int, recipient: int) -> Name:
+    return Name(Kind.GRANT, 1, window, donor, recipient)
 
 
 def test_a_restart_owns_nothing_until_all_that_it_may_have_given_has_ended() -> None:
-    one = escrow(born=103.5)  # late in window 25, so that gifts for 25 and 26 may run
+    one = escrow(started_at=103.5)  # late in window 25, so that gifts for 25 and 26 may run
     assert one.rate(107.9) == 0.0 and one.rate(108.0) == 0.0 and one.rate(108.1) == 3.0
     assert one.admit(107.9, 1.0) > 0 and one.admit(108.1, 1.0) > 0 and one.admit(109.0, 1.0) == 0
-    early = escrow(born=101.0)  # nothing can have been given for window 26 yet
+    early = escrow(started_at=101.0)  # nothing can have been given for window 26 yet
     assert early.rate(104.0) == 0.0 and early.rate(104.1) == 3.0
-    look = Name(Kind.ASK, 1, 26)
-    given = escrow(born=80.0)
+    look = Name(Kind.DEMAND, 1, 26)
+    given = escrow(started_at=80.0)
     given.tick(100.5)
     assert given.reply(103.2, look, 9900.0) == []  # too early to give, whatever is told
     assert given.reply(103.4, look, 9900.0)
 
 
 def test_what_is_taken_is_the_highest_total_for_its_window_alone() -> None:
-    one = escrow(born=80.0)
+    one = escrow(started_at=80.0)
     for now in (100.1, 103.2):
         one.admit(now, 50.0)
         one.tick(now)
-    assert Name(Kind.ASK, 1, 26) in one.added
+    assert Name(Kind.DEMAND, 1, 26) in one.added
     reads = one.tick(104.25)
     assert {c.name for c in reads} == {gift(26, 1, 0), gift(26, 2, 0)} and all(c.amount == 0 for c in reads)
     one.reply(104.3, gift(26, 1, 0), 0.5)
@@ -148,9 +157,9 @@
 
 
 def test_a_gift_is_subtracted_before_it_is_told_and_whatever_the_reply() -> None:
-    one = escrow(born=80.0)
+    one = escrow(started_at=80.0)
     (look,) = one.tick(103.5)
-    assert look.name == Name(Kind.ASK, 1, 26) and look.amount == 0
+    assert look.name == Name(Kind.DEMAND, 1, 26) and look.amount == 0
     calls = one.reply(103.6, look.name, 99 * 100.0)  # gateway 1 wishes for the whole
     assert [c.name for c in calls] == [gift(26, 0, 1)] and calls[0].amount == pytest.approx(0.98, abs=0.001)
     assert (
@@ -162,46 +171,46 @@
     one.reply(103.7, calls[0].name, None)
     assert one.rate(105.0) < 0.1
     assert one.reply(103.7, look.name, 99 * 100.0) == []  # once for a window
-    late = escrow(born=80.0)
+    late = escrow(started_at=80.0)
     (look,) = late.tick(103.5)
     assert late.reply(103.95, look.name, 9900.0) == [] and late.rate(105.0) == 3.0  # its part may be in use
 
 
 def test_what_was_given_means_the_same_under_other_figures() -> None:
-    giver, taker = escrow(born=80.0), escrow(index=1, born=80.0)
-    (look,) = giver.tick(103.5)
-    (call,) = giver.reply(103.6, look.name, 99 * 100.0)
-    taker.admit(103.2, 50.0)
-    taker.tick(103.3)
-    taker.tick(104.25)
-    taker.reply(104.3, call.name, call.amount)
-    assert giver.rate(105.0) + taker.rate(105.0) == pytest.approx(6.0)
-    giver.tokens = 0.0
-    for one in (giver, taker):
-        one.settle(105.0, Ceiling(0.9, 3.0))
+    donor, recipient = escrow(started_at=80.0), escrow(index=1, started_at=80.0)
+    (look,) = donor.tick(103.5)
+    (call,) = donor.reply(103.6, look.name, 99 * 100.0)
+    recipient.admit(103.2, 50.0)
+    recipient.tick(103.3)
+    recipient.tick(104.25)
+    recipient.reply(104.3, call.name, call.amount)
+    assert donor.rate(105.0) + recipient.rate(105.0) == pytest.approx(6.0)
+    donor.tokens = 0.0
+    for one in (donor, recipient):
+        one.set_ceiling(105.0, Ceiling(0.9, 3.0))
         assert one.tokens <= 1.0
-    assert giver.rate(105.0) + taker.rate(105.0) == pytest.approx(0.6)
-    late = escrow(born=80.0)
-    late.tokens, late.at = 0.0, 105.0
-    late.settle(106.0, Ceiling(0.9, 3.0))  # since when it held is not known: the lower rate counts
+    assert donor.rate(105.0) + recipient.rate(105.0) == pytest.approx(0.6)
+    late = escrow(started_at=80.0)
+    late.tokens, late.filled_at = 0.0, 105.0
+    late.set_ceiling(106.0, Ceiling(0.9, 3.0))  # since when it held is not known: the lower rate counts
     assert late.tokens == pytest.approx(0.3)
 
 
 def test_trust_is_told_once_for_each_change() -> None:
-    one = escrow(born=80.0)
-    name = Name(Kind.ASK, 1, 26)
+    one = escrow(started_at=80.0)
+    name = Name(Kind.DEMAND, 1, 26)
     for now in (100.1, 103.2):
         one.admit(now, 50.0)
         one.tick(now)
     one.reply(103.25, name, 0.0)
-    assert one.trust is Trust.SHORT
+    assert one.counter_state is CounterState.SHORT
     one.reply(103.25, name, 99.0)
     one.reply(103.3, name, None)
     one.reply(103.3, name, None)
     one.reply(103.4, name, None)
-    assert one.trust is Trust.SILENT and len(one.changes) == 3
+    assert one.counter_state is CounterState.SILENT and len(one.state_changes) == 3
     one.reply(103.5, name, 99.0)
-    assert one.trust is Trust.WHOLE and "whole -> short" in one.changes[0]
+    assert one.counter_state is CounterState.WHOLE and "whole -> short" in one.state_changes[0]
 
 
 def test_one_gateway_alone_has_all_and_asks_nobody() -> None:
--- a/tests/allowance/test_gateways.py
+++ b/tests/allowance/test_gateways.py
@@ -56,7 +56,7 @@
         return sum(min(1 / 3, rate) for rate in rates)
 
 
-def passed(arrivals: list[float]) -> float:
+def worst_excess(arrivals: list[float]) -> float:
     """The most units by which any window of t seconds held more than BURST + RATE x (t + SLACK)."""
     most = BURST + RATE * SLACK
     level, last, worst = most, 0.0, 0.0
@@ -146,7 +146,7 @@
             await asyncio.gather(*loads, return_exceptions=True)
             for station in STATIONS:
                 arrivals = w.arrivals(station)
-                assert passed(arrivals) == 0.0, (station.name, passed(arrivals))
+                assert worst_excess(arrivals) == 0.0, (station.name, worst_excess(arrivals))
                 shares = {name: w.used(station, *times) for name, times in phases.items()}
                 even = {name: w.evenly_split(station, *times) for name, times in phases.items()}
                 evenly = (even["whole"] + even["back"]) / 2
--- a/tests/allowance/test_shares.py
+++ b/tests/allowance/test_shares.py
@@ -11,7 +11,7 @@
 
 from coralvale import interface as api
 from coralvale.allowance.model import Ceiling, Kind, Name
-from coralvale.allowance.shares import MOST, Shares, number
+from coralvale.allowance.shares import MAX_POOLS, Shares, counter_name
 from coralvale.logic import Gateway
 
 PLANS = (
@@ -56,9 +56,9 @@
 
 @given(names, names, st.integers(1, 4), st.integers(1, 4))
 def test_names_are_one_number_each_that_no_other_name_has(a: Name, b: Name, one: int, two: int) -> None:
-    assert (number(a, one) == number(b, two)) == ((a, one) == (b, two))
+    assert (counter_name(a, one) == counter_name(b, two)) == ((a, one) == (b, two))
     # Apart from the names of counted windows, which are a customer's number and 24 bits.
-    assert 2**62 <= number(a, one) < 2**63 and number(a, one) > (2**33 << 24)
+    assert 2**62 <= counter_name(a, one) < 2**63 and counter_name(a, one) > (2**33 << 24)
 
 
 def test_a_station_has_its_part_at_each_gateway_of_its_set_and_none_elsewhere() -> None:
@@ -97,7 +97,7 @@
 
 
 def test_pools_are_bounded_and_one_is_only_forgotten_when_that_gives_nothing_anew() -> None:
-    held = shares(most=2)
+    held = shares(max_pools=2)
     for customer in (1, 2):
         assert wait(held, customer=customer) == 0
         held.charge(request(customer=customer), PLANS[0])
@@ -106,7 +106,7 @@
     assert wait(held, now=AT + 31, customer=3) == 0 and set(held.pools) == {4, 6}
     logs = [a.text for a in held.due(AT + 31) if isinstance(a, api.Log)]
     assert logs == ["2 pools are kept, at most 2: further stations have no part"]
-    assert MOST >= 10_000
+    assert MAX_POOLS >= 10_000
 
 
 def test_calls_keep_to_the_budget_and_looks_are_the_first_to_go() -> None:
@@ -120,7 +120,7 @@
                 held.reply(now, api.CounterReply(action.name, True, action.amount))
         for customer in range(20):
             ask(held, now, 3, customer=customer)
-    assert 100 < len(made) <= 2 * 60 + 8 and held.skipped > 0, (len(made), held.skipped)
+    assert 100 < len(made) <= 2 * 60 + 8 and held.skipped_calls > 0, (len(made), held.skipped_calls)
     assert all(a.patient and a.lifetime < 60 for a in made)
     asks = [a for a in made if a.amount]
     assert len(asks) > len(made) / 2
@@ -140,7 +140,7 @@
             elif isinstance(action, api.Count):
                 held.reply(now, api.CounterReply(action.name, not fails, action.amount, maybe_added=fails))
     assert [line.split(":")[0] for line in lines] == ["counter silent", "counter no longer silent"], lines
-    assert not held.out and not held.reply(now, api.CounterReply(5, True, 1.0))
+    assert not held.in_flight and not held.reply(now, api.CounterReply(5, True, 1.0))
 
 
 def test_wrong_lengths_are_named() -> None:
