--- a/coralvale/allowance/__init__.py
+++ b/coralvale/allowance/__init__.py
@@ -1,4 +1,5 @@
-"""Allowance moved between gateways through the shared counter, safe whatever becomes of the counter.
+"""Hard ceilings shared by several gateways, which move unused rate among them through a shared counter.
 
-`model` and `escrow` decide and do no I/O. docs/design/allowance.md holds the ways weighed and the proof.
+The ceilings hold whatever the counter does. `model` and `escrow` make the decisions and do no I/O.
+docs/design/allowance.md compares the alternatives and proves the bound.
 """
--- a/coralvale/allowance/leases.py
+++ b/coralvale/allowance/leases.py
@@ -1,8 +1,9 @@
-"""Ceilings shared by several control services: how much of one each may promise to its proxies.
+"""Ceilings shared by several control services: the rate that each may assign to its proxies.
 
-The same `Escrow` as on the gateways, with two differences: what is let in is promised for some seconds ahead
-(assignments with a time to live), so that it may only be what the escrow surely has until then, and what is
-promised is not given away; and windows are long, so that promises fit into them.
+Uses the same `Escrow` as the gateways, with two differences. Admitted rate is promised for some seconds
+ahead, in assignments with a time to live: a promise is limited to the rate that the escrow is guaranteed to
+have until then, and promised rate is not granted to other services. And windows are long enough for promises
+to fit into them.
 """
 
 from __future__ import annotations
@@ -12,22 +13,24 @@
 from coralvale.allowance.escrow import Escrow
 from coralvale.allowance.model import Call, Ceiling, Name
 
-WINDOW_S = 16.0  # s of a window: twice what an assignment lives
-DEMAND_AVERAGING_S = 4.0  # s over which asking is averaged between reports
-MAX_CEILINGS = 20_000  # ceilings kept
-MAX_SERVICES = 16  # services that may share, at most
+WINDOW_S = 16.0  # length of a window: twice the time to live of an assignment
+DEMAND_AVERAGING_S = 4.0  # averages demand between reports
+MAX_CEILINGS = 20_000
+MAX_SERVICES = 16  # that share a ceiling
 
 
 def ceiling_id(station: str, plan: int) -> int:
-    """A number for a station's ceiling on a plan that no other has: 120 bits of a digest."""
+    """Identifies a station's ceiling on a plan: a 120-bit digest of both."""
     digest = hashlib.blake2b(f"{plan}/{station}".encode(), digest_size=15)
     return int.from_bytes(digest.digest(), "big")
 
 
 class Leases:
-    """One escrow for each ceiling at service `place` of `services`, started at `born`; empty until `free_at`.
+    """Holds one escrow for each ceiling, at service number `place` of `services`.
 
-    Names on the counter are texts of at most 60 characters. Raises ValueError for a place that is not in the set.
+    `started_at` is the start of this process and `free_at` the time until which no escrow owns any rate, both
+    in Unix seconds. Names on the counter are texts of at most 60 characters. Raises ValueError if `place` is
+    out of range.
     """
 
     def __init__(
@@ -48,7 +51,10 @@
         self.log_lines: list[str] = []
 
     def get(self, now: float, station: str, plan: int, ceiling: Ceiling) -> Escrow:
-        """The escrow of a station's ceiling. Raises OverflowError once `most` are kept."""
+        """Returns the escrow of a station's ceiling, created if needed.
+
+        Raises OverflowError if it is new and `max_ceilings` are kept already.
+        """
         number = ceiling_id(station, plan)
         self.idle.discard(number)
         if number not in self.escrows:
@@ -70,14 +76,14 @@
         return self.escrows[number]
 
     def release(self, station: str, plan: int) -> None:
-        """Nobody asks for it any more: it is forgotten as soon as that gives nothing anew."""
+        """Marks a ceiling as unused: its escrow is deleted once a new one would give no additional rate."""
         number = ceiling_id(station, plan)
         if number in self.escrows:
             self.escrows[number].reserved = lambda moment: 0.0
             self.idle.add(number)
 
     def due(self, now: float) -> list[tuple[str, Call]]:
-        """Calls to the counter that are due, with their names there."""
+        """Returns the calls to the counter that are due, each with its name on the counter."""
         for number in [n for n in self.idle if self.escrows[n].can_evict(now)]:
             self.idle.discard(number)
             del self.escrows[number]
@@ -88,7 +94,7 @@
         return calls
 
     def reply(self, now: float, name: str, total: float | None) -> list[tuple[str, Call]]:
-        """Takes a total, or None for a call that failed; returns the calls that it leads to."""
+        """Handles a total, or None for a failed call; returns the calls that follow from it."""
         number, known = self.in_flight.pop(name, (-1, None))
         escrow = self.escrows.get(number)
         if known is None or escrow is None:
@@ -98,6 +104,7 @@
         return calls
 
     def _name_calls(self, number: int, calls: list[Call]) -> list[tuple[str, Call]]:
+        """Pairs calls with their names on the counter and records them as in flight."""
         named_calls = []
         for call in calls:
             text = f"s{WINDOW_S:g}{call.name}"
--- a/coralvale/allowance/model.py
+++ b/coralvale/allowance/model.py
@@ -1,6 +1,6 @@
-"""Types of the allowance: a ceiling, the calls to the counter, the states of trust in it.
+"""Types of the shared ceilings: the ceiling, calls to the counter, and states of the counter.
 
-Rates are units a second, times seconds of Unix time on the caller's clock.
+Rates are units a second; times are Unix time in seconds on the caller's clock.
 """
 
 from __future__ import annotations
@@ -11,24 +11,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Ceiling:
-    """A hard ceiling over all gateways of a station: at most `burst + rate * t` units in any t seconds."""
+    """A hard limit over all gateways of a station: at most `burst + rate * t` units in any t seconds."""
 
     rate: float
     burst: float
 
 
 class Kind(Enum):
-    """What a name on the counter holds."""
+    """What the total of a name on the counter means. Other gateways read the values."""
 
-    DEMAND = "a"  # what each gateway would use of the next window beyond its own part
-    GRANT = (
-        "p"  # the share of its part that one gives to one other for one window: written by the first alone
-    )
+    DEMAND = "a"  # rate that each gateway could use in a window beyond its own part
+    GRANT = "p"  # share of its part that one gateway grants another for a window; only the donor writes it
 
 
 @dataclass(frozen=True, slots=True)
 class Name:
-    """A name on the counter. `giver` and `taker` are places in the station's set, -1 where there is none."""
+    """A name on the counter. `donor` and `recipient` are indexes in the station's set of gateways, or -1."""
 
     kind: Kind
     station: int
@@ -43,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """Add an amount to a name and tell the total; a new name lives for `keep` seconds."""
+    """Adds an amount to a name and returns the total; a new name is kept for `lifetime` seconds."""
 
     name: Name
     amount: float
@@ -51,7 +49,10 @@
 
 
 class CounterState(Enum):
-    """What a gateway holds of the counter; see the table in `escrow`. It governs calls, never the bound."""
+    """State of the counter as one gateway sees it; see the table in `escrow`.
+
+    It decides which calls are made and has no effect on the ceiling.
+    """
 
     WHOLE = "whole"
     CROWDED = "crowded"
--- a/tests/allowance/simulation.py
+++ b/tests/allowance/simulation.py
@@ -1,17 +1,17 @@
-"""Gateways, a counter and a station under a schedule of faults, on a virtual clock. One seed is one schedule.
+"""Simulates gateways, a counter and a station with faults on a virtual clock; a seed fixes the schedule.
 
-    python tests/allowance/simulation.py SEED      # plays one schedule and tells what happened
+    python tests/allowance/simulation.py SEED      # runs one schedule and prints a summary
 
-The counter does all that the protocol lets one do: it loses shares of its counts, forks and heals to either
-half, is replaced by an empty one, is silent, late, turns calls away, adds what it does not answer. Gateways die
-and come back after 0.1 or 2 s, clocks step by 50 ms, the busiest gateway changes every 7 s. In every third
-schedule the station is named with another plan in the middle, by each gateway at a moment of its own: there the
-bound is the larger ceiling's.
+The counter has every fault that the protocol allows: it loses shares of its totals, forks and merges to
+either half, is replaced by an empty one, is silent or late, refuses calls, and adds amounts without a reply.
+Gateways crash and restart after 0.1 or 2 s, clocks step by 50 ms, and the busiest gateway changes every 7 s.
+In every third schedule the station's plan changes, at a different time for each gateway; there the bound is
+that of the larger ceiling.
 
-After every request that is let in the ceiling is checked as a bucket of B + slack that fills at C: it holds in
-every window if and only if that bucket never falls below nought. After every step the rates of all gateways are
-added up, and their buckets: what the bound is proved from is checked itself, where a bound alone would hide a
-small breach in its slack.
+Each admitted request is checked against a bucket of B + slack that fills at C: the ceiling holds in every
+interval if and only if that bucket never falls below 0. After each step the rates of all gateways and their
+tokens are added up too. These sums are what the proof relies on; a check of the bound alone could hide a
+small violation in its slack.
 """
 
 from __future__ import annotations
@@ -27,17 +27,17 @@
 from coralvale.allowance.model import Call, Ceiling, Kind, Name  # noqa: E402
 
 STEP = 0.05  # s
-SLACK = 0.15  # s of the ceiling's rate: what sockets and clock steps may add, as the protocol has it
+SLACK = 0.15  # s of the ceiling's rate: allowance of the protocol for sockets and clock steps
 FAULTS = ("loss", "fork", "heal", "swap", "silent", "late", "crowded", "maybe", "well")
 
 
 class CeilingExceeded(AssertionError):
-    """The ceiling was passed; the text holds the seed."""
+    """The ceiling or a sum that it depends on was exceeded; the message names the seed."""
 
 
 @dataclass
 class Counter:
-    """Names and totals in one or two halves; a gateway talks to one of them."""
+    """A counter with injected faults: totals by name in one or two halves, of which a gateway uses one."""
 
     halves: list[dict[str, float]] = field(default_factory=lambda: [{}])
     side: dict[int, int] = field(default_factory=dict)
@@ -63,7 +63,7 @@
                 for name in half:
                     half[name] *= kept if rng.random() < 0.5 else float(rng.random() < kept)
         elif kind == "fork" and len(self.halves) == 1:
-            empty = rng.random() < 0.5  # each half has all that was, or one begins anew
+            empty = rng.random() < 0.5  # both halves have all totals, or one starts empty
             self.halves.append({} if empty else dict(self.halves[0]))
             self.side = {n: rng.randrange(2) for n in range(gateways)}
         elif kind == "heal" and len(self.halves) == 2:
@@ -88,12 +88,10 @@
     offered: int = 0
     calls: int = 0
     requests: int = 0
-    refused_with_room: int = 0  # refused while one gateway that saw all would have let them in
-    used_by_second: list[float] = field(default_factory=list)  # units let in, by second
-    even_split_by_second: list[float] = field(
-        default_factory=list
-    )  # the same by an even split, of the same requests
-    max_excess: float = 0.0  # units at most by which any t seconds held more than burst + rate x t
+    refused_with_room: int = 0  # refused although a single gateway that sees all requests would admit them
+    used_by_second: list[float] = field(default_factory=list)  # units admitted
+    even_split_by_second: list[float] = field(default_factory=list)  # units that even parts would admit
+    max_excess: float = 0.0  # most units above burst + rate * t in any t seconds
     counter_states: set[str] = field(default_factory=set)
 
 
@@ -115,12 +113,14 @@
     length: float | None = None,
     change: tuple[float, Ceiling] | None = None,
 ) -> Result:
-    """One schedule. `faults` a second, or `script` in their place; `weights` fix how gateways share the load.
+    """Runs one schedule of `seconds`.
 
-    `change`: from that many seconds on the station is on another ceiling, which each gateway finds with its next
-    request; from then on that ceiling is the bound.
+    `faults` is the number of random faults a second; `script` gives faults by time in seconds. `weights` are
+    the shares of the load by gateway. `load_factor` is the load as a multiple of the ceiling's rate, 0 for a
+    random one. `change` gives a time in seconds from which the station has another ceiling: each gateway
+    applies it with its next request, and it is the bound from that time on.
 
-    Raises Passed with the seed if the ceiling is passed.
+    Raises CeilingExceeded.
     """
     rng = random.Random(seed)
     ceiling = ceiling or Ceiling(rng.uniform(2, 40), rng.uniform(4, 60))
@@ -135,7 +135,7 @@
         plans.append(Ceiling(rng.uniform(0.2, 3) * ceiling.rate, rng.uniform(0.2, 3) * ceiling.burst))
     tops = plans if change else []
     bound = ceiling if change else Ceiling(max(p.rate for p in plans), max(p.burst for p in plans))
-    clock_offsets = [0.0] * gateways  # what each clock is off by
+    clock_offsets = [0.0] * gateways  # s
 
     def new_escrow(place: int, now: float) -> Escrow:
         return Escrow(plans[plan_of[place]], 7, gateways, place, now, length)
@@ -144,7 +144,7 @@
     restart_at = [0.0] * gateways
     replies: list[tuple[float, int, Escrow, Name, float | None]] = []
     level, level_at = bound.burst + SLACK * bound.rate, started_at
-    strict = bound.burst  # the same without the slack
+    strict = bound.burst  # like `level`, without the slack
     parts, parts_at = [ceiling.burst / gateways] * gateways, [started_at] * gateways
     script = dict(script or {})
     for step in range(int(seconds / STEP)):
@@ -204,15 +204,15 @@
                     count_second(result.used_by_second, now - started_at)
                     if level < -1e-6:
                         raise CeilingExceeded(
-                            f"seed {seed}: the ceiling is passed {now - started_at:.2f} s in, by {-level:.3f}"
+                            f"seed {seed}: ceiling exceeded {now - started_at:.2f} s in, by {-level:.3f}"
                         )
         for place, node, call in calls:
             if call.name.kind is Kind.GRANT and call.amount and not 0 <= call.amount <= 1:
-                raise CeilingExceeded(f"seed {seed}: a gift of {call.amount}")
+                raise CeilingExceeded(f"seed {seed}: a grant of {call.amount}")
             total = counter.add(place, call, rng)
             replies.append((now + counter.delay, place, node, call.name, total))
         if any(node and node.ceiling != bound for node in nodes) and change:
-            continue  # one that has not been asked since the change owes nobody its word
+            continue  # a gateway without a request since the change still has the old ceiling
         alive = [(place, node) for place, node in enumerate(nodes) if node is not None]
         result.counter_states.update(node.counter_state.value for _, node in alive)
         rates = sum(node.rate(now + clock_offsets[place]) for place, node in alive)
@@ -231,6 +231,6 @@
 if __name__ == "__main__":
     played = simulate(int(sys.argv[1]))
     print(
-        f"seed {sys.argv[1]}: {played.requests} requests, {played.admitted} let in, {played.calls} calls to the "
-        f"counter, which was {', '.join(sorted(played.counter_states))}"
+        f"seed {sys.argv[1]}: {played.requests} requests, {played.admitted} admitted, {played.calls} calls "
+        f"to the counter, which was {', '.join(sorted(played.counter_states))}"
     )
--- a/tests/allowance/test_gateways.py
+++ b/tests/allowance/test_gateways.py
@@ -1,6 +1,7 @@
-"""Three real gateways as processes, and a counter that fails in every way, while stations push at their quotas.
+"""Three gateway processes and a counter with faults, while stations exceed their quotas.
 
-What was let in is read from the hosts, not from the gateways: every attempt that came whole to a host counts.
+Admitted requests are counted at the hosts, not by the gateways: every attempt that arrives whole at a host
+counts.
 """
 
 from __future__ import annotations
@@ -23,14 +24,14 @@
 from coralvale.standins.gateways import GatewayProcess
 from coralvale.standins.hosts import Host
 
-RATE, BURST = 24.0, 27.0  # of every station's quota, and of the ceiling of the one that has a ceiling alone
-SLACK = 0.15  # s of the rate: the way from a gateway to a host
+RATE, BURST = 24.0, 27.0  # of the quota of one station and the ceiling of the other
+SLACK = 0.15  # s of the rate: the delay from a gateway to a host
 STATIONS = (
-    Station("federal", 0x304, "federal", 4 * RATE),  # held by its ceiling alone
-    Station("team", 0x101, "team", 7 * RATE),  # seven times its quota
+    Station("federal", 0x304, "federal", 4 * RATE),  # limited only by its ceiling
+    Station("team", 0x101, "team", 7 * RATE),  # load of seven times its quota
 )
 UNEVEN = {"federal": (0.9, 0.05, 0.05), "team": (0.96, 0.02, 0.02)}
-WINDOW = 1  # s: short windows make a short test; the proof does not depend on it
+WINDOW = 1  # s: short windows for a short test; the proof does not depend on the length
 
 
 @dataclass
@@ -46,18 +47,18 @@
         return sorted(at for host in self.hosts for at, name in host.arrivals if name.startswith(prefix))
 
     def used(self, station: Station, begin: float, end: float) -> float:
-        """The share of the rate that was let in between two moments of Unix time."""
+        """Returns the share of the rate that was admitted between two Unix times."""
         return sum(begin <= at < end for at in self.arrivals(station)) / (end - begin) / RATE
 
     def evenly_split(self, station: Station, begin: float, end: float) -> float:
-        """The share of the rate that evenly split parts would let in of what was asked between two moments."""
+        """Returns the share of the rate that evenly split parts would admit between two Unix times."""
         asked = Counter(port for at, port in self.tallies.asked[station.name] if begin <= at < end)
         rates = [count / (end - begin) / RATE for count in asked.values()]
         return sum(min(1 / 3, rate) for rate in rates)
 
 
 def worst_excess(arrivals: list[float]) -> float:
-    """The most units by which any window of t seconds held more than BURST + RATE x (t + SLACK)."""
+    """Returns the most units above BURST + RATE * (t + SLACK) in any t seconds."""
     most = BURST + RATE * SLACK
     level, last, worst = most, 0.0, 0.0
     for at in arrivals:
@@ -104,7 +105,7 @@
             host.stop()
 
 
-def test_through_a_counter_that_is_killed_split_swapped_and_late_no_bound_is_passed(tmp_path: Path) -> None:
+def test_no_limit_is_exceeded_while_the_counter_is_killed_split_swapped_and_late(tmp_path: Path) -> None:
     phases: dict[str, tuple[float, float]] = {}
 
     async def phase(name: str, seconds: float) -> None:
@@ -120,10 +121,10 @@
                 for s in STATIONS
             ]
             await until(lambda: all(len(w.arrivals(s)) > BURST for s in STATIONS))
-            await asyncio.sleep(4 * WINDOW)  # what was asked for has moved
+            await asyncio.sleep(4 * WINDOW)  # grants have followed the demand
             await phase("whole", 4.0)
             doors = await w.counter.kill()
-            await asyncio.sleep(2 * WINDOW)  # what had been given for this window and the next is lost
+            await asyncio.sleep(2 * WINDOW)  # grants for this window and the next are lost
             await phase("killed", 4.0)
             await w.counter.revive(doors)
             await asyncio.sleep(2 * WINDOW)
@@ -131,13 +132,13 @@
             w.counter.split({w.doors[0]}, copied=True)
             await phase("split", 3.0)
             w.counter.heal(keep_second=True)
-            for _ in range(4):  # swapped, and at once again
+            for _ in range(4):  # replaced by an empty counter several times in a row
                 w.counter.lose()
                 await asyncio.sleep(0.4)
             w.counter.delay = 0.5
             await phase("late", 2.0)
             w.counter.delay = 0.0
-            await w.gateways[1].end(signal.SIGKILL)  # with a gift out
+            await w.gateways[1].end(signal.SIGKILL)  # with a grant in effect
             w.counter.lose_share(0.9, seed=1)
             await w.gateways[1].start()
             await phase("restarted", 3.0)
@@ -155,9 +156,7 @@
                 assert all(shares[name] > even[name] / 2 for name in phases), (station.name, even, shares)
             lost = sum(counts["lost"] for counts in w.tallies.answers.values())
             answered = sum(sum(counts.values()) for counts in w.tallies.answers.values())
-            assert (
-                lost <= answered / 50
-            )  # those that the killed gateway held, and that came to its closed port
+            assert lost <= answered / 50  # requests at the killed gateway, or to its closed port
             assert all(max(host.ran.values()) == 1 for host in w.hosts)
             said = w.gateways[0].said()
             assert any("counter silent: " in line for line in said)
--- a/tests/allowance/test_shares.py
+++ b/tests/allowance/test_shares.py
@@ -1,4 +1,4 @@
-"""All stations' parts at one gateway: names, bounds, budget, plans and sets, what is logged, the decisions."""
+"""Pools of all stations at one gateway: names, limits, call budget, changed plans, logs, gateway logic."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 def ask(held: Shares, now: float, times: int, **asked: int) -> None:
-    """Requests that are sent on if there is room."""
+    """Makes requests and charges each that has room."""
     for _ in range(times):
         if wait(held, now, **asked) == 0:
             held.charge(request(**asked), PLANS[request(**asked).plan])
@@ -55,13 +55,13 @@
 
 
 @given(names, names, st.integers(1, 4), st.integers(1, 4))
-def test_names_are_one_number_each_that_no_other_name_has(a: Name, b: Name, one: int, two: int) -> None:
+def test_different_names_get_different_numbers_on_the_counter(a: Name, b: Name, one: int, two: int) -> None:
     assert (counter_name(a, one) == counter_name(b, two)) == ((a, one) == (b, two))
-    # Apart from the names of counted windows, which are a customer's number and 24 bits.
+    # Disjoint from the names of counted windows, which are a customer's number and 24 bits.
     assert 2**62 <= counter_name(a, one) < 2**63 and counter_name(a, one) > (2**33 << 24)
 
 
-def test_a_station_has_its_part_at_each_gateway_of_its_set_and_none_elsewhere() -> None:
+def test_a_station_has_a_part_only_at_gateways_of_its_set() -> None:
     held = shares()
     let_in = 0
     while wait(held, n=let_in) == 0:
@@ -70,21 +70,21 @@
     assert let_in == 6  # a third of the burst
     assert wait(held, first=2, entries=2) == 3  # gateways 2 and 0: this one is 1
     assert [a.text for a in held.due(AT) if isinstance(a, api.Log)] == [
-        "station 7 comes here by a set that has no part here"
+        "station 7: this gateway is not in the set that its request names"
     ]
     assert wait(held, first=2, entries=2) == 3 and not any(isinstance(a, api.Log) for a in held.due(AT))
 
 
-def test_what_is_not_shared_is_left_to_the_decisions() -> None:
+def test_unshared_quotas_are_left_to_the_gateway_logic() -> None:
     held = shares()
     assert wait(held, plan=1) is None  # no ceiling
     assert wait(held, plan=1, quota=True) is None  # quotas are off
     held = shares(quotas=True)
     assert wait(held, plan=1, quota=True) == 0
-    assert wait(held, plan=3, quota=True) is None  # a third of its burst holds no request
+    assert wait(held, plan=3, quota=True) is None  # a third of its burst is less than a request
 
 
-def test_another_plan_and_another_set_take_effect_without_giving_anything_anew() -> None:
+def test_a_changed_plan_or_set_gives_no_additional_tokens() -> None:
     held = shares()
     for n in range(6):
         assert wait(held, n=n) == 0
@@ -96,7 +96,7 @@
     assert wait(held, now=AT + 7, entries=2) == 0
 
 
-def test_pools_are_bounded_and_one_is_only_forgotten_when_that_gives_nothing_anew() -> None:
+def test_the_number_of_pools_is_limited_and_eviction_gives_no_additional_tokens() -> None:
     held = shares(max_pools=2)
     for customer in (1, 2):
         assert wait(held, customer=customer) == 0
@@ -105,11 +105,11 @@
     assert wait(held, now=AT + 29, customer=3)
     assert wait(held, now=AT + 31, customer=3) == 0 and set(held.pools) == {4, 6}
     logs = [a.text for a in held.due(AT + 31) if isinstance(a, api.Log)]
-    assert logs == ["2 pools are kept, at most 2: further stations have no part"]
+    assert logs == ["2 pools are kept, at most 2: further stations get no part"]
     assert MAX_POOLS >= 10_000
 
 
-def test_calls_keep_to_the_budget_and_looks_are_the_first_to_go() -> None:
+def test_calls_stay_within_the_budget_and_reads_are_skipped_first() -> None:
     held = shares(calls=2.0)
     made = []
     for step in range(600):
@@ -126,7 +126,7 @@
     assert len(asks) > len(made) / 2
 
 
-def test_a_state_of_the_counter_is_told_when_the_first_enters_and_the_last_leaves_it() -> None:
+def test_a_counter_state_is_logged_when_the_first_pool_enters_and_the_last_leaves_it() -> None:
     held, lines, now = shares(), list[str](), AT
     fails = True
     for step in range(200):
@@ -143,7 +143,7 @@
     assert not held.in_flight and not held.reply(now, api.CounterReply(5, True, 1.0))
 
 
-def test_wrong_lengths_are_named() -> None:
+def test_an_invalid_window_length_is_reported() -> None:
     with pytest.raises(ValueError, match="windows of 5 s, expected one of 1, 2, 3, 4"):
         shares(length=5)
 
@@ -162,15 +162,15 @@
         sends += any(isinstance(a, api.Send) for a in told)
         assert (
             sum(isinstance(a, (api.Send, api.Refuse)) for a in told) == 1
-        )  # one answer or one attempt, at once
+        )  # exactly one answer or attempt, at once
         made.handle(AT, api.AttemptDone(f"r{n}", 0, api.Outcome.OK, 0.001, True))
     return sends
 
 
-def test_the_decisions_keep_to_the_parts_and_make_the_calls() -> None:
+def test_the_gateway_logic_respects_the_parts_and_makes_the_calls() -> None:
     assert sent(gateway(shares(quotas=True)), 20) == 3  # a third of the quota's burst
     assert sent(gateway(shares(quotas=True)), 20, plan=1) == 3
-    assert sent(gateway(shares()), 20, plan=1) == sent(gateway(None), 20, plan=1)  # the ordinary path
+    assert sent(gateway(shares()), 20, plan=1) == sent(gateway(None), 20, plan=1)  # as without sharing
     made = gateway(shares(quotas=True))
     sent(made, 40)
     calls = []
@@ -181,7 +181,7 @@
     assert made.handle(AT + 5, api.CounterReply(calls[0].name, True, calls[0].amount)) == []
 
 
-def test_a_gift_that_is_asked_for_comes_from_one_gateway_to_the_other_through_the_decisions() -> None:
+def test_a_demanded_grant_reaches_the_other_gateway_through_the_gateway_logic() -> None:
     totals: dict[int, float] = {}
     made = []
     for me in range(3):
