--- a/coralvale/http2/connection.py
+++ b/coralvale/http2/connection.py
@@ -20,7 +20,7 @@
 from collections import OrderedDict, deque
 from dataclasses import dataclass
 
-import h2.events as told
+import h2.events as h2_events
 from h2.config import H2Configuration
 from h2.connection import H2Connection
 from h2.exceptions import NoAvailableStreamIDError, ProtocolError
@@ -29,10 +29,10 @@
 
 from coralvale.http2.model import (
     Answered,
+    Closed,
     Closing,
     Code,
     Data,
-    Dead,
     Event,
     Failed,
     Fate,
@@ -43,23 +43,27 @@
     Sent,
 )
 
-FRAME = 16_384  # bytes of a frame that a host may send: what RFC 9113, 4.2 gives as the default
-WRITE = 64 * 1024  # bytes encoded ahead of the socket: what is encoded can no longer be taken back
-PARTS = 32  # CONTINUATION frames of one header block: h2 takes 64, and ends it by another code
-INTERIM = 8  # answers 1xx ahead of the real one
+MAX_FRAME_BYTES = 16_384  # bytes of a frame that a host may send: what RFC 9113, 4.2 gives as the default
+MAX_ENCODED_AHEAD_BYTES = (
+    64 * 1024
+)  # bytes encoded ahead of the socket: what is encoded can no longer be taken back
+MAX_CONTINUATION_FRAMES = (
+    32  # CONTINUATION frames of one header block: h2 takes 64, and ends it by another code
+)
+MAX_INTERIM_ANSWERS = 8  # answers 1xx ahead of the real one
 DATA, HEADERS, SETTINGS, PUSH, GOAWAY, CONTINUATION = 0x0, 0x1, 0x4, 0x5, 0x7, 0x9
 END_STREAM, END_HEADERS = 0x1, 0x4
 TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")  # RFC 9110, 5.6.2
-ILL = re.compile(rb"[\x00\r\n]")  # RFC 9113, 8.2.1: never part of a value
+FORBIDDEN_IN_VALUE = re.compile(rb"[\x00\r\n]")  # RFC 9113, 8.2.1: never part of a value
 PATH = re.compile(rb"/[\x21-\x7e]*")
 # Of one connection alone (RFC 9113, 8.2.2), or told by a pseudo-header.
-DROPPED = {
+DROPPED_FIELDS = {
     b"connection", b"keep-alive", b"proxy-connection", b"transfer-encoding", b"upgrade", b"te", b"host",
     b"http2-settings", b"content-length", b"trailer", b"expect",
 }  # fmt: skip
 
 # New with each request, or secret (RFC 7541, 7.1.3): kept in the compression state they would push out the rest.
-VARYING = {b"x-request-id", b"x-timeout", b"cookie", b"authorization", b"quota-info"}
+NEVER_INDEXED_FIELDS = {b"x-request-id", b"x-timeout", b"cookie", b"authorization", b"quota-info"}
 
 Fields = list[tuple[bytes, bytes]]
 
@@ -86,11 +90,11 @@
         lower = name.lower()
         if not TOKEN.fullmatch(name):
             raise RequestError(f"a field's name: {name!r}")
-        if ILL.search(value):
+        if FORBIDDEN_IN_VALUE.search(value):
             raise RequestError(f"{lower.decode()}: CR, LF or NUL in the value")
-        if lower in VARYING:
+        if lower in NEVER_INDEXED_FIELDS:
             fields.append(NeverIndexedHeaderTuple(lower, value.strip(b" \t")))
-        elif lower not in DROPPED:
+        elif lower not in DROPPED_FIELDS:
             fields.append((lower, value.strip(b" \t")))
     if size is not None:
         fields.append(NeverIndexedHeaderTuple(b"content-length", b"%d" % size))
@@ -98,12 +102,12 @@
 
 
 @dataclass(slots=True)
-class Wanted:
+class QueuedRequest:
     """A request of which nothing has been encoded."""
 
     fields: Fields
     body: list[bytes]
-    until: float
+    deadline: float
 
 
 @dataclass(slots=True, eq=False)
@@ -113,9 +117,9 @@
     key: int
     id: int
     body: deque[memoryview]
-    ended: bool = False  # all of it was encoded
+    body_encoded: bool = False  # all of it was encoded
     status: int = 0
-    interim: int = 0
+    interim_count: int = 0
     credit: int = 0  # of its window, to be given back to the host
 
 
@@ -128,24 +132,29 @@
         self.h2 = H2Connection(
             H2Configuration(client_side=True, header_encoding=None, validate_outbound_headers=False)
         )
-        self.waiting: OrderedDict[int, Wanted] = OrderedDict()
+        self.waiting: OrderedDict[int, QueuedRequest] = OrderedDict()
         self.streams: dict[int, Stream] = {}
         self.keys: dict[int, Stream] = {}
-        self.ready = self.closing = self.dead = False
-        self.last = (1 << 31) - 1  # id of the last stream that the host may still run
+        self.ready = self.closing = self.closed = False
+        self.last_stream_id = (1 << 31) - 1  # id of the last stream that the host may still run
         self.events: list[Event] = []
         self.out = bytearray()
-        self.buffer, self.block, self.parts, self.in_block = bytearray(), 0, 0, False
-        self.budget, self.budget_at = limits.burst, 0.0
+        self.buffer, self.header_block_bytes, self.continuations, self.in_header_block = (
+            bytearray(),
+            0,
+            0,
+            False,
+        )
+        self.control_budget, self.control_budget_at = limits.control_frame_burst, 0.0
         self.credit = 0
-        self.heard_at = self.pinged_at = 0.0
+        self.received_at = self.pinged_at = 0.0
 
     def start(self, now: float) -> None:
-        self.heard_at = self.budget_at = now
+        self.received_at = self.control_budget_at = now
         initial = {
             SettingCodes.ENABLE_PUSH: 0,
             SettingCodes.INITIAL_WINDOW_SIZE: self.limits.window,
-            SettingCodes.MAX_FRAME_SIZE: FRAME,
+            SettingCodes.MAX_FRAME_SIZE: MAX_FRAME_BYTES,
             SettingCodes.MAX_HEADER_LIST_SIZE: self.limits.header_bytes,
         }
         self.h2.local_settings = Settings(client=True, initial_values=initial)
@@ -162,37 +171,37 @@
         return len(self.streams) + len(self.waiting)
 
     @property
-    def room(self) -> int:
+    def free_streams(self) -> int:
         """Streams that may be opened now; less than nought after the host has lowered its limit."""
-        if not self.ready or self.closing or self.dead:
+        if not self.ready or self.closing or self.closed:
             return 0
         return min(self.limits.streams, self.h2.remote_settings.max_concurrent_streams) - len(self.streams)
 
     def request(
-        self, key: int, method: bytes, target: bytes, headers: Fields, body: list[bytes], until: float
+        self, key: int, method: bytes, target: bytes, headers: Fields, body: list[bytes], deadline: float
     ) -> None:
         """Takes a request that may wait for a stream until `until`. Raises RequestError."""
         size = sum(map(len, body))
         fields = request_fields(
             method, target, headers, size if body or method != b"GET" else None, self.scheme
         )
-        if self.closing or self.dead:
+        if self.closing or self.closed:
             self.events.append(Failed(key, Fate.NOT_RUN, "the connection is closing"))
         else:
-            self.waiting[key] = Wanted(fields, [part for part in body if part], until)
+            self.waiting[key] = QueuedRequest(fields, [part for part in body if part], deadline)
 
     def cancel(self, key: int) -> Fate:
         """Ends a request that nobody waits for any more; no event follows."""
         if self.waiting.pop(key, None):
             return Fate.NOT_RUN
         if stream := self.keys.get(key):
-            self._forget(stream)
+            self._remove(stream)
             self._reset(stream, Code.CANCEL)
         return Fate.UNKNOWN
 
     def consumed(self, key: int, credit: int) -> None:
         """What `Data` brought has been passed on: its stream may bring as much again."""
-        if (stream := self.keys.get(key)) is None or self.dead:
+        if (stream := self.keys.get(key)) is None or self.closed:
             return
         stream.credit += credit
         if stream.credit >= self.limits.window // 2:
@@ -203,9 +212,9 @@
 
     def bytes_to_send(self) -> bytes:
         """What goes to the socket now. It counts as written: a request whose bytes are here may run."""
-        if not self.dead:
-            while self.waiting and self.room > 0 and self._unsent() < WRITE:
-                self._open()
+        if not self.closed:
+            while self.waiting and self.free_streams > 0 and self._unsent() < MAX_ENCODED_AHEAD_BYTES:
+                self._open_stream()
             self._send_bodies()
         self.out += self.h2.data_to_send()
         out, self.out = bytes(self.out), bytearray()
@@ -215,31 +224,33 @@
         self.out += self.h2.data_to_send()
         return len(self.out)
 
-    def _open(self) -> None:
+    def _open_stream(self) -> None:
         try:
             number = self.h2.get_next_available_stream_id()
         except NoAvailableStreamIDError:  # RFC 9113, 5.1.1: a new connection must serve
-            self._close("stream ids are used up")
+            self._start_closing("stream ids are used up")
             return
-        key, wanted = self.waiting.popitem(last=False)
-        stream = Stream(key, number, deque(memoryview(part) for part in wanted.body), ended=not wanted.body)
+        key, queued = self.waiting.popitem(last=False)
+        stream = Stream(
+            key, number, deque(memoryview(part) for part in queued.body), body_encoded=not queued.body
+        )
         try:
-            self.h2.send_headers(number, wanted.fields, end_stream=stream.ended)
+            self.h2.send_headers(number, queued.fields, end_stream=stream.body_encoded)
         except ProtocolError as error:  # half of it may stand in the compression state: no more after it
             self.events.append(Failed(key, Fate.NOT_RUN, str(error)))
-            self._close(f"a request that h2 refuses: {error}")
+            self._start_closing(f"a request that h2 refuses: {error}")
             return
         self.streams[number] = self.keys[key] = stream
-        if stream.ended:
+        if stream.body_encoded:
             self.events.append(Sent(key))
 
     def _send_bodies(self) -> None:
         """A frame of each stream in turn, as far as the windows go: no large body stops the others."""
         moved = True
-        while moved and self._unsent() < WRITE:
+        while moved and self._unsent() < MAX_ENCODED_AHEAD_BYTES:
             moved = False
             for stream in list(self.streams.values()):
-                if stream.ended:
+                if stream.body_encoded:
                     continue
                 room = min(self.h2.local_flow_control_window(stream.id), self.h2.max_outbound_frame_size)
                 if room <= 0:
@@ -249,55 +260,61 @@
                     stream.body[0] = rest
                 else:
                     stream.body.popleft()
-                stream.ended, moved = not stream.body, True
-                self.h2.send_data(stream.id, bytes(part), end_stream=stream.ended)
-                if stream.ended:
+                stream.body_encoded, moved = not stream.body, True
+                self.h2.send_data(stream.id, bytes(part), end_stream=stream.body_encoded)
+                if stream.body_encoded:
                     self.events.append(Sent(stream.key))
 
     def receive(self, now: float, data: bytes) -> None:
         """Bytes that came; frame by frame, however they were cut."""
-        self.heard_at, self.pinged_at = now, 0.0
+        self.received_at, self.pinged_at = now, 0.0
         self.buffer += data
-        while len(self.buffer) >= 9 and not self.dead:
+        while len(self.buffer) >= 9 and not self.closed:
             length = int.from_bytes(self.buffer[:3], "big")
             kind, flags = self.buffer[3], self.buffer[4]
             stream = int.from_bytes(self.buffer[5:9], "big") & 0x7FFFFFFF
             if not self.ready and (kind != SETTINGS or flags & 1):  # RFC 9113, 3.4
-                self._die("it does not speak HTTP/2", Code.PROTOCOL_ERROR)
+                self._terminate("it does not speak HTTP/2", Code.PROTOCOL_ERROR)
                 return
-            if length > FRAME:  # refused by its head, before it is waited for
-                self._die("a frame that is too large", Code.FRAME_SIZE_ERROR)
+            if length > MAX_FRAME_BYTES:  # refused by its head, before it is waited for
+                self._terminate("a frame that is too large", Code.FRAME_SIZE_ERROR)
                 return
             if len(self.buffer) < 9 + length:
                 return
             frame = bytes(self.buffer[: 9 + length])
             del self.buffer[: 9 + length]
-            if self._spend(now, kind, flags, length):
-                self._frame(frame, kind, stream, length)
-        self._end_if_done()
+            if self._check_limits(now, kind, flags, length):
+                self._handle_frame(frame, kind, stream, length)
+        self._terminate_if_done()
 
-    def _spend(self, now: float, kind: int, flags: int, length: int) -> bool:
+    def _check_limits(self, now: float, kind: int, flags: int, length: int) -> bool:
         """Counts what a frame costs; False if it is one too many, and the connection has ended."""
-        self.budget = min(self.limits.burst, self.budget + self.limits.controls * (now - self.budget_at))
-        self.budget_at = now
+        self.control_budget = min(
+            self.limits.control_frame_burst,
+            self.control_budget + self.limits.control_frames_per_s * (now - self.control_budget_at),
+        )
+        self.control_budget_at = now
         if kind in (HEADERS, PUSH, CONTINUATION):
-            self.block = length if kind != CONTINUATION else self.block + length
-            self.parts = 0 if kind != CONTINUATION else self.parts + 1
-            self.in_block = not flags & END_HEADERS
-            if self.block > self.limits.header_bytes or self.parts > PARTS:
-                self._die("a header block that is too large", Code.ENHANCE_YOUR_CALM)
+            self.header_block_bytes = length if kind != CONTINUATION else self.header_block_bytes + length
+            self.continuations = 0 if kind != CONTINUATION else self.continuations + 1
+            self.in_header_block = not flags & END_HEADERS
+            if (
+                self.header_block_bytes > self.limits.header_bytes
+                or self.continuations > MAX_CONTINUATION_FRAMES
+            ):
+                self._terminate("a header block that is too large", Code.ENHANCE_YOUR_CALM)
                 return False
             cost = 0
         else:
             cost = int(kind != DATA or not (length or flags & END_STREAM))
-        self.budget -= cost
-        if self.budget < 0:
-            self._die("a flood of control frames", Code.ENHANCE_YOUR_CALM)
+        self.control_budget -= cost
+        if self.control_budget < 0:
+            self._terminate("a flood of control frames", Code.ENHANCE_YOUR_CALM)
             return False
         return True
 
-    def _frame(self, frame: bytes, kind: int, stream: int, length: int) -> None:
-        if kind == GOAWAY and not self.in_block and stream == 0 and length >= 8:
+    def _handle_frame(self, frame: bytes, kind: int, stream: int, length: int) -> None:
+        if kind == GOAWAY and not self.in_header_block and stream == 0 and length >= 8:
             last = int.from_bytes(frame[9:13], "big") & 0x7FFFFFFF
             self._goaway(last, int.from_bytes(frame[13:17], "big"))
         else:
@@ -307,52 +324,52 @@
         try:
             events = self.h2.receive_data(frame)
         except ProtocolError as error:
-            self._die(str(error) or type(error).__name__, error.error_code)
+            self._terminate(str(error) or type(error).__name__, error.error_code)
             return
         except Exception as error:  # whatever a host sends, its requests end
-            self._die(f"{type(error).__name__}: {error}", Code.PROTOCOL_ERROR)
+            self._terminate(f"{type(error).__name__}: {error}", Code.PROTOCOL_ERROR)
             return
         for event in events:
-            self._take(event)
+            self._handle_event(event)
 
-    def _take(self, event: told.Event) -> None:
-        if isinstance(event, told.RemoteSettingsChanged):
+    def _handle_event(self, event: h2_events.Event) -> None:
+        if isinstance(event, h2_events.RemoteSettingsChanged):
             if not self.ready:
                 self.ready = True
                 self.events.append(Ready())
             return
         number = getattr(event, "stream_id", None)
-        if isinstance(event, told.DataReceived):
+        if isinstance(event, h2_events.DataReceived):
             self._credit(event.flow_controlled_length)
         if (stream := self.streams.get(number or 0)) is None:
             return  # frames that were under way when it ended
-        if isinstance(event, told.InformationalResponseReceived):
-            stream.interim += 1
-            if stream.interim > INTERIM:
+        if isinstance(event, h2_events.InformationalResponseReceived):
+            stream.interim_count += 1
+            if stream.interim_count > MAX_INTERIM_ANSWERS:
                 self._fail(stream, "interim answers without end", Code.ENHANCE_YOUR_CALM)
-        elif isinstance(event, told.ResponseReceived):
-            self._head(stream, [(bytes(name), bytes(value)) for name, value in event.headers or []])
-        elif isinstance(event, told.DataReceived):
+        elif isinstance(event, h2_events.ResponseReceived):
+            self._handle_head(stream, [(bytes(name), bytes(value)) for name, value in event.headers or []])
+        elif isinstance(event, h2_events.DataReceived):
             self.events.append(Data(stream.key, event.data or b"", event.flow_controlled_length or 0))
-        elif isinstance(event, told.StreamEnded):
-            self._forget(stream)
+        elif isinstance(event, h2_events.StreamEnded):
+            self._remove(stream)
             if stream.status:
                 self.events.append(Answered(stream.key))
             else:
                 self.events.append(Failed(stream.key, Fate.UNKNOWN, "no answer on its stream"))
-            if not stream.ended:  # RFC 9113, 8.1: answered before all of the request was there
+            if not stream.body_encoded:  # RFC 9113, 8.1: answered before all of the request was there
                 self._reset(stream, Code.NO_ERROR)
-        elif isinstance(event, told.StreamReset):
-            self._forget(stream)
+        elif isinstance(event, h2_events.StreamReset):
+            self._remove(stream)
             refused = event.error_code == Code.REFUSED_STREAM.value and not stream.status
-            fate = Fate.NOT_RUN if refused and not stream.interim else Fate.UNKNOWN
-            told_so = fate is Fate.NOT_RUN
-            self.events.append(Failed(stream.key, fate, f"reset by the host ({event.error_code})", told_so))
+            fate = Fate.NOT_RUN if refused and not stream.interim_count else Fate.UNKNOWN
+            by_host = fate is Fate.NOT_RUN
+            self.events.append(Failed(stream.key, fate, f"reset by the host ({event.error_code})", by_host))
 
-    def _head(self, stream: Stream, fields: Fields) -> None:
+    def _handle_head(self, stream: Stream, fields: Fields) -> None:
         headers = [(name, value) for name, value in fields if not name.startswith(b":")]
         status = next((value for name, value in fields if name == b":status"), b"")
-        sound = all(TOKEN.fullmatch(name) and not ILL.search(value) for name, value in headers)
+        sound = all(TOKEN.fullmatch(name) and not FORBIDDEN_IN_VALUE.search(value) for name, value in headers)
         if not (sound and re.fullmatch(rb"[2-9]\d\d", status)):
             self._fail(stream, "an answer that is no answer", Code.PROTOCOL_ERROR)
             return
@@ -361,21 +378,23 @@
 
     def _credit(self, length: int | None) -> None:
         self.credit += length or 0
-        if self.credit >= self.limits.window // 2 and not self.dead:
+        if self.credit >= self.limits.window // 2 and not self.closed:
             self.h2.increment_flow_control_window(self.credit)
             self.credit = 0
 
     # Ends
 
     def _goaway(self, last: int, code: int) -> None:
-        self.last = min(self.last, last)  # it must not rise; what was told not to run is already elsewhere
-        self._close(f"the host is closing ({code})")
-        for stream in [s for s in self.streams.values() if s.id > self.last]:
-            self._forget(stream)
+        self.last_stream_id = min(
+            self.last_stream_id, last
+        )  # it must not rise; what was told not to run is already elsewhere
+        self._start_closing(f"the host is closing ({code})")
+        for stream in [s for s in self.streams.values() if s.id > self.last_stream_id]:
+            self._remove(stream)
             self.events.append(Failed(stream.key, Fate.NOT_RUN, f"the host is closing ({code})", True))
-        self._end_if_done()
+        self._terminate_if_done()
 
-    def _close(self, why: str) -> None:
+    def _start_closing(self, why: str) -> None:
         if not self.closing:
             self.closing = True
             self.events.append(Closing(why))
@@ -383,48 +402,48 @@
 
     def retire(self, why: str) -> None:
         """Nothing new goes out; what is out ends as ever."""
-        self._close(why)
-        self._end_if_done()
+        self._start_closing(why)
+        self._terminate_if_done()
 
     def lost(self, why: str) -> None:
         """The socket is gone."""
-        self.dead = self.closing = True
+        self.closed = self.closing = True
         self._fail_waiting(why)
         for stream in list(self.streams.values()):
-            self._forget(stream)
+            self._remove(stream)
             self.events.append(Failed(stream.key, Fate.UNKNOWN, why))
 
     def tick(self, now: float) -> None:
         """What time brings: requests that have waited for too long, and a host that is silent."""
-        for key in [k for k, wanted in self.waiting.items() if now >= wanted.until]:
+        for key in [k for k, queued in self.waiting.items() if now >= queued.deadline]:
             del self.waiting[key]
             self.events.append(Failed(key, Fate.NOT_RUN, "no stream was free in time"))
-        if self.dead or not self.streams:
+        if self.closed or not self.streams:
             self.pinged_at = 0.0
-        elif self.pinged_at and now - self.pinged_at >= self.limits.ping_wait:
-            self._die("it does not answer PING", Code.NO_ERROR)
-        elif not self.pinged_at and now - self.heard_at >= self.limits.ping_after:
+        elif self.pinged_at and now - self.pinged_at >= self.limits.ping_timeout_s:
+            self._terminate("it does not answer PING", Code.NO_ERROR)
+        elif not self.pinged_at and now - self.received_at >= self.limits.ping_after_s:
             self.pinged_at = now
             self.h2.ping(b"coralvale"[:8])
-        self._end_if_done()
+        self._terminate_if_done()
 
-    def drain(self) -> list[Event]:
+    def take_events(self) -> list[Event]:
         """What has happened since the last call."""
         events, self.events = self.events, []
         return events
 
-    def _die(self, why: str, code: Code | int) -> None:
-        if self.dead:
+    def _terminate(self, why: str, code: Code | int) -> None:
+        if self.closed:
             return
         number = code.value if isinstance(code, Code) else int(code)
         with contextlib.suppress(ProtocolError):  # h2 has said so already
             self.h2.close_connection(number)
-        self.events.append(Dead(why, number))  # ahead of its requests' ends: they are told why
+        self.events.append(Closed(why, number))  # ahead of its requests' ends: they are told why
         self.lost(why)
 
-    def _end_if_done(self) -> None:
-        if self.closing and not self.dead and not self.streams:
-            self._die("it has ended", Code.NO_ERROR)
+    def _terminate_if_done(self) -> None:
+        if self.closing and not self.closed and not self.streams:
+            self._terminate("it has ended", Code.NO_ERROR)
 
     def _fail_waiting(self, why: str) -> None:
         for key in self.waiting:
@@ -432,7 +451,7 @@
         self.waiting.clear()
 
     def _fail(self, stream: Stream, why: str, code: Code) -> None:
-        self._forget(stream)
+        self._remove(stream)
         self._reset(stream, code)
         self.events.append(Failed(stream.key, Fate.UNKNOWN, why))
 
@@ -440,6 +459,6 @@
         with contextlib.suppress(ProtocolError):  # closed from both sides meanwhile
             self.h2.reset_stream(stream.id, code.value)
 
-    def _forget(self, stream: Stream) -> None:
+    def _remove(self, stream: Stream) -> None:
         self.streams.pop(stream.id, None)
         self.keys.pop(stream.key, None)
--- a/coralvale/http2/model.py
+++ b/coralvale/http2/model.py
@@ -47,10 +47,10 @@
     streams: int = 100  # open at once on a connection, whatever more the host allows
     window: int = 65_535  # of an answer that may be under way to a slow client; RFC 9113, 6.9.2
     header_bytes: int = 64 * 1024  # of one answer's fields, packed or unpacked
-    controls: float = 200.0  # frames a second that carry no part of an answer, on average
-    burst: float = 1000.0  # of those, at once
-    ping_after: float = 2.0  # of silence with streams open
-    ping_wait: float = 1.0  # for anything to come after that
+    control_frames_per_s: float = 200.0  # frames a second that carry no part of an answer, on average
+    control_frame_burst: float = 1000.0  # of those, at once
+    ping_after_s: float = 2.0  # of silence with streams open
+    ping_timeout_s: float = 1.0  # for anything to come after that
 
 
 @dataclass(frozen=True, slots=True)
@@ -97,7 +97,7 @@
     key: int
     fate: Fate
     why: str
-    told: bool = False  # the host has said so, by GOAWAY or REFUSED_STREAM
+    by_host: bool = False  # the host has said so, by GOAWAY or REFUSED_STREAM
 
 
 @dataclass(frozen=True, slots=True)
@@ -108,11 +108,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Dead:
+class Closed:
     """The connection is over: what is left to be sent is sent, then it is closed."""
 
     why: str
     code: int
 
 
-Event = Ready | Sent | Head | Data | Answered | Failed | Closing | Dead
+Event = Ready | Sent | Head | Data | Answered | Failed | Closing | Closed
--- a/coralvale/http2/pool.py
+++ b/coralvale/http2/pool.py
@@ -13,7 +13,7 @@
 from enum import Enum
 
 
-class Else(Enum):
+class Fallback(Enum):
     """What there is to be done where no connection takes a request."""
 
     OPEN = "open"
@@ -21,39 +21,43 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class ConnectionLoad:
     """One connection. `room` is its streams that may be opened, less than nought over a lowered limit."""
 
-    room: int
+    free_streams: int
     waiting: int
     ready: bool
-    leaving: bool = False  # closing or dead: it takes nothing
+    closing: bool = False  # closing or dead: it takes nothing
     idle_since: float | None = None  # where it carries nothing
 
 
-def choose(loads: Sequence[Load], most: int, streams: int) -> int | Else:
+def choose(loads: Sequence[ConnectionLoad], max_connections: int, max_streams: int) -> int | Fallback:
     """The number of the connection that takes a request. `most` connections, `streams` on each."""
-    free = [n for n, load in enumerate(loads) if not load.leaving and load.ready and load.room > load.waiting]
+    free = [
+        n
+        for n, load in enumerate(loads)
+        if not load.closing and load.ready and load.free_streams > load.waiting
+    ]
     if free:
-        return max(free, key=lambda n: loads[n].room - loads[n].waiting)
-    coming = [
-        n for n, load in enumerate(loads) if not (load.leaving or load.ready) and load.waiting < streams
+        return max(free, key=lambda n: loads[n].free_streams - loads[n].waiting)
+    connecting = [
+        n for n, load in enumerate(loads) if not (load.closing or load.ready) and load.waiting < max_streams
     ]
-    if coming:
-        return min(coming, key=lambda n: loads[n].waiting)
-    if sum(not load.leaving for load in loads) < most:
-        return Else.OPEN
+    if connecting:
+        return min(connecting, key=lambda n: loads[n].waiting)
+    if sum(not load.closing for load in loads) < max_connections:
+        return Fallback.OPEN
     full = [
         n
         for n, load in enumerate(loads)
-        if not load.leaving and load.waiting < streams and load.room > -streams
+        if not load.closing and load.waiting < max_streams and load.free_streams > -max_streams
     ]
-    return min(full, key=lambda n: loads[n].waiting) if full else Else.NOT_SENT
+    return min(full, key=lambda n: loads[n].waiting) if full else Fallback.NOT_SENT
 
 
-def idle(loads: Sequence[Load], now: float, most_idle: float) -> list[int]:
+def idle_connections(loads: Sequence[ConnectionLoad], now: float, idle_timeout: float) -> list[int]:
     """Connections that have carried nothing for `most_idle` seconds."""
     return [
         n for n, load in enumerate(loads)
-        if load.idle_since is not None and not load.leaving and now - load.idle_since >= most_idle
+        if load.idle_since is not None and not load.closing and now - load.idle_since >= idle_timeout
     ]  # fmt: skip
--- a/coralvale/http2/service.py
+++ b/coralvale/http2/service.py
@@ -13,9 +13,9 @@
 from coralvale.http2.connection import Connection
 from coralvale.http2.model import (
     Answered,
+    Closed,
     Closing,
     Data,
-    Dead,
     Event,
     Failed,
     Fate,
@@ -40,8 +40,8 @@
 from coralvale.operator.model import OperatorError
 
 log = logging.getLogger(__name__)
-LAST_WORDS = 1.0  # s that a connection that is over may take to be closed
-TICK = 0.02  # s between looks at what has waited for too long
+CLOSE_TIMEOUT_S = 1.0  # s that a connection that is over may take to be closed
+TICK_S = 0.02  # s between looks at what has waited for too long
 
 
 @dataclass(slots=True, eq=False)
@@ -58,15 +58,15 @@
     size: int = 0
     credit: int = 0  # bytes kept from the host while the client is slow
     paused: bool = False
-    headed_at: float = 0.0
-    heard_at: float = 0.0
+    headers_at: float = 0.0
+    received_at: float = 0.0
 
     def pause(self) -> None:
         self.paused = True
 
     def resume(self) -> None:
         if self.paused:
-            self.paused, self.heard_at = False, self.link.owner.clock.now()
+            self.paused, self.received_at = False, self.link.owner.clock.now()
             credit, self.credit = self.credit, 0
             self.link.machine.consumed(self.key, credit)
             self.link.pump()
@@ -80,22 +80,24 @@
         self.machine = Connection(owner.limits, b"https" if owner.tls else b"http")
         self.calls: dict[int, Call] = {}
         self.transport: Any = None
-        self.unwritten = self.pumping = self.gone = False
-        self.broke = False  # an attempt's end has told that it broke
-        self.serial = 0
+        self.write_paused = self.pumping = self.disconnected = False
+        self.break_reported = False  # an attempt's end has told that it broke
+        self.last_key = 0
         self.why = ""
         self.idle_since: float | None = None
 
-    def load(self) -> pool.Load:
+    def load(self) -> pool.ConnectionLoad:
         machine = self.machine
-        leaving = machine.closing or machine.dead or self.gone
-        return pool.Load(machine.room, len(machine.waiting), machine.ready, leaving, self.idle_since)
+        closing = machine.closing or machine.closed or self.disconnected
+        return pool.ConnectionLoad(
+            machine.free_streams, len(machine.waiting), machine.ready, closing, self.idle_since
+        )
 
     # The socket
 
     def connection_made(self, transport: Any) -> None:  # noqa: ANN401
         self.transport = transport
-        if self.gone or self.machine.dead:  # given up or retired while it was on its way
+        if self.disconnected or self.machine.closed:  # given up or retired while it was on its way
             transport.abort()
             return
         transport.set_write_buffer_limits(high=0)
@@ -107,10 +109,10 @@
         self.pump()
 
     def pause_writing(self) -> None:
-        self.unwritten = True
+        self.write_paused = True
 
     def resume_writing(self) -> None:
-        self.unwritten = False
+        self.write_paused = False
         self.pump()
 
     def data_received(self, data: bytes) -> None:
@@ -122,11 +124,11 @@
 
     def fail(self, why: str) -> None:
         """There is no connection any more, or there will be none."""
-        if not self.gone:
-            self.gone = True
+        if not self.disconnected:
+            self.disconnected = True
             self.machine.lost(why)
             self.pump()
-            self.owner.dropped(self)
+            self.owner.link_closed(self)
 
     # Attempts
 
@@ -134,14 +136,14 @@
         if (payload := attempt.payload()) is None:
             attempt.end(Outcome.NOT_SENT)
             return
-        self.serial += 1
-        call = Call(attempt, self, self.serial)
-        until = self.owner.clock.now() + self.owner.wait
+        self.last_key += 1
+        call = Call(attempt, self, self.last_key)
+        deadline = self.owner.clock.now() + self.owner.queue_timeout
         headers = payload.headers
         if payload.time_left is not None:
             headers = [*headers, (b"x-timeout", b"%.3f" % payload.time_left)]
         try:
-            self.machine.request(call.key, payload.method, payload.target, headers, payload.body, until)
+            self.machine.request(call.key, payload.method, payload.target, headers, payload.body, deadline)
         except RequestError as error:
             log.warning("a request cannot be put in HTTP/2: %s", error)
             attempt.end(Outcome.NOT_SENT)
@@ -162,9 +164,14 @@
         self.pumping = True
         try:
             while True:
-                for event in self.machine.drain():
-                    self._take(event)
-                if self.transport is None or self.unwritten or self.gone or self.transport.is_closing():
+                for event in self.machine.take_events():
+                    self._handle_event(event)
+                if (
+                    self.transport is None
+                    or self.write_paused
+                    or self.disconnected
+                    or self.transport.is_closing()
+                ):
                     if not self.machine.events:
                         break
                     continue
@@ -177,13 +184,13 @@
             self.pumping = False
         if not self.calls and self.idle_since is None:
             self.idle_since = self.owner.clock.now()
-        if self.machine.dead and self.transport and not self.transport.is_closing():
+        if self.machine.closed and self.transport and not self.transport.is_closing():
             self.transport.close()  # what was written still goes, if the host reads it
-            self.owner.loop.call_later(LAST_WORDS, self.transport.abort)
+            self.owner.loop.call_later(CLOSE_TIMEOUT_S, self.transport.abort)
 
-    def _take(self, event: Event) -> None:
-        if isinstance(event, Dead | Closing):
-            if isinstance(event, Dead) and event.code:
+    def _handle_event(self, event: Event) -> None:
+        if isinstance(event, Closed | Closing):
+            if isinstance(event, Closed) and event.code:
                 log.warning("host %s: the connection has ended: %s", self.place[0], event.why)
             self.why = self.why or event.why
             return
@@ -195,11 +202,11 @@
         if isinstance(event, Sent):
             self.owner.sent += 1
         elif isinstance(event, Head):
-            self._head(call, event)
+            self._handle_head(call, event)
         elif isinstance(event, Data):
             self._data(call, event)
         elif isinstance(event, Answered):
-            self._answered(call)
+            self._complete(call)
         elif isinstance(event, Failed):
             del self.calls[call.key]
             self._failed(call, event)
@@ -208,35 +215,35 @@
         if event.fate is Fate.UNKNOWN:
             self.owner.unknown += 1
             # One broken connection is one break, however many requests it carried.
-            call.attempt.broke, call.attempt.alone = self.machine.dead, not self.broke
-            self.broke = self.machine.dead
+            call.attempt.broke, call.attempt.alone = self.machine.closed, not self.break_reported
+            self.break_reported = self.machine.closed
             call.attempt.end(Outcome.RESET)
-        elif event.told:  # the host's own word: it is well, and takes nothing more for a moment
+        elif event.by_host:  # the host's own word: it is well, and takes nothing more for a moment
             self.owner.not_run += 1
             call.attempt.end(Outcome.FULL)
-        elif not self.machine.ready and self.machine.dead:
-            self.owner.unspoken(self, call.attempt)
+        elif not self.machine.ready and self.machine.closed:
+            self.owner.http2_unavailable(self, call.attempt)
         else:
             call.attempt.end(Outcome.NOT_SENT)
 
-    def _head(self, call: Call, event: Head) -> None:
+    def _handle_head(self, call: Call, event: Head) -> None:
         call.status, call.headers = event.status, event.headers
-        call.headed_at = call.heard_at = self.owner.clock.now()
+        call.headers_at = call.received_at = self.owner.clock.now()
         for name, value in event.headers:
             if name == b"content-length" and value.isdigit() and len(value) < 16:
                 call.length = int(value)
         if call.length is None and call.status == 200:
-            self.owner.loop.call_later(UNKNOWN_LENGTH_WAIT_S, self._hold_no_longer, call)
+            self.owner.loop.call_later(UNKNOWN_LENGTH_WAIT_S, self._stop_buffering, call)
         if call.length is not None and call.length > MAX_BUFFERED_BYTES:
-            self._pass_on(call)
+            self._stream_on(call)
 
-    def _hold_no_longer(self, call: Call) -> None:
+    def _stop_buffering(self, call: Call) -> None:
         if self.calls.get(call.key) is call and call.attempt.sink is None:
-            self._pass_on(call)
+            self._stream_on(call)
             self.pump()
 
     def _data(self, call: Call, event: Data) -> None:
-        call.heard_at = self.owner.clock.now()
+        call.received_at = self.owner.clock.now()
         call.size += len(event.data)
         call.body.append(event.data)
         if call.paused:
@@ -244,9 +251,9 @@
         else:
             self.machine.consumed(call.key, event.credit)
         if call.attempt.sink or call.size > MAX_BUFFERED_BYTES:
-            self._pass_on(call)
+            self._stream_on(call)
 
-    def _pass_on(self, call: Call) -> None:
+    def _stream_on(self, call: Call) -> None:
         attempt, owner = call.attempt, self.owner
         if attempt.sink is None:
             answer = make_answer(call.status, call.headers, b"", owner.report_fields)
@@ -256,14 +263,14 @@
             if sink is None:
                 self.give_up(call, Outcome.ERROR)
                 return
-            attempt.sink, attempt.streamed_at = sink, call.heard_at
+            attempt.sink, attempt.streamed_at = sink, call.received_at
             if attempt.timer:
                 attempt.timer.cancel()
         body, call.body = call.body, []
         if body:
             attempt.sink.write(body)
 
-    def _answered(self, call: Call) -> None:
+    def _complete(self, call: Call) -> None:
         del self.calls[call.key]
         body = b"" if call.attempt.sink else b"".join(call.body)
         answer = make_answer(call.status, call.headers, body, self.owner.report_fields)
@@ -272,7 +279,7 @@
     def tick(self, now: float) -> None:
         self.machine.tick(now)
         for call in [c for c in self.calls.values() if c.attempt.sink and not c.paused]:
-            if now - call.heard_at > STREAM_STALL_TIMEOUT_S:
+            if now - call.received_at > STREAM_STALL_TIMEOUT_S:
                 self.give_up(call, Outcome.RESET)
         self.pump()
 
@@ -293,16 +300,16 @@
         self.kinds = frozenset(kinds.index(name) for name in table.kinds)
         self.table, self.plain, self.clock = table, plain, plain.clock
         self.limits = Limits(
-            streams=table.streams, ping_after=table.ping_after_s, ping_wait=table.ping_wait_s
+            streams=table.streams, ping_after_s=table.ping_after_s, ping_timeout_s=table.ping_wait_s
         )
-        self.wait, self.report_fields = table.wait_ms / 1000, plain.report_fields
-        self.tls = context(table)
+        self.queue_timeout, self.report_fields = table.wait_ms / 1000, plain.report_fields
+        self.tls = ssl_context(table)
         self.loop = asyncio.get_running_loop()
         self.links: dict[Place, list[Link]] = {}
-        self.old: set[Place] = set()  # hosts that do not speak HTTP/2
+        self.without_http2: set[Place] = set()  # hosts that do not speak HTTP/2
         self.tasks: set[asyncio.Task[None]] = set()
         self.sent = self.not_run = self.unknown = 0
-        self.timer = self.loop.call_later(TICK, self._tick)
+        self.timer = self.loop.call_later(TICK_S, self._tick)
 
     @property
     def written(self) -> int:
@@ -316,21 +323,21 @@
             "http2_waiting": sum(len(link.machine.waiting) for link in links),
             "http2_not_run": self.not_run,
             "http2_unknown": self.unknown,
-            "http2_hosts_without": len(self.old),
+            "http2_hosts_without": len(self.without_http2),
         }
         return self.plain.stats() + "".join(f"{name}={count}\n" for name, count in figures.items())
 
     def send(self, attempt: Attempt) -> None:
         place = attempt.place
         other = self.kinds and attempt.kind not in self.kinds
-        if other or (place in self.old and self.table.without == "http1"):
+        if other or (place in self.without_http2 and self.table.without == "http1"):
             self.plain.send(attempt)
             return
         links = self.links.setdefault(place, [])
         chosen = pool.choose([link.load() for link in links], self.table.connections, self.limits.streams)
         if isinstance(chosen, int):
             links[chosen].start(attempt)
-        elif chosen is pool.Else.OPEN and self.plain.make_room():
+        elif chosen is pool.Fallback.OPEN and self.plain.make_room():
             link = Link(self, place)
             links.append(link)
             self.plain.open += 1
@@ -348,19 +355,19 @@
                 await self.loop.create_connection(
                     lambda: link, *link.place[2], ssl=self.tls, server_hostname=name
                 )
-                while not link.machine.ready and not link.gone:  # a host that says nothing is none
-                    await asyncio.sleep(TICK)
+                while not link.machine.ready and not link.disconnected:  # a host that says nothing is none
+                    await asyncio.sleep(TICK_S)
         except (OSError, TimeoutError) as error:
             link.why = link.why or f"no connection: {error}"
             if link.transport:
                 link.transport.abort()
             link.fail(link.why)
 
-    def unspoken(self, link: Link, attempt: Attempt) -> None:
+    def http2_unavailable(self, link: Link, attempt: Attempt) -> None:
         """An attempt whose connection ended before the host said that it speaks HTTP/2: nothing was written."""
         if link.why in ("it does not speak HTTP/2", "it did not agree to h2"):
-            if link.place not in self.old:
-                self.old.add(link.place)
+            if link.place not in self.without_http2:
+                self.without_http2.add(link.place)
                 log.warning("host %s: %s; %s", link.place[0], link.why, self.table.without)
             if self.table.without == "http1":
                 attempt.connection = None
@@ -368,7 +375,7 @@
                 return
         attempt.end(Outcome.CONNECT_FAILED)
 
-    def dropped(self, link: Link) -> None:
+    def link_closed(self, link: Link) -> None:
         self.plain.open -= 1
         links = self.links.get(link.place, [])
         if link in links:
@@ -388,7 +395,7 @@
             attempt.connection.link.give_up(attempt.connection, Outcome.CANCELLED)
 
     def retire(self, place: Place) -> None:
-        self.old.discard(place)
+        self.without_http2.discard(place)
         for link in list(self.links.get(place, [])):
             link.machine.retire("the host is leaving")
             link.pump()
@@ -406,17 +413,17 @@
         self.plain.close()
 
     def _tick(self) -> None:
-        self.timer = self.loop.call_later(TICK, self._tick)
+        self.timer = self.loop.call_later(TICK_S, self._tick)
         now = self.clock.now()
         for links in list(self.links.values()):
-            for number in pool.idle([link.load() for link in links], now, self.table.idle_s):
+            for number in pool.idle_connections([link.load() for link in links], now, self.table.idle_s):
                 links[number].machine.retire("idle")
             for link in list(links):
                 if link.machine.load or link.machine.closing:
                     link.tick(now)
 
 
-def context(table: Table) -> ssl.SSLContext | None:
+def ssl_context(table: Table) -> ssl.SSLContext | None:
     """TLS that offers h2 alone (RFC 9113, 3.2). Raises OperatorError if its file cannot be used."""
     if table.tls is None:
         return None
--- a/tests/http2/test_connection.py
+++ b/tests/http2/test_connection.py
@@ -1,4 +1,4 @@
-"""The connection without I/O against a model host: any schedule of frames, any cut of bytes."""
+"""The connection without I/O against a model host, with random schedules of frames and splits of bytes."""
 
 from __future__ import annotations
 
@@ -10,9 +10,9 @@
 from coralvale.http2.connection import Connection, request_fields
 from coralvale.http2.model import (
     Answered,
+    Closed,
     Closing,
     Data,
-    Dead,
     Event,
     Failed,
     Fate,
@@ -26,25 +26,25 @@
 
 
 class Pair:
-    """A connection, a model host, and the bytes under way between them."""
+    """A connection, a model host, and the bytes in flight between them."""
 
     def __init__(self, host: Http2Peer | None = None) -> None:
         self.now = 0.0
         self.client, self.host = Connection(Limits()), host or Http2Peer()
-        self.there, self.back = bytearray(), bytearray()
-        self.whole: list[Asked] = []  # come to the host and not answered
+        self.to_host, self.back = bytearray(), bytearray()
+        self.whole: list[Asked] = []  # complete at the host and not answered
         self.ended: dict[int, Event | str] = {}
         self.answers: dict[int, bytes] = {}
         self.heads: dict[int, Head] = {}
         self.unread: list[Data] = []
-        self.told: list[Event] = []
+        self.events: list[Event] = []
         self.serial = 0
         self.down = False
         self.client.start(0.0)
 
     def note(self) -> None:
-        for event in self.client.drain():
-            self.told.append(event)
+        for event in self.client.take_events():
+            self.events.append(event)
             if isinstance(event, Data):
                 self.answers[event.key] = self.answers.get(event.key, b"") + event.data
                 self.unread.append(event)
@@ -54,7 +54,7 @@
             elif isinstance(event, Answered | Failed):
                 assert event.key not in self.ended, f"{event.key} has ended twice"
                 self.ended[event.key] = event
-            elif isinstance(event, Dead):
+            elif isinstance(event, Closed):
                 self.down = True
 
     def ask(self, body: bytes = b"", until: float = 1e9) -> int:
@@ -66,13 +66,13 @@
         return self.serial
 
     def send(self) -> None:
-        """What the client has goes on its way: it counts as written."""
-        self.there += self.client.bytes_to_send()
+        """Takes the client's bytes, which then count as written."""
+        self.to_host += self.client.bytes_to_send()
         self.note()
 
     def go(self, size: int | None = None) -> None:
-        data = bytes(self.there[:size])
-        del self.there[: len(data)]
+        data = bytes(self.to_host[:size])
+        del self.to_host[: len(data)]
         self.whole += self.host.receive(data)
 
     def come(self, size: int | None = None) -> None:
@@ -148,7 +148,7 @@
             host.reset(chosen)
     elif name == "reset" and any_open:
         host.reset(any_open[number % len(any_open)], 0x8)
-    elif name == "goaway":  # never below what it has run
+    elif name == "goaway":  # never below a stream that it has run
         least = max([0, *(a.id for a in host.streams.values() if host.ran[a.name])])
         host.goaway(least + number % 8)
     elif name == "graceful":
@@ -180,6 +180,7 @@
         pair.note()
 
 
+# Hypothesis derives the schedules from the function's text, comments aside: other names draw other schedules.
 @settings(max_examples=2000, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(STEPS, st.booleans(), st.booleans(), st.sampled_from([None, 1, 3, 100]))
 def test_what_is_called_not_run_did_not_run_in_any_schedule(
@@ -193,14 +194,14 @@
     for name, number in steps:
         step(pair, name, number)
         counted = {k for k in range(1, pair.serial + 1) if k in pair.ended} | set(pair.client.waiting)
-        assert len(counted | set(pair.client.keys)) == pair.serial  # none is lost
-    if last_words:  # all that the host has said comes, then the connection breaks
+        assert len(counted | set(pair.client.keys)) == pair.serial  # no request is lost
+    if last_words:  # all bytes of the host arrive before the connection breaks
         while pair.back or pair.host.out:
             pair.come()
     heard = not (pair.back or pair.host.out)
     pair.client.lost("the socket broke")
     pair.note()
-    # The host goes on: what was under way comes, and it runs all that it may.
+    # The host continues: bytes in flight arrive, and it runs all requests that it may.
     pair.go()
     for asked in pair.whole:
         if not pair.host.ran[asked.name]:
@@ -215,29 +216,29 @@
             assert ran == 1
         told = asked and (asked.name in pair.host.not_run or asked.id > pair.host.goaway_at)
         if isinstance(event, Failed) and (asked is None or (told and heard and last_words)):
-            # A connection that this end has ended may not have come to read it.
+            # If this end closed the connection, it may not have read the host's frame.
             assert event.fate is Fate.NOT_RUN or pair.down, f"{key}: {event}"
 
 
-def test_a_goaway_above_at_and_below_a_bookmark_add_that_is_under_way() -> None:
+def test_goaway_with_an_id_below_at_and_above_a_request_in_flight() -> None:
     for offset, fate in ((-2, Fate.NOT_RUN), (0, Fate.UNKNOWN), (2, Fate.UNKNOWN)):
         pair = Pair()
         pair.settle()
         pair.ask()
-        key = pair.ask(b"b" * 200_000)  # more than the window: it is in mid-body
+        key = pair.ask(b"b" * 200_000)  # more than the window, so part of the body is unsent
         pair.settle()
         stream = pair.client.keys[key]
-        assert not stream.ended
+        assert not stream.body_encoded
         pair.host.goaway(stream.id + offset)
         pair.come()
         if fate is Fate.UNKNOWN:
-            assert key not in pair.ended  # it goes on
+            assert key not in pair.ended  # it continues
             pair.client.lost("broken")
             pair.note()
         assert pair.fate(key) is fate
 
 
-def test_bytes_still_in_the_buffer_when_goaway_comes_leave_in_order() -> None:
+def test_buffered_bytes_are_still_sent_in_order_after_goaway() -> None:
     pair = Pair()
     pair.settle()
     first = pair.ask()
@@ -245,25 +246,25 @@
     second = pair.ask()
     pair.host.ping()
     pair.host.goaway(1)
-    pair.come()  # before the second has left
+    pair.come()  # before the second is sent
     assert pair.fate(second) is Fate.NOT_RUN
-    pair.settle()  # the ping's answer is not lost with them
+    pair.settle()  # the PING reply must not be lost
     assert pair.host.pings == 1 and len(pair.host.streams) == 1
     pair.serve(pair.whole[0])
     pair.settle()
     assert isinstance(pair.ended[first], Answered) and pair.down
 
 
-def test_the_graceful_goaway_takes_two_steps_and_serves_what_came_between() -> None:
+def test_a_two_step_goaway_serves_requests_sent_between_the_steps() -> None:
     pair = Pair()
     pair.settle()
     keys = [pair.ask() for _ in range(3)]
     pair.send()
     pair.host.goaway(LAST)
     pair.come()
-    assert any(isinstance(e, Closing) for e in pair.told) and not pair.ended
+    assert any(isinstance(e, Closing) for e in pair.events) and not pair.ended
     late = pair.ask()
-    assert pair.fate(late) is Fate.NOT_RUN  # goes elsewhere at once
+    assert pair.fate(late) is Fate.NOT_RUN  # can be sent to another host at once
     pair.go()
     pair.host.goaway(3)
     for asked in pair.whole[:2]:
@@ -273,7 +274,7 @@
     assert pair.fate(keys[2]) is Fate.NOT_RUN and pair.down
 
 
-def test_a_limit_lowered_below_what_is_open_and_raised_again() -> None:
+def test_a_stream_limit_lowered_below_the_open_streams_and_raised_again() -> None:
     pair = Pair(host=Http2Peer(4))
     pair.settle()
     keys = [pair.ask(until=5.0) for _ in range(6)]
@@ -282,15 +283,15 @@
     for limit in (2, 0, 1, 0):
         pair.host.settings(limit=limit)
     pair.settle()
-    assert pair.client.room == -4
+    assert pair.client.free_streams == -4
     for asked in list(pair.whole):
         pair.serve(asked)
     pair.settle()
-    assert len(pair.host.streams) == 4 and pair.client.room == 0  # none over the limit
+    assert len(pair.host.streams) == 4 and pair.client.free_streams == 0  # none over the limit
     pair.now = 5.0
     pair.client.tick(5.0)
     pair.note()
-    assert [pair.fate(k) for k in keys[4:]] == [Fate.NOT_RUN] * 2  # not held for longer
+    assert [pair.fate(k) for k in keys[4:]] == [Fate.NOT_RUN] * 2  # failed at their deadline
     pair.host.settings(limit=10)
     pair.settle()
     pair.ask()
@@ -298,7 +299,7 @@
     assert len(pair.host.streams) == 5
 
 
-def test_a_window_that_becomes_negative_stops_a_body_until_it_is_open_again() -> None:
+def test_a_negative_window_stops_a_body_until_it_is_positive_again() -> None:
     pair = Pair()
     pair.settle()
     key = pair.ask(b"c" * 100_000)
@@ -307,7 +308,7 @@
     assert sent == 65_535
     pair.host.settings(window=10)
     pair.host.grant(0, 1_000_000)
-    pair.host.grant(1, 1000)  # still below nought
+    pair.host.grant(1, 1000)  # still negative
     pair.settle()
     assert len(pair.host.streams[1].body) == sent
     pair.host.grant(1, 200_000)
@@ -318,7 +319,7 @@
     assert isinstance(pair.ended[key], Answered)
 
 
-def test_a_slow_client_stops_its_own_stream_and_no_other() -> None:
+def test_a_slow_client_blocks_only_its_own_stream() -> None:
     pair = Pair()
     pair.settle()
     slow, quick = pair.ask(), pair.ask()
@@ -342,7 +343,7 @@
     assert len(pair.answers[quick]) == 1_000_000 and len(pair.answers[slow]) == 65_535
 
 
-def test_silence_is_told_from_a_slow_host_by_ping() -> None:
+def test_ping_distinguishes_a_silent_host_from_a_slow_one() -> None:
     pair = Pair()
     pair.settle()
     key = pair.ask()
@@ -360,7 +361,7 @@
     assert pair.down and pair.fate(key) is Fate.UNKNOWN
 
 
-def test_stream_ids_that_run_out_end_the_connection_without_loss() -> None:
+def test_exhausted_stream_ids_end_the_connection_without_lost_requests() -> None:
     pair = Pair()
     pair.settle()
     pair.client.h2.highest_outbound_stream_id = LAST - 2
@@ -374,7 +375,7 @@
     assert isinstance(pair.ended[first], Answered) and pair.down
 
 
-def test_refused_after_a_part_of_an_answer_is_unknown() -> None:
+def test_refused_stream_after_part_of_an_answer_is_unknown() -> None:
     pair = Pair()
     pair.settle()
     key = pair.ask()
@@ -385,7 +386,7 @@
     assert pair.fate(key) is Fate.UNKNOWN
 
 
-def test_an_answer_ahead_of_the_request_ends_its_body() -> None:
+def test_an_answer_before_the_end_of_the_request_stops_its_body() -> None:
     pair = Pair()
     pair.settle()
     key = pair.ask(b"f" * 300_000)
@@ -404,7 +405,7 @@
 
 
 @pytest.mark.parametrize(("status", "fields"), [(304, [("content-length", "5")]), (204, []), (200, [])])
-def test_answers_without_a_body_are_whole(status: int, fields: list[tuple[str, str]]) -> None:
+def test_answers_without_a_body_are_complete(status: int, fields: list[tuple[str, str]]) -> None:
     pair = Pair()
     pair.settle()
     key = pair.ask()
@@ -416,7 +417,7 @@
     assert not pair.down
 
 
-def hostile(name: str, pair: Pair) -> bytes:
+def hostile_frames(name: str, pair: Pair) -> bytes:
     host = pair.host
     asked = host.streams[1]
     block = host.encoder.encode([(":status", "200"), ("x-a", "b" * 60)])
@@ -433,7 +434,7 @@
         return HeadersFrame(1, block).serialize() + b"".join(parts)
     if name == "small continuation":
         return HeadersFrame(1, block).serialize() + ContinuationFrame(1, b"").serialize() * 3000
-    if name == "header bomb":  # one large field in the table, told over and over
+    if name == "header bomb":  # one large table entry, referenced many times
         bomb = host.encoder.encode([(":status", "200"), ("x-bomb", "b" * 3900)])
         return HeadersFrame(1, bomb + bytes([0x80 | 62]) * 4000, flags=["END_HEADERS"]).serialize()
     if name == "push":
@@ -463,34 +464,34 @@
 
 @pytest.mark.parametrize("name", HOSTILE)
 @pytest.mark.parametrize("cut", [1, 16_000])
-def test_a_hostile_host_ends_its_connection_by_the_right_code(name: str, cut: int) -> None:
+def test_a_hostile_host_ends_its_connection_with_the_right_error_code(name: str, cut: int) -> None:
     pair = Pair()
     pair.settle()
     out = pair.ask()
     pair.settle()
     waits = pair.ask()
-    data = hostile(name, pair)
+    data = hostile_frames(name, pair)
     for start in range(0, len(data), cut):
         if pair.down:
             break
         pair.client.receive(0.0, data[start : start + cut])
         pair.note()
-    dead = [event for event in pair.told if isinstance(event, Dead)]
+    dead = [event for event in pair.events if isinstance(event, Closed)]
     assert [event.code for event in dead] == [HOSTILE[name]], dead
     assert pair.fate(waits) is Fate.NOT_RUN
     assert pair.fate(out) is Fate.UNKNOWN
-    assert len(pair.client.bytes_to_send()) < 32_768  # what it made this end say is bounded
+    assert len(pair.client.bytes_to_send()) < 32_768  # the output that it causes is limited
     assert not pair.client.streams and not pair.client.waiting
 
 
-def test_a_host_that_does_not_speak_http2_is_told_nothing() -> None:
+def test_no_request_is_sent_to_a_host_without_http2() -> None:
     pair = Pair()
     key = pair.ask()
     pair.send()
     pair.client.receive(0.0, b"HTTP/1.1 400 Bad Request\r\n\r\n")
     pair.note()
-    assert pair.fate(key) is Fate.NOT_RUN and pair.down and b"\x00\x00" not in pair.there[:3]
-    assert not any(isinstance(event, Ready | Sent) for event in pair.told)
+    assert pair.fate(key) is Fate.NOT_RUN and pair.down and b"\x00\x00" not in pair.to_host[:3]
+    assert not any(isinstance(event, Ready | Sent) for event in pair.events)
 
 
 @pytest.mark.parametrize(
@@ -511,14 +512,14 @@
         (b"GET", b"/", [(b"x", b"a\0b")]),
     ],
 )
-def test_nothing_that_could_become_another_request_goes_out(
+def test_input_that_could_be_read_as_another_request_is_rejected(
     method: bytes, target: bytes, headers: list[tuple[bytes, bytes]]
 ) -> None:
     with pytest.raises(RequestError):
         request_fields(method, target, headers, None)
 
 
-def test_fields_are_put_in_the_form_of_http2() -> None:
+def test_fields_are_converted_to_http2() -> None:
     headers = [
         (b"Host", b"audio.example:80"), (b"TE", b"trailers, deflate"), (b"Connection", b"x-mine"),
         (b"Transfer-Encoding", b"chunked"), (b"Cookie", b"a=b; c=d"), (b"X-Name", b" v "),
@@ -530,14 +531,14 @@
     ]  # fmt: skip
 
 
-def test_the_answer_to_head_has_a_length_and_no_body() -> None:
+def test_an_answer_to_head_may_have_a_length_without_a_body() -> None:
     pair = Pair()
     pair.settle()
     pair.client.request(1, b"HEAD", b"/x", [(b"X-Request-ID", b"1")], [], 1e9)
     pair.settle()
     pair.host.head(pair.whole[0], 200, ("content-length", "5"), end=True)
     pair.settle()
-    assert [type(event) for event in pair.told if not isinstance(event, Ready | Sent)] == [Head, Answered]
+    assert [type(event) for event in pair.events if not isinstance(event, Ready | Sent)] == [Head, Answered]
 
 
 @pytest.mark.parametrize(
@@ -554,9 +555,7 @@
         ([(":status", "200")], b"1"),
     ],
 )
-def test_an_answer_that_is_none_ends_its_request_as_unknown(
-    fields: list[tuple[str, str]], body: bytes
-) -> None:
+def test_a_malformed_answer_ends_its_request_as_unknown(fields: list[tuple[str, str]], body: bytes) -> None:
     pair = Pair()
     pair.settle()
     key = pair.ask()
--- a/tests/http2/test_pool.py
+++ b/tests/http2/test_pool.py
@@ -1,4 +1,4 @@
-"""Which connection takes a request: few of them, none over its limit, none that is leaving."""
+"""Selection of a connection: few connections, none beyond its limit, none that is closing."""
 
 from __future__ import annotations
 
@@ -8,41 +8,41 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from coralvale.http2.pool import Else, Load, choose, idle
+from coralvale.http2.pool import ConnectionLoad, Fallback, choose, idle_connections
 
 LOADS = st.lists(
-    st.builds(Load, st.integers(-5, 5), st.integers(0, 6), st.booleans(), st.booleans(), st.none()),
+    st.builds(ConnectionLoad, st.integers(-5, 5), st.integers(0, 6), st.booleans(), st.booleans(), st.none()),
     max_size=5,
 )
 
 
 @settings(derandomize=True, deadline=None)
 @given(LOADS, st.integers(1, 4))
-def test_a_request_goes_where_there_is_room_and_nowhere_else(loads: list[Load], most: int) -> None:
+def test_a_request_goes_only_to_a_connection_with_room(loads: list[ConnectionLoad], most: int) -> None:
     chosen = choose(loads, most, 4)
-    alive = [load for load in loads if not load.leaving]
-    roomy = [load for load in alive if load.ready and load.room > load.waiting]
-    if chosen is Else.OPEN:
-        assert len(alive) < most and not roomy
-        assert all(load.ready or load.waiting >= 4 for load in alive)  # none on its way that could take it
-    elif chosen is Else.NOT_SENT:
-        assert len(alive) >= most and not roomy
+    alive = [load for load in loads if not load.closing]
+    with_room = [load for load in alive if load.ready and load.free_streams > load.waiting]
+    if chosen is Fallback.OPEN:
+        assert len(alive) < most and not with_room
+        assert all(load.ready or load.waiting >= 4 for load in alive)  # no connecting one could take it
+    elif chosen is Fallback.NOT_SENT:
+        assert len(alive) >= most and not with_room
     else:
         load = loads[chosen]
-        assert not load.leaving and (load in roomy or not roomy)
-        assert load in roomy or load.waiting < 4
+        assert not load.closing and (load in with_room or not with_room)
+        assert load in with_room or load.waiting < 4
 
 
-def test_idle_connections_are_let_go_and_busy_ones_are_not() -> None:
+def test_only_idle_connections_are_closed() -> None:
     loads = [
-        Load(5, 0, True, idle_since=1.0),
-        Load(4, 0, True),
-        Load(0, 0, True, leaving=True, idle_since=1.0),
+        ConnectionLoad(5, 0, True, idle_since=1.0),
+        ConnectionLoad(4, 0, True),
+        ConnectionLoad(0, 0, True, closing=True, idle_since=1.0),
     ]
-    assert idle(loads, 10.9, 10.0) == [] and idle(loads, 11.0, 10.0) == [0]
+    assert idle_connections(loads, 10.9, 10.0) == [] and idle_connections(loads, 11.0, 10.0) == [0]
 
 
-def test_a_gateway_without_the_table_imports_nothing_of_it() -> None:
+def test_a_gateway_without_http2_settings_does_not_import_it() -> None:
     code = (
         "import sys, coralvale.__main__, coralvale.net.node; "
         "sys.exit(any(m.split('.')[0] in ('h2', 'hpack', 'hyperframe') or m.startswith('coralvale.http2') "
--- a/tests/http2/test_sockets.py
+++ b/tests/http2/test_sockets.py
@@ -1,4 +1,4 @@
-"""A real gateway as a process, and hosts that speak HTTP/2: under load, closing at random."""
+"""A gateway process and hosts that speak HTTP/2, also under load with hosts that close at random."""
 
 from __future__ import annotations
 
@@ -86,7 +86,7 @@
         assert not [v for h in hosts if isinstance(h, Http2Host) for v in h.violations]
 
 
-def test_many_requests_go_over_one_connection_and_come_back_whole(tmp_path: Path) -> None:
+def test_many_requests_over_one_connection_are_answered_whole(tmp_path: Path) -> None:
     async def test() -> None:
         host = Http2Host("s-1", delay=0.02, body=b"a" * 300)
         async with world(tmp_path, [host]) as w:
@@ -109,7 +109,7 @@
     run(test())
 
 
-def test_large_bodies_and_answers_go_through_both_ways(tmp_path: Path) -> None:
+def test_large_request_bodies_and_answers_are_transferred_whole(tmp_path: Path) -> None:
     async def test() -> None:
         host = Http2Host("s-1", body=random.Random(SEED).randbytes(400_000))
         async with world(tmp_path, [host]) as w:
@@ -121,8 +121,8 @@
 
 
 @dataclass
-class Said:
-    """One request under load, in Unix seconds."""
+class RequestResult:
+    """Result of one request under load; times are Unix time in seconds."""
 
     cls: str
     sent: float
@@ -131,15 +131,15 @@
 
 
 @pytest.mark.parametrize("seed", [SEED, SEED + 1])
-def test_under_load_hosts_that_close_at_random_run_no_write_twice_and_lose_nothing(
+def test_hosts_that_close_at_random_under_load_run_no_write_twice_and_lose_no_request(
     tmp_path: Path, seed: int
 ) -> None:
-    """What is held is what the hosts know; shares of requests would depend on how busy the machine is."""
+    """Results are compared with the records of the hosts: rates would depend on the load of the machine."""
     faults = Faults(refuse=0.03, goaway=0.01, graceful=0.01, drop=0.005, lost_answer=0.005)
 
     async def test() -> None:
         hosts = [Http2Host(f"s-{i}", seed=seed, faults=faults) for i in range(4)]
-        says: dict[str, Said] = {}
+        says: dict[str, RequestResult] = {}
         async with world(tmp_path, hosts) as w:
 
             async def some(number: int) -> None:
@@ -148,10 +148,10 @@
                     name, cls = f"{number}-{turn}", WRITE if turn % 3 == 0 else READ
                     sent = time.time()
                     said = await soon(client.ask(ask(name, cls, b"a bookmark" if cls == WRITE else b"")))
-                    says[name] = Said(cls, sent, time.time(), said.status)
+                    says[name] = RequestResult(cls, sent, time.time(), said.status)
                     assert said.status in (200, 502, 503), said.status
                     if said.status == 503:
-                        # A client that came again at once would be most of what is counted.
+                        # Without this wait, most requests would be immediate retries of refused ones.
                         await asyncio.sleep(float(said.headers[b"retry-after"]))
                 client.close()
 
@@ -167,9 +167,9 @@
         assert all(ran[name] <= 1 for name in writes), f"seed {seed}"
         assert all(ran[name] >= 1 for name, said in says.items() if said.status == 200), f"seed {seed}"
 
-        # A write is given up on as unknown only where it is: a host took it and neither ran it with an answer nor
-        # said that it did not, or a connection broke with it under way.
-        def unknown(name: str, said: Said) -> bool:
+        # A write may fail as unknown only if a host received it and neither answered it nor reported it as
+        # not run, or if a connection broke while it was in flight.
+        def unknown(name: str, said: RequestResult) -> bool:
             after = bisect.bisect(broken, said.sent - 0.05)
             return came[name] > told[name] + answered[name] or (
                 after < len(broken) and broken[after] < said.at
@@ -177,7 +177,7 @@
 
         lost = {name: said for name, said in writes.items() if said.status == 502}
         assert [name for name, said in lost.items() if not unknown(name, said)] == [], f"seed {seed}"
-        # A read that a host took and did not run goes again, to an answer; what is not served is refused.
+        # A read that a host received and did not run is retried; it is answered, or refused with 503.
         unrun = {name: said for name, said in reads.items() if came[name] > ran[name]}
         again = {name: said for name, said in unrun.items() if came[name] > 1}
         slowest = max(said.at - said.sent for said in unrun.values())
@@ -189,17 +189,19 @@
             f"refused {sum(s.status == 503 for s in unrun.values())}, slowest {slowest:.3f} s"
         )
         assert all(said.status in (200, 503) for said in reads.values()) and slowest < 4.5, f"seed {seed}"
-        # What an unknown write takes along is the machine's affair; of all others as many are served as ever.
+        # The number of writes with unknown outcome depends on the machine; of the others at least 95 % are
+        # served.
         told = Counter(said.status for said in says.values())
         assert told[200] + len(lost) >= 0.95 * len(says), f"seed {seed}: {told}"
-        # Some are refused: past the limits on attempts, or at the start, when no host is known to be sound.
+        # Some are refused: beyond the limits on attempts, or at the start, before any host is known to be
+        # healthy.
         assert len(unrun) > TURNS / 10 and len(again) >= len(unrun) / 2, f"seed {seed}"
 
     run(test(), 3 * LIMIT + TURNS / 20)
 
 
-def test_a_host_that_says_what_it_did_not_run_costs_no_write(tmp_path: Path) -> None:
-    """With another host at hand, each write that GOAWAY or REFUSED_STREAM tells of goes there."""
+def test_writes_reported_as_not_run_succeed_at_another_host(tmp_path: Path) -> None:
+    """Each write that the host reports with GOAWAY or REFUSED_STREAM is sent to the other host."""
 
     async def test() -> None:
         bad = Http2Host("s-1", seed=SEED, faults=Faults(refuse=0.15, goaway=0.05))
@@ -214,13 +216,13 @@
     run(test())
 
 
-def test_beside_a_sound_host_every_read_that_did_not_run_goes_again_and_is_served(tmp_path: Path) -> None:
+def test_reads_that_did_not_run_are_retried_and_served_by_a_healthy_host(tmp_path: Path) -> None:
     async def test() -> None:
         faults = Faults(refuse=0.15, goaway=0.1, drop=0.1, lost_answer=0.1)
         bad, good = Http2Host("s-1", seed=SEED, faults=faults), Http2Host("s-2", seed=SEED)
         unrun: set[str] = set()
         async with world(tmp_path, [bad, good]) as w:
-            for number in range(5000):  # one after another: many at once would pass the limit on repeats
+            for number in range(5000):  # in sequence: many at once would exceed the limit on retries
                 said = await w.ask(f"r{number}")
                 assert said.status == 200, (number, said.status)
                 unrun = {name for _, name in bad.arrivals} - set(bad.ran)
@@ -231,7 +233,7 @@
     run(test())
 
 
-def test_a_drained_host_gets_nothing_new_and_ends_what_it_has(tmp_path: Path) -> None:
+def test_a_drained_host_gets_no_new_requests_and_finishes_its_own(tmp_path: Path) -> None:
     async def test() -> None:
         hosts = [Http2Host(f"s-{i}", delay=0.3) for i in range(2)]
         async with world(tmp_path, hosts) as w:
@@ -251,7 +253,7 @@
 
 
 @pytest.mark.parametrize(("without", "status"), [("http1", 200), ("out", 503)])
-def test_a_host_that_does_not_speak_it_follows_the_rule(tmp_path: Path, without: str, status: int) -> None:
+def test_a_host_without_http2_is_handled_as_configured(tmp_path: Path, without: str, status: int) -> None:
     async def test() -> None:
         host = Host("s-1")
         async with world(tmp_path, [host], f'without = "{without}"') as w:
@@ -282,7 +284,7 @@
     run(test())
 
 
-def test_a_limit_of_streams_is_kept_and_what_waits_is_answered(tmp_path: Path) -> None:
+def test_the_stream_limit_is_respected_and_queued_requests_are_answered(tmp_path: Path) -> None:
     async def test() -> None:
         hosts = [Http2Host(f"s-{i}", delay=0.05, limit=3) for i in range(2)]
         async with world(tmp_path, hosts, "connections = 1\nwait_ms = 50\n") as w:
@@ -295,7 +297,7 @@
     run(test())
 
 
-def test_a_deadline_that_passes_resets_its_own_stream_alone(tmp_path: Path) -> None:
+def test_an_expired_deadline_resets_only_its_own_stream(tmp_path: Path) -> None:
     async def test() -> None:
         host = Http2Host("s-1", delay=1.0)
         async with world(tmp_path, [host]) as w:
@@ -309,7 +311,7 @@
     run(test())
 
 
-def test_a_host_that_opens_no_window_holds_up_that_request_alone(tmp_path: Path) -> None:
+def test_a_host_with_a_closed_window_blocks_only_that_request(tmp_path: Path) -> None:
     async def test() -> None:
         host = Http2Host("s-1", window=100)
         async with world(tmp_path, [host]) as w:
@@ -323,12 +325,12 @@
     run(test())
 
 
-def test_a_slow_client_stops_its_own_stream_and_no_other(tmp_path: Path) -> None:
+def test_a_slow_client_blocks_only_its_own_stream(tmp_path: Path) -> None:
     async def test() -> None:
         host = Http2Host("s-1", body=b"e" * 3_000_000)
         async with world(tmp_path, [host]) as w:
             slow = await w.client()
-            slow.send(ask("slow"))  # and does not read
+            slow.send(ask("slow"))  # does not read the answer
             while "slow" not in host.ran:
                 await asyncio.sleep(0.01)
             await asyncio.sleep(0.2)
@@ -339,7 +341,7 @@
             gone = await w.client()
             gone.send(ask("gone"))
             await soon(gone.reader.readexactly(1000))
-            gone.close()  # in mid-answer
+            gone.close()  # in the middle of the answer
             while "gone" not in host.left:
                 await asyncio.sleep(0.01)
             assert len((await w.ask("after")).body) == 3_000_000
@@ -348,7 +350,7 @@
     run(test())
 
 
-def test_hosts_of_other_kinds_are_spoken_to_as_ever(tmp_path: Path) -> None:
+def test_hosts_of_other_kinds_get_http1(tmp_path: Path) -> None:
     async def test() -> None:
         host = Host("s-1")
         async with world(tmp_path, [host], 'kinds = ["large"]', kind="small") as w:
@@ -358,7 +360,7 @@
     run(test())
 
 
-def test_a_kind_that_is_not_there_is_refused_at_the_start(tmp_path: Path) -> None:
+def test_an_unknown_kind_of_host_is_rejected_at_startup(tmp_path: Path) -> None:
     async def test() -> None:
         with pytest.raises(RuntimeError):
             async with world(tmp_path, [], 'kinds = ["huge"]'):
@@ -368,7 +370,7 @@
     run(test())
 
 
-def test_a_broken_connection_with_many_streams_ends_each_as_unknown(tmp_path: Path) -> None:
+def test_a_broken_connection_ends_each_of_its_streams_as_unknown(tmp_path: Path) -> None:
     async def test() -> None:
         host = Http2Host("s-1", delay=0.3)
         async with world(tmp_path, [host]) as w:
@@ -387,7 +389,7 @@
     run(test())
 
 
-def test_a_client_that_leaves_resets_its_own_stream_alone(tmp_path: Path) -> None:
+def test_a_disconnected_client_resets_only_its_own_stream(tmp_path: Path) -> None:
     async def test() -> None:
         host = Http2Host("s-1", delay=1.0)
         async with world(tmp_path, [host]) as w:
