--- a/coralvale/http2/connection.py
+++ b/coralvale/http2/connection.py
@@ -1,15 +1,17 @@
 """One connection to a host that speaks HTTP/2, without I/O: requests and bytes in, bytes and events out.
 
-`h2` keeps frames, HPACK, windows and the states of streams. What it does not keep is here:
-
-- What was not run (see `model`). A request is encoded only when the socket asks for bytes, so one that waits has
-  left nothing behind in the compression state and may be taken back at any time.
-- GOAWAY. `h2` takes it for the end of the connection and drops what it had to send; RFC 9113, 6.8 lets streams up
-  to the last id end. So frames are cut apart before `h2` sees them, and GOAWAY is read here.
-- Bounds on what a host can make this end do: frames that carry no part of an answer are counted, as are the bytes
-  of a header block. Frames are given to `h2` one at a time: where the bytes are cut changes no outcome.
-
-Nothing is written before the host's first SETTINGS has come: a host that does not speak HTTP/2 has then run
+`h2` handles frames, HPACK, flow control and the states of streams. This module adds what `h2` lacks:
+
+- Requests that were certainly not run (see `model`). A request is encoded only when the socket asks for
+bytes.
+  A queued request has therefore not changed the compression state and can be withdrawn at any time.
+- GOAWAY. `h2` treats it as the end of the connection and drops its unsent data; RFC 9113, 6.8 lets streams up
+  to the last id finish. So frames are split before `h2` sees them, and GOAWAY is handled here.
+- Limits on the work that a host can cause: frames that carry no part of an answer are counted, as are the
+  bytes of a header block. `h2` gets one frame at a time, so that the outcome does not depend on how the bytes
+  are split.
+
+Nothing is written before the host's first SETTINGS frame: a host that does not speak HTTP/2 has then run
 nothing, and its limit on streams is known before the first request.
 """
 
@@ -43,26 +45,23 @@
     Sent,
 )
 
-MAX_FRAME_BYTES = 16_384  # bytes of a frame that a host may send: what RFC 9113, 4.2 gives as the default
-MAX_ENCODED_AHEAD_BYTES = (
-    64 * 1024
-)  # bytes encoded ahead of the socket: what is encoded can no longer be taken back
-MAX_CONTINUATION_FRAMES = (
-    32  # CONTINUATION frames of one header block: h2 takes 64, and ends it by another code
-)
-MAX_INTERIM_ANSWERS = 8  # answers 1xx ahead of the real one
+MAX_FRAME_BYTES = 16_384  # largest frame accepted from a host: the default of RFC 9113, 4.2
+MAX_ENCODED_AHEAD_BYTES = 64 * 1024  # ahead of the socket: encoded requests can't be withdrawn
+MAX_CONTINUATION_FRAMES = 32  # of one header block; h2 has a limit of 64 and reports another error code
+MAX_INTERIM_ANSWERS = 8  # 1xx responses before the final one
 DATA, HEADERS, SETTINGS, PUSH, GOAWAY, CONTINUATION = 0x0, 0x1, 0x4, 0x5, 0x7, 0x9
 END_STREAM, END_HEADERS = 0x1, 0x4
 TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")  # RFC 9110, 5.6.2
-FORBIDDEN_IN_VALUE = re.compile(rb"[\x00\r\n]")  # RFC 9113, 8.2.1: never part of a value
+FORBIDDEN_IN_VALUE = re.compile(rb"[\x00\r\n]")  # RFC 9113, 8.2.1
 PATH = re.compile(rb"/[\x21-\x7e]*")
-# Of one connection alone (RFC 9113, 8.2.2), or told by a pseudo-header.
+# Fields of a single connection (RFC 9113, 8.2.2), or expressed by a pseudo-header field.
 DROPPED_FIELDS = {
     b"connection", b"keep-alive", b"proxy-connection", b"transfer-encoding", b"upgrade", b"te", b"host",
     b"http2-settings", b"content-length", b"trailer", b"expect",
 }  # fmt: skip
 
-# New with each request, or secret (RFC 7541, 7.1.3): kept in the compression state they would push out the rest.
+# Different in each request, or secret (RFC 7541, 7.1.3): indexed, they would evict other fields from the
+# compression table.
 NEVER_INDEXED_FIELDS = {b"x-request-id", b"x-timeout", b"cookie", b"authorization", b"quota-info"}
 
 Fields = list[tuple[bytes, bytes]]
@@ -71,9 +70,9 @@
 def request_fields(
     method: bytes, target: bytes, headers: Fields, size: int | None, scheme: bytes = b"http"
 ) -> Fields:
-    """A request's fields in HTTP/2 (RFC 9113, 8.3.1). `size` is the body's, None for one without.
+    """Returns the fields of a request in HTTP/2 (RFC 9113, 8.3.1); `size` is that of the body or None.
 
-    Raises RequestError for what could become another request on the way.
+    Raises RequestError for input that a host or proxy could read as a different request.
     """
     if not TOKEN.fullmatch(method) or method == b"CONNECT":
         raise RequestError(f"method: {method!r}")
@@ -103,7 +102,7 @@
 
 @dataclass(slots=True)
 class QueuedRequest:
-    """A request of which nothing has been encoded."""
+    """A request that waits for a stream; nothing of it has been encoded."""
 
     fields: Fields
     body: list[bytes]
@@ -112,23 +111,27 @@
 
 @dataclass(slots=True, eq=False)
 class Stream:
-    """A request that is out."""
+    """A request that has been encoded in part or whole."""
 
     key: int
     id: int
     body: deque[memoryview]
-    body_encoded: bool = False  # all of it was encoded
+    body_encoded: bool = False
     status: int = 0
     interim_count: int = 0
-    credit: int = 0  # of its window, to be given back to the host
+    credit: int = 0  # bytes of flow control credit to return to the host
 
 
 class Connection:
-    """See the module's text. Keys are the caller's own names of requests. After each call `drain` tells."""
+    """State machine of one connection; `key` is the caller's own id of a request.
+
+    Every method may produce events, which the caller collects with `take_events`. Times are the caller's
+    clock, in seconds.
+    """
 
     def __init__(self, limits: Limits, scheme: bytes = b"http") -> None:
         self.limits, self.scheme = limits, scheme
-        # What goes out is checked by `request_fields`, once.
+        # Outbound fields are checked once, by `request_fields`.
         self.h2 = H2Connection(
             H2Configuration(client_side=True, header_encoding=None, validate_outbound_headers=False)
         )
@@ -136,7 +139,7 @@
         self.streams: dict[int, Stream] = {}
         self.keys: dict[int, Stream] = {}
         self.ready = self.closing = self.closed = False
-        self.last_stream_id = (1 << 31) - 1  # id of the last stream that the host may still run
+        self.last_stream_id = (1 << 31) - 1  # highest stream id that the host may still run
         self.events: list[Event] = []
         self.out = bytearray()
         self.buffer, self.header_block_bytes, self.continuations, self.in_header_block = (
@@ -150,6 +153,7 @@
         self.received_at = self.pinged_at = 0.0
 
     def start(self, now: float) -> None:
+        """Prepares the connection preface and the settings of this end."""
         self.received_at = self.control_budget_at = now
         initial = {
             SettingCodes.ENABLE_PUSH: 0,
@@ -160,19 +164,20 @@
         self.h2.local_settings = Settings(client=True, initial_values=initial)
         self.h2.decoder.max_header_list_size = self.limits.header_bytes
         self.h2.initiate_connection()
-        # Each stream stops its own client alone: the connection's window is wide enough for all of them.
+        # A slow client must only stop its own stream, so the connection's window is large enough for all
+        # streams.
         self.h2.increment_flow_control_window(self.limits.streams * self.limits.window)
 
     # Requests
 
     @property
     def load(self) -> int:
-        """Requests that it carries or that wait for it."""
+        """Number of requests that it carries or that are queued for it."""
         return len(self.streams) + len(self.waiting)
 
     @property
     def free_streams(self) -> int:
-        """Streams that may be opened now; less than nought after the host has lowered its limit."""
+        """Number of streams that may be opened now; negative after the host has lowered its limit."""
         if not self.ready or self.closing or self.closed:
             return 0
         return min(self.limits.streams, self.h2.remote_settings.max_concurrent_streams) - len(self.streams)
@@ -180,7 +185,7 @@
     def request(
         self, key: int, method: bytes, target: bytes, headers: Fields, body: list[bytes], deadline: float
     ) -> None:
-        """Takes a request that may wait for a stream until `until`. Raises RequestError."""
+        """Queues a request, which may wait for a stream until `deadline`. Raises RequestError."""
         size = sum(map(len, body))
         fields = request_fields(
             method, target, headers, size if body or method != b"GET" else None, self.scheme
@@ -191,7 +196,7 @@
             self.waiting[key] = QueuedRequest(fields, [part for part in body if part], deadline)
 
     def cancel(self, key: int) -> Fate:
-        """Ends a request that nobody waits for any more; no event follows."""
+        """Cancels a request; no event follows. Returns whether it may have run."""
         if self.waiting.pop(key, None):
             return Fate.NOT_RUN
         if stream := self.keys.get(key):
@@ -200,7 +205,7 @@
         return Fate.UNKNOWN
 
     def consumed(self, key: int, credit: int) -> None:
-        """What `Data` brought has been passed on: its stream may bring as much again."""
+        """Returns `credit` bytes of flow control window to the host, after data has been passed on."""
         if (stream := self.keys.get(key)) is None or self.closed:
             return
         stream.credit += credit
@@ -211,7 +216,7 @@
     # Bytes
 
     def bytes_to_send(self) -> bytes:
-        """What goes to the socket now. It counts as written: a request whose bytes are here may run."""
+        """Returns the bytes to write now. They count as written: their requests may run."""
         if not self.closed:
             while self.waiting and self.free_streams > 0 and self._unsent() < MAX_ENCODED_AHEAD_BYTES:
                 self._open_stream()
@@ -221,13 +226,15 @@
         return out
 
     def _unsent(self) -> int:
+        """Returns the number of encoded bytes that have not been handed to the socket."""
         self.out += self.h2.data_to_send()
         return len(self.out)
 
     def _open_stream(self) -> None:
+        """Encodes the head of the first queued request on a new stream."""
         try:
             number = self.h2.get_next_available_stream_id()
-        except NoAvailableStreamIDError:  # RFC 9113, 5.1.1: a new connection must serve
+        except NoAvailableStreamIDError:  # RFC 9113, 5.1.1: needs a new connection
             self._start_closing("stream ids are used up")
             return
         key, queued = self.waiting.popitem(last=False)
@@ -236,16 +243,16 @@
         )
         try:
             self.h2.send_headers(number, queued.fields, end_stream=stream.body_encoded)
-        except ProtocolError as error:  # half of it may stand in the compression state: no more after it
+        except ProtocolError as error:  # the compression state may be inconsistent now
             self.events.append(Failed(key, Fate.NOT_RUN, str(error)))
-            self._start_closing(f"a request that h2 refuses: {error}")
+            self._start_closing(f"h2 rejected a request: {error}")
             return
         self.streams[number] = self.keys[key] = stream
         if stream.body_encoded:
             self.events.append(Sent(key))
 
     def _send_bodies(self) -> None:
-        """A frame of each stream in turn, as far as the windows go: no large body stops the others."""
+        """Sends one frame of each stream in turn, within the windows: no large body blocks the others."""
         moved = True
         while moved and self._unsent() < MAX_ENCODED_AHEAD_BYTES:
             moved = False
@@ -266,7 +273,7 @@
                     self.events.append(Sent(stream.key))
 
     def receive(self, now: float, data: bytes) -> None:
-        """Bytes that came; frame by frame, however they were cut."""
+        """Handles received bytes, split into frames here."""
         self.received_at, self.pinged_at = now, 0.0
         self.buffer += data
         while len(self.buffer) >= 9 and not self.closed:
@@ -276,7 +283,7 @@
             if not self.ready and (kind != SETTINGS or flags & 1):  # RFC 9113, 3.4
                 self._terminate("it does not speak HTTP/2", Code.PROTOCOL_ERROR)
                 return
-            if length > MAX_FRAME_BYTES:  # refused by its head, before it is waited for
+            if length > MAX_FRAME_BYTES:  # rejected by its header, before its payload arrives
                 self._terminate("a frame that is too large", Code.FRAME_SIZE_ERROR)
                 return
             if len(self.buffer) < 9 + length:
@@ -288,7 +295,7 @@
         self._terminate_if_done()
 
     def _check_limits(self, now: float, kind: int, flags: int, length: int) -> bool:
-        """Counts what a frame costs; False if it is one too many, and the connection has ended."""
+        """Counts a frame against the limits; if one is exceeded, ends the connection and returns False."""
         self.control_budget = min(
             self.limits.control_frame_burst,
             self.control_budget + self.limits.control_frames_per_s * (now - self.control_budget_at),
@@ -314,6 +321,7 @@
         return True
 
     def _handle_frame(self, frame: bytes, kind: int, stream: int, length: int) -> None:
+        """Handles GOAWAY here and passes all other frames to `h2`."""
         if kind == GOAWAY and not self.in_header_block and stream == 0 and length >= 8:
             last = int.from_bytes(frame[9:13], "big") & 0x7FFFFFFF
             self._goaway(last, int.from_bytes(frame[13:17], "big"))
@@ -326,7 +334,7 @@
         except ProtocolError as error:
             self._terminate(str(error) or type(error).__name__, error.error_code)
             return
-        except Exception as error:  # whatever a host sends, its requests end
+        except Exception as error:  # whatever a host sends, its requests must end
             self._terminate(f"{type(error).__name__}: {error}", Code.PROTOCOL_ERROR)
             return
         for event in events:
@@ -342,11 +350,11 @@
         if isinstance(event, h2_events.DataReceived):
             self._credit(event.flow_controlled_length)
         if (stream := self.streams.get(number or 0)) is None:
-            return  # frames that were under way when it ended
+            return  # frames sent before the host knew that the stream had ended
         if isinstance(event, h2_events.InformationalResponseReceived):
             stream.interim_count += 1
             if stream.interim_count > MAX_INTERIM_ANSWERS:
-                self._fail(stream, "interim answers without end", Code.ENHANCE_YOUR_CALM)
+                self._fail(stream, "too many interim answers", Code.ENHANCE_YOUR_CALM)
         elif isinstance(event, h2_events.ResponseReceived):
             self._handle_head(stream, [(bytes(name), bytes(value)) for name, value in event.headers or []])
         elif isinstance(event, h2_events.DataReceived):
@@ -356,8 +364,8 @@
             if stream.status:
                 self.events.append(Answered(stream.key))
             else:
-                self.events.append(Failed(stream.key, Fate.UNKNOWN, "no answer on its stream"))
-            if not stream.body_encoded:  # RFC 9113, 8.1: answered before all of the request was there
+                self.events.append(Failed(stream.key, Fate.UNKNOWN, "stream ended without an answer"))
+            if not stream.body_encoded:  # RFC 9113, 8.1: answered before the request was complete
                 self._reset(stream, Code.NO_ERROR)
         elif isinstance(event, h2_events.StreamReset):
             self._remove(stream)
@@ -371,7 +379,7 @@
         status = next((value for name, value in fields if name == b":status"), b"")
         sound = all(TOKEN.fullmatch(name) and not FORBIDDEN_IN_VALUE.search(value) for name, value in headers)
         if not (sound and re.fullmatch(rb"[2-9]\d\d", status)):
-            self._fail(stream, "an answer that is no answer", Code.PROTOCOL_ERROR)
+            self._fail(stream, "malformed answer", Code.PROTOCOL_ERROR)
             return
         stream.status = int(status)
         self.events.append(Head(stream.key, stream.status, headers))
@@ -382,12 +390,11 @@
             self.h2.increment_flow_control_window(self.credit)
             self.credit = 0
 
-    # Ends
+    # End of streams and of the connection
 
     def _goaway(self, last: int, code: int) -> None:
-        self.last_stream_id = min(
-            self.last_stream_id, last
-        )  # it must not rise; what was told not to run is already elsewhere
+        # It must not rise: requests above it were reported as not run and may have been sent elsewhere.
+        self.last_stream_id = min(self.last_stream_id, last)
         self._start_closing(f"the host is closing ({code})")
         for stream in [s for s in self.streams.values() if s.id > self.last_stream_id]:
             self._remove(stream)
@@ -395,18 +402,19 @@
         self._terminate_if_done()
 
     def _start_closing(self, why: str) -> None:
+        """Opens no new streams and fails the queued requests."""
         if not self.closing:
             self.closing = True
             self.events.append(Closing(why))
         self._fail_waiting(why)
 
     def retire(self, why: str) -> None:
-        """Nothing new goes out; what is out ends as ever."""
+        """Opens no new streams; those that are open finish as usual."""
         self._start_closing(why)
         self._terminate_if_done()
 
     def lost(self, why: str) -> None:
-        """The socket is gone."""
+        """Ends all requests, after the socket was closed."""
         self.closed = self.closing = True
         self._fail_waiting(why)
         for stream in list(self.streams.values()):
@@ -414,7 +422,7 @@
             self.events.append(Failed(stream.key, Fate.UNKNOWN, why))
 
     def tick(self, now: float) -> None:
-        """What time brings: requests that have waited for too long, and a host that is silent."""
+        """Fails queued requests past their deadline and checks a silent host with PING."""
         for key in [k for k, queued in self.waiting.items() if now >= queued.deadline]:
             del self.waiting[key]
             self.events.append(Failed(key, Fate.NOT_RUN, "no stream was free in time"))
@@ -428,22 +436,23 @@
         self._terminate_if_done()
 
     def take_events(self) -> list[Event]:
-        """What has happened since the last call."""
+        """Returns the events since the last call."""
         events, self.events = self.events, []
         return events
 
     def _terminate(self, why: str, code: Code | int) -> None:
+        """Closes the connection with an error code and ends all requests."""
         if self.closed:
             return
         number = code.value if isinstance(code, Code) else int(code)
-        with contextlib.suppress(ProtocolError):  # h2 has said so already
+        with contextlib.suppress(ProtocolError):  # h2 has closed it already
             self.h2.close_connection(number)
-        self.events.append(Closed(why, number))  # ahead of its requests' ends: they are told why
+        self.events.append(Closed(why, number))  # before the events of its requests, which need the reason
         self.lost(why)
 
     def _terminate_if_done(self) -> None:
         if self.closing and not self.closed and not self.streams:
-            self._terminate("it has ended", Code.NO_ERROR)
+            self._terminate("all streams have ended", Code.NO_ERROR)
 
     def _fail_waiting(self, why: str) -> None:
         for key in self.waiting:
@@ -456,7 +465,7 @@
         self.events.append(Failed(stream.key, Fate.UNKNOWN, why))
 
     def _reset(self, stream: Stream, code: Code) -> None:
-        with contextlib.suppress(ProtocolError):  # closed from both sides meanwhile
+        with contextlib.suppress(ProtocolError):  # closed by both sides in the meantime
             self.h2.reset_stream(stream.id, code.value)
 
     def _remove(self, stream: Stream) -> None:
--- a/coralvale/http2/pool.py
+++ b/coralvale/http2/pool.py
@@ -1,9 +1,10 @@
-"""Which connection to a host takes a request, when another is opened, which are let go. No I/O.
+"""Selects the connection to a host for a request, a new one if needed, and finds idle ones. No I/O.
 
-Few connections: one is filled to its limit on streams before another is opened, as each costs a handshake, and
-hosts hold few. The least loaded takes a request, so that the loss of one loses as little as may be. Where all are
-full a request waits where the least wait, and no more wait than could be served in turn: one past that is not
-sent, and the decision module sends it elsewhere or refuses it.
+Few connections are kept: one is filled to its limit of streams before another is opened, as each costs a
+handshake and hosts accept only a few. The least loaded connection takes a request, so that the loss of one
+affects as few requests as possible. If all are full, a request is queued where the queue is shortest, up to
+one request for each stream; beyond that it is not sent, and the gateway logic sends it to another host or
+refuses it.
 """
 
 from __future__ import annotations
@@ -14,7 +15,7 @@
 
 
 class Fallback(Enum):
-    """What there is to be done where no connection takes a request."""
+    """What to do if no connection can take a request."""
 
     OPEN = "open"
     NOT_SENT = "not sent"
@@ -22,17 +23,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionLoad:
-    """One connection. `room` is its streams that may be opened, less than nought over a lowered limit."""
+    """Load of one connection; `free_streams` is negative after the host has lowered its limit."""
 
     free_streams: int
     waiting: int
     ready: bool
-    closing: bool = False  # closing or dead: it takes nothing
-    idle_since: float | None = None  # where it carries nothing
+    closing: bool = False  # closing or closed: takes no requests
+    idle_since: float | None = None  # None while it carries requests
 
 
 def choose(loads: Sequence[ConnectionLoad], max_connections: int, max_streams: int) -> int | Fallback:
-    """The number of the connection that takes a request. `most` connections, `streams` on each."""
+    """Returns the index of the connection that takes a request, or what to do if none can."""
     free = [
         n
         for n, load in enumerate(loads)
@@ -56,7 +57,7 @@
 
 
 def idle_connections(loads: Sequence[ConnectionLoad], now: float, idle_timeout: float) -> list[int]:
-    """Connections that have carried nothing for `most_idle` seconds."""
+    """Returns the indexes of connections without requests for at least `idle_timeout` seconds."""
     return [
         n for n, load in enumerate(loads)
         if load.idle_since is not None and not load.closing and now - load.idle_since >= idle_timeout
--- a/coralvale/http2/service.py
+++ b/coralvale/http2/service.py
@@ -1,4 +1,4 @@
-"""Sockets of HTTP/2 to hosts, beside those of HTTP/1.1. It decides nothing: see `connection` and `pool`."""
+"""Sockets of HTTP/2 to hosts, beside those of HTTP/1.1. `connection` and `pool` make the decisions."""
 
 from __future__ import annotations
 
@@ -40,13 +40,13 @@
 from coralvale.operator.model import OperatorError
 
 log = logging.getLogger(__name__)
-CLOSE_TIMEOUT_S = 1.0  # s that a connection that is over may take to be closed
-TICK_S = 0.02  # s between looks at what has waited for too long
+CLOSE_TIMEOUT_S = 1.0  # for writing the last bytes of a connection that has ended
+TICK_S = 0.02  # between checks of timeouts
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """An attempt on a connection; what an answer that is passed on is read from."""
+    """An attempt on a connection, and the source of its answer when that is streamed to the client."""
 
     attempt: Attempt
     link: Link
@@ -56,15 +56,17 @@
     length: int | None = None
     body: list[bytes] = field(default_factory=list)
     size: int = 0
-    credit: int = 0  # bytes kept from the host while the client is slow
+    credit: int = 0  # flow control bytes not returned to the host while the client is slow
     paused: bool = False
     headers_at: float = 0.0
     received_at: float = 0.0
 
     def pause(self) -> None:
+        """Stops returning flow control window to the host, as the client reads slowly."""
         self.paused = True
 
     def resume(self) -> None:
+        """Returns the withheld window to the host, as the client reads again."""
         if self.paused:
             self.paused, self.received_at = False, self.link.owner.clock.now()
             credit, self.credit = self.credit, 0
@@ -73,7 +75,7 @@
 
 
 class Link(asyncio.Protocol):
-    """One connection's socket."""
+    """The socket of one connection."""
 
     def __init__(self, owner: Transport, place: Place) -> None:
         self.owner, self.place = owner, place
@@ -81,12 +83,13 @@
         self.calls: dict[int, Call] = {}
         self.transport: Any = None
         self.write_paused = self.pumping = self.disconnected = False
-        self.break_reported = False  # an attempt's end has told that it broke
+        self.break_reported = False  # an attempt has reported that the connection broke
         self.last_key = 0
         self.why = ""
         self.idle_since: float | None = None
 
     def load(self) -> pool.ConnectionLoad:
+        """Returns what `pool` needs to choose a connection."""
         machine = self.machine
         closing = machine.closing or machine.closed or self.disconnected
         return pool.ConnectionLoad(
@@ -97,7 +100,7 @@
 
     def connection_made(self, transport: Any) -> None:  # noqa: ANN401
         self.transport = transport
-        if self.disconnected or self.machine.closed:  # given up or retired while it was on its way
+        if self.disconnected or self.machine.closed:  # abandoned or retired while connecting
             transport.abort()
             return
         transport.set_write_buffer_limits(high=0)
@@ -120,10 +123,10 @@
         self.pump()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.fail(self.why or "the connection broke")
+        self.fail(self.why or "connection lost")
 
     def fail(self, why: str) -> None:
-        """There is no connection any more, or there will be none."""
+        """Ends all requests: the connection is lost or could not be made."""
         if not self.disconnected:
             self.disconnected = True
             self.machine.lost(why)
@@ -133,6 +136,7 @@
     # Attempts
 
     def start(self, attempt: Attempt) -> None:
+        """Queues an attempt on this connection."""
         if (payload := attempt.payload()) is None:
             attempt.end(Outcome.NOT_SENT)
             return
@@ -145,20 +149,21 @@
         try:
             self.machine.request(call.key, payload.method, payload.target, headers, payload.body, deadline)
         except RequestError as error:
-            log.warning("a request cannot be put in HTTP/2: %s", error)
+            log.warning("request cannot be sent over HTTP/2: %s", error)
             attempt.end(Outcome.NOT_SENT)
             return
         self.calls[call.key], attempt.connection, self.idle_since = call, call, None
         self.pump()
 
     def give_up(self, call: Call, outcome: Outcome) -> None:
+        """Cancels a request; its attempt ends as NOT_SENT if it was not run, else with `outcome`."""
         self.calls.pop(call.key, None)
         fate = self.machine.cancel(call.key)
         call.attempt.end(Outcome.NOT_SENT if fate is Fate.NOT_RUN else outcome)
         self.pump()
 
     def pump(self) -> None:
-        """Carries out what the machine has to say and to send, until there is nothing more."""
+        """Handles the events of the state machine and writes its bytes, until there are none left."""
         if self.pumping:
             return
         self.pumping = True
@@ -185,13 +190,13 @@
         if not self.calls and self.idle_since is None:
             self.idle_since = self.owner.clock.now()
         if self.machine.closed and self.transport and not self.transport.is_closing():
-            self.transport.close()  # what was written still goes, if the host reads it
+            self.transport.close()  # written bytes are still sent, if the host reads them
             self.owner.loop.call_later(CLOSE_TIMEOUT_S, self.transport.abort)
 
     def _handle_event(self, event: Event) -> None:
         if isinstance(event, Closed | Closing):
             if isinstance(event, Closed) and event.code:
-                log.warning("host %s: the connection has ended: %s", self.place[0], event.why)
+                log.warning("host %s: connection ended: %s", self.place[0], event.why)
             self.why = self.why or event.why
             return
         if isinstance(event, Ready):
@@ -214,11 +219,11 @@
     def _failed(self, call: Call, event: Failed) -> None:
         if event.fate is Fate.UNKNOWN:
             self.owner.unknown += 1
-            # One broken connection is one break, however many requests it carried.
+            # A broken connection counts as one break, however many requests it carried.
             call.attempt.broke, call.attempt.alone = self.machine.closed, not self.break_reported
             self.break_reported = self.machine.closed
             call.attempt.end(Outcome.RESET)
-        elif event.by_host:  # the host's own word: it is well, and takes nothing more for a moment
+        elif event.by_host:  # the host is healthy but takes no more requests for now
             self.owner.not_run += 1
             call.attempt.end(Outcome.FULL)
         elif not self.machine.ready and self.machine.closed:
@@ -277,6 +282,7 @@
         call.attempt.end(outcome_of(answer), answer)
 
     def tick(self, now: float) -> None:
+        """Checks timeouts, also those of stalled streams. `now` is the transport's clock, in seconds."""
         self.machine.tick(now)
         for call in [c for c in self.calls.values() if c.attempt.sink and not c.paused]:
             if now - call.received_at > STREAM_STALL_TIMEOUT_S:
@@ -285,13 +291,13 @@
 
 
 class Transport:
-    """The `Transport` of HTTP/2; hosts that do not speak it are left to `plain`, or out, as the table says.
+    """The `Transport` of HTTP/2. Hosts without HTTP/2 are served by `plain` or not at all, as the table says.
 
-    Connections count against the same bound as those of `plain`.
+    Connections count towards the same limit as those of `plain`.
     """
 
     def __init__(self, table: Table, plain: Upstreams, kinds: Sequence[str] = ()) -> None:
-        """`kinds` are the settings' names of hosts' kinds. Raises OperatorError for one that is not there."""
+        """`kinds` are the kinds of hosts in the settings. Raises OperatorError if the table names another."""
         for name in table.kinds:
             if name not in kinds:
                 raise OperatorError(
@@ -313,9 +319,11 @@
 
     @property
     def written(self) -> int:
+        """Requests written by this transport and `plain`."""
         return self.sent + self.plain.written
 
     def stats(self) -> str:
+        """Returns the metrics of `plain` and of HTTP/2, one a line."""
         links = [link for links in self.links.values() for link in links]
         figures = {
             "http2_connections": len(links),
@@ -328,6 +336,7 @@
         return self.plain.stats() + "".join(f"{name}={count}\n" for name, count in figures.items())
 
     def send(self, attempt: Attempt) -> None:
+        """Sends an attempt over a connection to its host, opening one if needed, or over `plain`."""
         place = attempt.place
         other = self.kinds and attempt.kind not in self.kinds
         if other or (place in self.without_http2 and self.table.without == "http1"):
@@ -355,7 +364,7 @@
                 await self.loop.create_connection(
                     lambda: link, *link.place[2], ssl=self.tls, server_hostname=name
                 )
-                while not link.machine.ready and not link.disconnected:  # a host that says nothing is none
+                while not link.machine.ready and not link.disconnected:  # a silent host counts as unreachable
                     await asyncio.sleep(TICK_S)
         except (OSError, TimeoutError) as error:
             link.why = link.why or f"no connection: {error}"
@@ -364,7 +373,7 @@
             link.fail(link.why)
 
     def http2_unavailable(self, link: Link, attempt: Attempt) -> None:
-        """An attempt whose connection ended before the host said that it speaks HTTP/2: nothing was written."""
+        """Handles an attempt whose connection ended before the first SETTINGS: nothing was written."""
         if link.why in ("it does not speak HTTP/2", "it did not agree to h2"):
             if link.place not in self.without_http2:
                 self.without_http2.add(link.place)
@@ -376,6 +385,7 @@
         attempt.end(Outcome.CONNECT_FAILED)
 
     def link_closed(self, link: Link) -> None:
+        """Removes a connection that has ended."""
         self.plain.open -= 1
         links = self.links.get(link.place, [])
         if link in links:
@@ -384,6 +394,7 @@
             self.links.pop(link.place, None)
 
     def abort(self, attempt: Attempt, outcome: Outcome) -> None:
+        """Ends an attempt with an outcome."""
         call = attempt.connection
         if isinstance(call, Call):
             call.link.give_up(call, outcome)
@@ -391,10 +402,12 @@
             self.plain.abort(attempt, outcome)
 
     def abandon(self, attempt: Attempt) -> None:
+        """Cancels an attempt over HTTP/2."""
         if isinstance(attempt.connection, Call):
             attempt.connection.link.give_up(attempt.connection, Outcome.CANCELLED)
 
     def retire(self, place: Place) -> None:
+        """Closes the connections to a host that is leaving, once their streams have finished."""
         self.without_http2.discard(place)
         for link in list(self.links.get(place, [])):
             link.machine.retire("the host is leaving")
@@ -402,6 +415,7 @@
         self.plain.retire(place)
 
     def close(self) -> None:
+        """Aborts all connections and closes `plain`."""
         self.timer.cancel()
         for task in self.tasks:
             task.cancel()
@@ -409,7 +423,7 @@
             for link in list(links):
                 if link.transport:
                     link.transport.abort()
-                link.fail("the gateway ends")
+                link.fail("gateway shutting down")
         self.plain.close()
 
     def _tick(self) -> None:
@@ -424,7 +438,7 @@
 
 
 def ssl_context(table: Table) -> ssl.SSLContext | None:
-    """TLS that offers h2 alone (RFC 9113, 3.2). Raises OperatorError if its file cannot be used."""
+    """Returns a TLS context that offers only h2 (RFC 9113, 3.2). Raises OperatorError for an unusable file."""
     if table.tls is None:
         return None
     try:
