--- a/coralvale/allowance/escrow.py
+++ b/coralvale/allowance/escrow.py
@@ -6,7 +6,8 @@
 is a share g of a part, from 0 to 1, so that it stays valid when the figures of the ceiling change.
 
 donor      First lowers its own rate by g C/n, from `guard` before the window until `guard` after it. Then it
-           adds g to the name GRANT(window, donor, recipient). Grants are never taken back, whatever the reply.
+           adds g to the name GRANT(window, donor, recipient). It never takes a grant back, whatever the
+           reply.
 recipient  Reads that name (by adding 0) and fills its bucket faster by g C/n from `guard` after the start of
            the window until `guard` before its end. g is the highest total that it has seen, at most 1.
 restart    A gateway that starts may have granted rate before and lost the record of it: for the current
--- a/coralvale/http2/connection.py
+++ b/coralvale/http2/connection.py
@@ -3,8 +3,7 @@
 `h2` handles frames, HPACK, flow control and the states of streams. This module adds what `h2` lacks:
 
 - Requests that were certainly not run (see `model`). A request is encoded only when the socket asks for
-bytes.
-  A queued request has therefore not changed the compression state and can be withdrawn at any time.
+  bytes. A queued request has therefore not changed the compression state and can be withdrawn at any time.
 - GOAWAY. `h2` treats it as the end of the connection and drops its unsent data; RFC 9113, 6.8 lets streams up
   to the last id finish. So frames are split before `h2` sees them, and GOAWAY is handled here.
 - Limits on the work that a host can cause: frames that carry no part of an answer are counted, as are the
--- a/coralvale/http2/service.py
+++ b/coralvale/http2/service.py
@@ -438,7 +438,7 @@
 
 
 def ssl_context(table: Table) -> ssl.SSLContext | None:
-    """Returns a TLS context that offers only h2 (RFC 9113, 3.2). Raises OperatorError for an unusable file."""
+    """Returns a TLS context for h2 alone (RFC 9113, 3.2). Raises OperatorError for an unusable file."""
     if table.tls is None:
         return None
     try:
--- a/tests/control/test_service.py
+++ b/tests/control/test_service.py
@@ -527,7 +527,7 @@
     monkeypatch: pytest.MonkeyPatch, caplog: pytest.LogCaptureFixture
 ) -> None:
     """One service's proxy asks for four times the ceiling, the other's for little."""
-    monkeypatch.setattr("coralvale.allowance.leases.LENGTH", 2.0)
+    monkeypatch.setattr("coralvale.allowance.leases.WINDOW_S", 2.0)
 
     async def test() -> None:
         tally = await Tally().start()
@@ -547,7 +547,7 @@
                 for p, rate in zip(pair, (200.0, 2.0), strict=True)
             ]
             lent = lambda: [  # noqa: E731
-                e.rate(m.clock.now()) for m in made if m.leases for e in m.leases.held.values()
+                e.rate(m.clock.now()) for m in made if m.leases for e in m.leases.escrows.values()
             ]
             await until(lambda: len(lent()) == 2 and max(lent()) > 30)  # of 50, of which 25 are its own
             assert sum(lent()) <= 50 + 1e-6 and len(tally.totals) >= 2
--- a/tests/http2/test_connection.py
+++ b/tests/http2/test_connection.py
@@ -180,7 +180,7 @@
         pair.note()
 
 
-# Hypothesis derives the schedules from the function's text, comments aside: other names draw other schedules.
+# Hypothesis derives the schedules from the function's text without comments: new names would draw others.
 @settings(max_examples=2000, deadline=None, derandomize=True, suppress_health_check=list(HealthCheck))
 @given(STEPS, st.booleans(), st.booleans(), st.sampled_from([None, 1, 3, 100]))
 def test_what_is_called_not_run_did_not_run_in_any_schedule(
