--- a/tests/members/test_snapshot.py
+++ b/tests/members/test_snapshot.py
@@ -49,14 +49,14 @@
     keep(disk, 7)
     for content in disk.files.values():
         content.synced = len(content.data)
-    disk.operations, disk.stop_at = 0, stop_at
+    disk.operations, disk.crash_at = 0, stop_at
     crashed = False
     try:
         keep(disk, 8)
     except Crash:
         crashed = True
     assert crashed is (stop_at < 3)  # three operations in all
-    left = Kept(files=disk.after(random.Random(seed)).files)
+    left = Kept(files=disk.after_crash(random.Random(seed)).files)
     told = found(left)
     assert told in ((7, OTHERS), (8, OTHERS)) or (told == (0, []) and not crashed)
     keep(left, 9)
@@ -66,7 +66,7 @@
 def test_a_full_disk_leaves_what_was_kept() -> None:
     disk = Kept()
     keep(disk, 7)
-    disk.full = True
+    disk.writes_fail = True
     with pytest.raises(OSError):
         keep(disk, 8)
     assert found(disk) == (7, OTHERS)
